--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -11,7 +11,13 @@
 
 const labels = ['keel-0', 'keel-1', 'keel-2'];
 const fresh: LeasedMachine = {
-  ...{ id: 'm1', token: 0, type: 'c8', zone: 'a', spot: false, leaving: false, since: 0 },
+  id: 'm1',
+  token: 0,
+  type: 'c8',
+  zone: 'a',
+  spot: false,
+  leaving: false,
+  since: 0,
 };
 
 /** Blocks whose versions and records change together, between any two turns. */
@@ -60,20 +66,27 @@
   const commits: Commit[] = [];
   const empty = new Map();
   const ports = {
-    ...{ clock: steadyClock, wallClock: Date.now, log: silentLog, term, registry, boot: 'b', periodMs: 1000 },
+    clock: steadyClock,
+    wallClock: Date.now,
+    log: silentLog,
+    term,
+    registry,
+    boot: 'b',
+    periodMs: 1000,
     settings: { ...testSettings(), teams: new Map() },
     jobIndex: { jobs: empty, loads: () => empty, inOrder: () => [], activeTasks: () => [] },
     fleet: {
-      ...{ fresh: new Map([[fresh.id, fresh]]), gone: new Set(), unwanted: new Set(), lost: new Set() },
+      fresh: new Map([[fresh.id, fresh]]),
+      gone: new Set(),
+      unwanted: new Set(),
+      lost: new Set(),
       waiting: () => 0,
     },
-    ...{
-      store: { failing: false },
-      mirror: { revision: 1 },
-      types: () => empty,
-      up: () => true,
-      lookahead: 0,
-    },
+    store: { failing: false },
+    mirror: { revision: 1 },
+    types: () => empty,
+    up: () => true,
+    lookahead: 0,
     commits: {
       writableLength: 0,
       commit: (conditions: Condition[], writes: Write[]) => {
--- a/src/blocks/blocks.test.ts
+++ b/src/blocks/blocks.test.ts
@@ -14,7 +14,13 @@
 import { nextShares } from './shares.js';
 
 const machine = (id: string, zone = 'a', change: Partial<LeasedMachine> = {}): LeasedMachine => ({
-  ...{ id, token: 5, type: 'c8', zone, spot: false, leaving: false, since: 0 },
+  id,
+  token: 5,
+  type: 'c8',
+  zone,
+  spot: false,
+  leaving: false,
+  since: 0,
   ...change,
 });
 const block = (owner: string, ...machines: LeasedMachine[]): BlockRecord => ({
@@ -35,7 +41,10 @@
     ]),
     alive: members,
     settled: new Set(['k0', 'k1', 'k2']),
-    ...{ fresh: [], gone: new Set<string>(), busy: new Set<string>(), unwanted: new Set<string>() },
+    fresh: [],
+    gone: new Set<string>(),
+    busy: new Set<string>(),
+    unwanted: new Set<string>(),
     waiting: () => 0,
     shares: new Map(),
     ...change,
@@ -115,9 +124,26 @@
 });
 
 const spec = (id: string, tasks: number, change: Partial<JobSpec> = {}): JobSpec => ({
-  ...{ id, jobClass: 'x', team: 'red', urgency: 'standard', tasks, cpus: 2, accelerators: 0, memoryGb: 2 },
-  ...{ image: 'i', imageGb: 1, types: null, zone: null, oneZone: false, spread: false, spot: false },
-  ...{ estimateS: 10, checkpointS: 0, saveS: 0, deadlineS: null, acceptedAt: 0 },
+  id,
+  jobClass: 'x',
+  team: 'red',
+  urgency: 'standard',
+  tasks,
+  cpus: 2,
+  accelerators: 0,
+  memoryGb: 2,
+  image: 'i',
+  imageGb: 1,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  estimateS: 10,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+  acceptedAt: 0,
   ...change,
 });
 
@@ -225,8 +251,17 @@
 });
 
 const entry = (at: number, active: number[], done: number[] = []): IndexedEntry => ({
-  ...{ id: 'req-1', chunk: 0, team: 'red', cpus: 1, accelerators: 0, memoryGb: 1, waiting: [], doneCount: 0 },
-  ...{ block: at, active: active.map((index) => [index, 1, 'm1']), done },
+  id: 'req-1',
+  chunk: 0,
+  team: 'red',
+  cpus: 1,
+  accelerators: 0,
+  memoryGb: 1,
+  waiting: [],
+  doneCount: 0,
+  block: at,
+  active: active.map((index) => [index, 1, 'm1']),
+  done,
 });
 
 // Guards against work that waits in a full block for ever while another block has room for it.
@@ -260,7 +295,8 @@
 test("a task that is on a block's ledger goes back to that block before anything of its job is dispatched", () => {
   const parts = [{ block: 1, first: 0, count: 2 }];
   const job = (change: Partial<JobSpec> = {}, at = parts): { parts: Part[]; spec: JobSpec } => ({
-    ...{ parts: at, spec: spec('req-1', 6, change) },
+    parts: at,
+    spec: spec('req-1', 6, change),
   });
   assert.deepEqual(restore(job(), [entry(0, [3, 4], [5, 5]), entry(1, [0])]), [
     { block: 1, first: 0, count: 2 },
--- a/src/blocks/job-home.ts
+++ b/src/blocks/job-home.ts
@@ -46,7 +46,10 @@
     if (this.capacity && clock() - this.measuredAt <= measureEveryMs) return this.capacity;
     this.measuredAt = clock();
     this.capacity = new BlockCapacity({
-      ...{ blocks: registry.blocks(), types: types(), jobIndex, lookahead: 0 },
+      blocks: registry.blocks(),
+      types: types(),
+      jobIndex,
+      lookahead: 0,
       alive: (label) => registry.isAlive(label),
       up: (machine) => up.has(machine),
     });
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -135,8 +135,19 @@
     const commits = this.stages.duty;
     const types = (): ReadonlyMap<string, MachineType> => this.types;
     const shared = {
-      ...{ clock, wallClock: Date.now, log, settings, operator, boot, types },
-      ...{ store, mirror, jobIndex, registry, cloud, commits },
+      clock,
+      wallClock: Date.now,
+      log,
+      settings,
+      operator,
+      boot,
+      types,
+      store,
+      mirror,
+      jobIndex,
+      registry,
+      cloud,
+      commits,
       inTouch: () => !store.failing && store.contactAge(clock()) < this.membership.ttlMs,
       order: new OrderOfWork(settings.objectives, settings.reportMs * tellingReports),
     };
@@ -158,7 +169,9 @@
       readEnd: (id) => ends.read(id),
     });
     this.upMachines = new UpMachines({
-      ...{ wallClock: Date.now, types, leased: () => registry.machines() },
+      wallClock: Date.now,
+      types,
+      leased: () => registry.machines(),
     });
     const jobHome = new JobHome({
       ...shared,
@@ -168,7 +181,8 @@
     });
     this.intake = new Intake({
       ...shared,
-      ...{ ends, cascade: this.cascade },
+      ends,
+      cascade: this.cascade,
       supportsDependencies: () => registry.upgraded,
       knowsCancellations: () => clock() - this.knownUntil < settings.cancelMs * freshShare,
       writes: this.stages.intake,
@@ -177,7 +191,10 @@
       home: (spec) => jobHome.of(spec),
     });
     this.peers = new PeerLinks({
-      ...{ clock, log, settings, boot },
+      clock,
+      log,
+      settings,
+      boot,
       revision: () => mirror.revision,
       facts: () => ({
         contactAge: store.contactAge(clock()),
@@ -212,7 +229,10 @@
     const load = new ConnectionLoad(Math.floor(settings.quota.sockets * socketShare));
     const reportHandler = new ReportHandler({
       isCrowded: () => load.isCrowded,
-      ...{ clock, label: settings.label, leases: this.leases, registry: this.registry },
+      clock,
+      label: settings.label,
+      leases: this.leases,
+      registry: this.registry,
       leader: () => this.election.leader,
       mayStart: () => this.mayStart(),
       mayAnswer: () => this.mayAnswer(),
@@ -226,7 +246,10 @@
     };
     const listen = {
       ...splitAddress(settings.serveOn),
-      ...{ lean, loadHandler, log, clock },
+      lean,
+      loadHandler,
+      log,
+      clock,
       load,
       idleMs: settings.leaseMs * idleLeases,
       sliceMs: settings.reportMs * sliceReports,
@@ -293,7 +316,12 @@
     if (now <= this.knownUntil + this.answeringSpanMs && now - lastContact <= ttlMs) return true;
     const { cancelMs, leaseMs, reportMs, peers } = this.settings;
     const facts: AnsweringFacts = {
-      ...{ now, knownUntil: this.knownUntil, lastContact, cancelMs, leaseMs, reportMs },
+      now,
+      knownUntil: this.knownUntil,
+      lastContact,
+      cancelMs,
+      leaseMs,
+      reportMs,
       peers: peers.map((peer) => this.peers.word(peer.label)),
     };
     return now <= answerUntil(facts) && !peerIsServed(facts, ttlMs);
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -59,7 +59,10 @@
   'controllers are replaced one by one while jobs run, and one that dies before its turn comes back old',
   // The job that is cancelled would run for longer than all of this takes.
   {
-    ...{ port: 29_000, capacity: 10, earlier, nextLimits },
+    port: 29_000,
+    capacity: 10,
+    earlier,
+    nextLimits,
     taskMs: (piece) => (piece.startsWith(`${idOf(3)}/`) ? 30_000 : 2500),
   },
   async (cluster) => {
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -74,7 +74,9 @@
   const ladder = new Ladder(shape);
   const surplus = new Surplus();
   const pool = (counted: number): Parameters<Surplus['count']>[0] => ({
-    ...{ key: 'c8/spot', counted, machines: new Array<LeasedMachine>(3) },
+    key: 'c8/spot',
+    counted,
+    machines: new Array<LeasedMachine>(3),
     type: { bootS: 40 } as MachineType,
   });
   const trace: [number, number, number][] = [
@@ -95,7 +97,9 @@
   const ladder = new Ladder(shape);
   const lack = new Lack(shape);
   const pool = (counted: number): Parameters<Lack['count']>[0] => ({
-    ...{ key: 'c8/spot', counted, machines: new Array<LeasedMachine>(10) },
+    key: 'c8/spot',
+    counted,
+    machines: new Array<LeasedMachine>(10),
     type: { bootS: 40 } as MachineType,
   });
   const trace: [number, number, number][] = [
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -7,15 +7,13 @@
 import { mayStand } from './election.js';
 
 const facts = (change: Partial<AnsweringFacts>): AnsweringFacts => ({
-  ...{
-    now: 20_000,
-    knownUntil: 10_000,
-    lastContact: 10_000,
-    cancelMs: 34_000,
-    leaseMs: 14_000,
-    reportMs: 2500,
-    peers: [undefined, undefined],
-  },
+  now: 20_000,
+  knownUntil: 10_000,
+  lastContact: 10_000,
+  cancelMs: 34_000,
+  leaseMs: 14_000,
+  reportMs: 2500,
+  peers: [undefined, undefined],
   ...change,
 });
 
@@ -27,7 +25,9 @@
 // confirmed cancels that nobody listed, and the blind controller kept their tasks for as long as the outage lasted.
 test('they are answered longer only up to the moment for which every peer has listed its cancels', () => {
   const word = (vouchedUntil: number, contactAge = 15_000): PeerWord => ({
-    ...{ notBefore: 26_000, contactAge, vouchedUntil },
+    notBefore: 26_000,
+    contactAge,
+    vouchedUntil,
   });
   const until = (...peers: (PeerWord | undefined)[]): number => answerUntil(facts({ peers }));
   assert.equal(until(word(25_000), word(26_000)), 25_000 + 18_750);
@@ -65,13 +65,11 @@
   let now = 0;
   let knows = 40;
   const own = new PeerLinks({
-    ...{
-      clock: () => now,
-      log: silentLog,
-      settings: testSettings(),
-      boot: 'mine',
-      onStatus: () => undefined,
-    },
+    clock: () => now,
+    log: silentLog,
+    settings: testSettings(),
+    boot: 'mine',
+    onStatus: () => undefined,
     revision: () => knows,
     facts: () => ({ contactAge: 0, token: 0, gone: [], up: [] }),
     vouch: (revision) => ({ since: revision, cancelled: [] }),
@@ -84,8 +82,16 @@
 }
 
 const status: Omit<PeerStatus, 'serial' | 'echo'> = {
-  ...{ from: 'keel-1', boot: 'theirs', token: 0, knows: 40, since: 40, cancelled: [], gone: [], up: [] },
-  ...{ contactAge: 40, echoBoot: 'mine' },
+  from: 'keel-1',
+  boot: 'theirs',
+  token: 0,
+  knows: 40,
+  since: 40,
+  cancelled: [],
+  gone: [],
+  up: [],
+  contactAge: 40,
+  echoBoot: 'mine',
 };
 
 test("a peer's word is dated by the echo of our own message, so one that was held back proves nothing new", () => {
--- a/src/peers/links.test.ts
+++ b/src/peers/links.test.ts
@@ -18,7 +18,11 @@
       Object.assign(file, { label: `keel-${own}`, back: `127.0.0.1:${port + own}`, others });
     });
     return new PeerLinks({
-      ...{ clock: steadyClock, log: silentLog, settings, boot: `boot-${index}`, onStatus },
+      clock: steadyClock,
+      log: silentLog,
+      settings,
+      boot: `boot-${index}`,
+      onStatus,
       revision: () => 41,
       facts: () => ({ contactAge: 12, token: 7, gone: ['vm-000001'], up: [] }),
       vouch: (revision) => ({ since: revision, cancelled: [['req-000001', 40]] }),
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -142,7 +142,9 @@
     );
     const chainOf = this.options.chainOf ?? unchained;
     const queued = ({ job, spec }: { job: JobState; spec: JobSpec }): Queued => ({
-      ...{ spec, chain: chainOf(spec), waiting: job.waiting },
+      spec,
+      chain: chainOf(spec),
+      waiting: job.waiting,
       started: job.active + job.doneCount > 0,
     });
     this.waiting = this.order.sorted(open, queued, (wallClock ?? Date.now)()).map(({ job }) => job);
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -46,7 +46,11 @@
 
 async function blockStateOf(store: HeldStore, layout: LedgerLayout): Promise<BlockState> {
   const blockState = new BlockState({
-    ...{ block: 0, layout, reportMs: 1000, clock: () => 0, teams: settings.teams },
+    block: 0,
+    layout,
+    reportMs: 1000,
+    clock: () => 0,
+    teams: settings.teams,
   });
   blockState.load(await mirrorOf(store));
   return blockState;
--- a/src/placement/order.test.ts
+++ b/src/placement/order.test.ts
@@ -11,7 +11,12 @@
 
 function queued(id: string, waiting: number, acceptedS: number, change: Partial<JobSpec> = {}): Queued {
   const spec = {
-    ...{ id, jobClass: 'quick', urgency: 'high', tasks: waiting, estimateS: 10, deadlineS: null },
+    id,
+    jobClass: 'quick',
+    urgency: 'high',
+    tasks: waiting,
+    estimateS: 10,
+    deadlineS: null,
     acceptedAt: acceptedS * 1000,
     ...change,
   } as JobSpec;
--- a/src/placement/placement.test.ts
+++ b/src/placement/placement.test.ts
@@ -144,8 +144,16 @@
   const usage = new Usage();
   usage.add('red', { cpus: 32, accelerators: 0, memoryGb: 0 });
   const choices = placeTasks({
-    ...{ now: 0, jobs, machines: [machine], types, cheap: new Set<string>(), partial: false, most: 9 },
-    ...{ usage: () => usage, usable: () => true, team: (name) => testSettings().teams.get(name) },
+    now: 0,
+    jobs,
+    machines: [machine],
+    types,
+    cheap: new Set<string>(),
+    partial: false,
+    most: 9,
+    usage: () => usage,
+    usable: () => true,
+    team: (name) => testSettings().teams.get(name),
   });
   assert.deepEqual(
     choices.map(({ task }) => task.job.id),
@@ -224,7 +232,11 @@
   const machine = blockState.machines.get('m1') as MachineState;
   const hear = (seq: number, token: number, states: Record<string, 'running'> = {}): string => {
     const tasks = Object.entries(states).map(([index, state]) => ({
-      ...{ job: 'req-1', index: Number(index), attempt: 1, state, cause: '' },
+      job: 'req-1',
+      index: Number(index),
+      attempt: 1,
+      state,
+      cause: '',
     }));
     return blockState.report(machine, { ...emptyReport('m1', seq), token, tasks }, true).verdict;
   };
@@ -282,7 +294,11 @@
   }
   const hear = (seq: number, states: TaskState[]): Order[] => {
     const tasks = states.map((state, index) => ({
-      ...{ job: 'req-1', index, attempt: 1, state, cause: state === 'ended' ? 'done' : '' },
+      job: 'req-1',
+      index,
+      attempt: 1,
+      state,
+      cause: state === 'ended' ? 'done' : '',
     }));
     return blockState.report(machine, { ...emptyReport('m1', seq), token: 7, tasks }, true).orders;
   };
@@ -306,7 +322,9 @@
 test('a round over the machines of a blockState heeds the zones of tasks that are there already', () => {
   const places = (change: Partial<JobSpec>, on: string[]): string[] => {
     const job = JobState.of({ ...jobSpec('req-1', 4), ...change }, 1, {
-      ...{ block: 0, ledger: new Ledger(valueBytes), perChunk: tasksPerChunk(valueBytes) },
+      block: 0,
+      ledger: new Ledger(valueBytes),
+      perChunk: tasksPerChunk(valueBytes),
     });
     job.assignRanges([{ block: 0, first: 0, count: 4 }], 1);
     const machines = new Map(
@@ -323,14 +341,12 @@
       machines.get(id)?.tasks.set(taskKey({ job: job.id, index: task.index }), task);
     }
     const choices = placeTasks({
-      ...{
-        now: 0,
-        jobs: [job],
-        machines: machines.values(),
-        cheap: new Set<string>(),
-        partial: false,
-        most: 10,
-      },
+      now: 0,
+      jobs: [job],
+      machines: machines.values(),
+      cheap: new Set<string>(),
+      partial: false,
+      most: 10,
       types: new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type])),
       team: () => testSettings().teams.get('blue'),
       usage: () => new Usage(),
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -21,7 +21,9 @@
 export const valueBytes = 32 * 1024;
 /** A page of the ledger is a value. */
 export const valueLayout: LedgerLayout = {
-  ...{ pageBytes: valueBytes, chunkTasks: tasksPerChunk(valueBytes), inherited: true },
+  pageBytes: valueBytes,
+  chunkTasks: tasksPerChunk(valueBytes),
+  inherited: true,
 };
 const jobId = 'req-1';
 const firstBlockVersion = 7;
@@ -30,9 +32,26 @@
 /** A job of the limited team `red` whose tasks take 2 CPUs each. */
 export function jobSpec(id: string, tasks: number): JobSpec {
   return {
-    ...{ id, jobClass: 'x', team: 'red', urgency: 'standard', tasks, cpus: 2, accelerators: 0, memoryGb: 2 },
-    ...{ image: 'i', imageGb: 1, types: null, zone: null, oneZone: false, spread: false, spot: false },
-    ...{ estimateS: 10, checkpointS: 0, saveS: 0, deadlineS: null, acceptedAt: 0 },
+    id,
+    jobClass: 'x',
+    team: 'red',
+    urgency: 'standard',
+    tasks,
+    cpus: 2,
+    accelerators: 0,
+    memoryGb: 2,
+    image: 'i',
+    imageGb: 1,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: false,
+    estimateS: 10,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
+    acceptedAt: 0,
   };
 }
 
@@ -81,14 +100,22 @@
     commit: (conditions: Condition[]) => Promise.resolve(answer(conditions, stage)),
   } as unknown as CommitStage;
   const scheduler = new Scheduler({
-    ...{ clock: () => 0, wallClock: () => 0, log: silentLog, settings, signal: stop.signal },
+    clock: () => 0,
+    wallClock: () => 0,
+    log: silentLog,
+    settings,
+    signal: stop.signal,
     store: { failing: false, writeWaitMs: () => 0 } as unknown as StoreClient,
-    ...{ commits, blockState, jobIndex: new JobIndex(() => 0) },
+    commits,
+    blockState,
+    jobIndex: new JobIndex(() => 0),
     types: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t])),
   });
   const record = { spec: { ...jobSpec(jobId, tasks), team }, parts: [[0, 0, tasks]] };
   const stage: BlockStage = {
-    ...{ blockState, scheduler, stop },
+    blockState,
+    scheduler,
+    stop,
     putJob: (version) =>
       void blockState.apply([{ key: `job/${jobId}`, value: record, version, deleted: false }]),
     putBlock: (version, change) =>
@@ -116,7 +143,12 @@
 
 function machinesOf(leaving: string[]): LeasedMachine[] {
   return ['m1', 'm2'].map((id) => ({
-    ...{ id, token: machineToken, type: 'c8', zone: 'a', spot: false, since: 0 },
+    id,
+    token: machineToken,
+    type: 'c8',
+    zone: 'a',
+    spot: false,
+    since: 0,
     leaving: leaving.includes(id),
   }));
 }
--- a/src/testing/checker.test.ts
+++ b/src/testing/checker.test.ts
@@ -4,12 +4,24 @@
 import type { Dated, Happening, JobFacts, Told } from './history.js';
 
 const job: JobFacts = {
-  ...{ team: 'red', tasks: 2, cpus: 4, types: null, zone: null, oneZone: false, spread: false, spot: false },
+  team: 'red',
+  tasks: 2,
+  cpus: 4,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
   dependencies: [],
 };
 const facts: CheckFacts = {
   limits: new Map([['red', 8]]),
-  ...{ cancelMs: 5000, startGraceMs: 500, forgottenMs: 7500, waitsMs: 9000, calmAt: 0, endsAt: 7000 },
+  cancelMs: 5000,
+  startGraceMs: 500,
+  forgottenMs: 7500,
+  waitsMs: 9000,
+  calmAt: 0,
+  endsAt: 7000,
 };
 
 type ToldHappening = Extract<Happening, { kind: 'told' }>;
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -317,8 +317,13 @@
     const cancelMs = this.times.cancel_s * 1000;
     const startGraceMs = (this.times.lease_s * 1000) / 2;
     const found = check(this.history.happenings, {
-      ...{ limits, cancelMs, startGraceMs, forgottenMs: forgottenCancels * cancelMs, waitsMs: 2 * cancelMs },
-      ...{ calmAt: this.calmAt, endsAt: Date.now() },
+      limits,
+      cancelMs,
+      startGraceMs,
+      forgottenMs: forgottenCancels * cancelMs,
+      waitsMs: 2 * cancelMs,
+      calmAt: this.calmAt,
+      endsAt: Date.now(),
     });
     return found.map(({ rule, subject }) => `${rule} ${subject}`);
   }
@@ -381,7 +386,11 @@
     const leaseMs = this.times.lease_s * 1000;
     this.history.add({ kind: 'machine', machine: id, type, zone, spot });
     const worker = new WorkerStandIn(machine, {
-      ...{ reportMs, leaseMs, answerMs: leaseMs / 2, fetchMs: fetchMs ?? 0, saveMs: 0 },
+      reportMs,
+      leaseMs,
+      answerMs: leaseMs / 2,
+      fetchMs: fetchMs ?? 0,
+      saveMs: 0,
       taskMs: typeof taskMs === 'number' ? () => taskMs : taskMs,
       nodes: labels.map((label, i) => ({ label, address: this.address(i, 0) })),
       reaches: (from, label) => {
@@ -406,9 +415,26 @@
 
 export function submission(id: string, tasks: number, change: Submission = {}): Submission {
   return {
-    ...{ id, jobclass: 'batch', owner: 'red', shape: 'sweep', urgency: 'standard', pieces: tasks },
-    ...{ cpus: 2.5, accelerators: 0, memoryGb: 4.5, bundle: 'img-1', pullGb: 0.5, hulls: null, berth: null },
-    ...{ together: false, apart: false, loaners: false, expectS: 1.5, savepointS: 0, stowS: 0, dueS: null },
+    id,
+    jobclass: 'batch',
+    owner: 'red',
+    shape: 'sweep',
+    urgency: 'standard',
+    pieces: tasks,
+    cpus: 2.5,
+    accelerators: 0,
+    memoryGb: 4.5,
+    bundle: 'img-1',
+    pullGb: 0.5,
+    hulls: null,
+    berth: null,
+    together: false,
+    apart: false,
+    loaners: false,
+    expectS: 1.5,
+    savepointS: 0,
+    stowS: 0,
+    dueS: null,
     ...change,
   };
 }
@@ -428,9 +454,14 @@
   const whole = fields.every((field) => field in job);
   if (!whole || Number(job['cpus']) > machineType.cpus) return undefined;
   return {
-    ...{ team: String(job['owner']), tasks: Number(job['pieces']), cpus: Number(job['cpus']) },
-    ...{ types: job['hulls'] as string[] | null, zone: job['berth'] as string | null },
-    ...{ oneZone: job['together'] === true, spread: job['apart'] === true, spot: job['loaners'] === true },
+    team: String(job['owner']),
+    tasks: Number(job['pieces']),
+    cpus: Number(job['cpus']),
+    types: job['hulls'] as string[] | null,
+    zone: job['berth'] as string | null,
+    oneZone: job['together'] === true,
+    spread: job['apart'] === true,
+    spot: job['loaners'] === true,
     dependencies: (job['moorings'] ?? []) as string[],
   };
 }
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -134,16 +134,17 @@
   cloud.capacity = Math.ceil(Number(values.machines) / 2);
   cloud.onRent = (machine: RentedMachine) => {
     const worker = new WorkerStandIn(machine, {
-      ...{
-        reportMs,
-        leaseMs,
-        answerMs: 4000,
-        fetchMs: 500,
-        saveMs: 0,
-        taskMs: () => taskMs * (0.5 + random()),
-      },
+      reportMs,
+      leaseMs,
+      answerMs: 4000,
+      fetchMs: 500,
+      saveMs: 0,
+      taskMs: () => taskMs * (0.5 + random()),
       nodes: labels.map((label, node) => ({ label, address: servingAddress(node) })),
-      ...{ reaches: () => true, history, random, onDone: () => undefined },
+      reaches: () => true,
+      history,
+      random,
+      onDone: () => undefined,
     });
     workers.set(machine.id, worker);
     void worker.run();
--- a/src/testing/three-controllers.ts
+++ b/src/testing/three-controllers.ts
@@ -21,8 +21,11 @@
     .map((label, i) => ({ label, location: zones[i], address: addresses.link(node, i) }))
     .filter((_, i) => i !== node);
   Object.assign(file, {
-    ...{ label: labels[node], location: zones[node], others },
-    ...{ serve_on: addresses.serving(node), back: addresses.peers(node) },
+    label: labels[node],
+    location: zones[node],
+    others,
+    serve_on: addresses.serving(node),
+    back: addresses.peers(node),
     endpoints: { state: addresses.state(node), cloud: addresses.cloud },
   });
 }
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -74,13 +74,31 @@
     } as unknown as StoreClient;
     const ends = new EndReader({ store: client, mirror });
     const cascade = new Cascade({
-      ...{ clock: () => 0, wallClock: () => 0, log: silentLog, settings, store: client, mirror, jobIndex },
-      ...{ commits: stage('duty'), isLeading: () => true, readEnd: (id) => ends.read(id) },
+      clock: () => 0,
+      wallClock: () => 0,
+      log: silentLog,
+      settings,
+      store: client,
+      mirror,
+      jobIndex,
+      commits: stage('duty'),
+      isLeading: () => true,
+      readEnd: (id) => ends.read(id),
     });
     const ports = {
-      ...{ clock: () => 0, wallClock: () => 0, settings, mirror, types: () => types, store: client },
-      ...{ writes: stage('intake'), confirms: stage('confirm'), home: () => [], isUp: () => true },
-      ...{ jobIndex, ends, cascade },
+      clock: () => 0,
+      wallClock: () => 0,
+      settings,
+      mirror,
+      types: () => types,
+      store: client,
+      writes: stage('intake'),
+      confirms: stage('confirm'),
+      home: () => [],
+      isUp: () => true,
+      jobIndex,
+      ends,
+      cascade,
       supportsDependencies: () => options.supportsDependencies ?? true,
       knowsCancellations: () => options.knowsCancellations ?? true,
     } as unknown as IntakePorts;
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -159,10 +159,19 @@
       return;
     }
     const body = {
-      ...{ host: id, endpoint: '127.0.0.1:1', hull: type, berth: zone, loaners: spot, recallS: null },
-      ...{ watch: session, tick: ++this.seq, helm: this.token },
+      host: id,
+      endpoint: '127.0.0.1:1',
+      hull: type,
+      berth: zone,
+      loaners: spot,
+      recallS: null,
+      watch: session,
+      tick: ++this.seq,
+      helm: this.token,
       pieces: [...this.tasks.values()].map(({ piece, attempt, status, cause }) => ({
-        ...{ piece, try: attempt, status },
+        piece,
+        try: attempt,
+        status,
         ...(status === 'ended' ? { cause } : {}),
       })),
     };
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -116,9 +116,13 @@
     return list(machines).map((machine) => {
       const [id, token, since, leaving] = list(machine);
       return {
-        ...{ id: text(id), token: tokenOr(token, version) },
-        ...{ type: text(type), zone: text(zone), spot: spot === true },
-        ...{ leaving: leaving === 1, since: number(since) * 1000 },
+        id: text(id),
+        token: tokenOr(token, version),
+        type: text(type),
+        zone: text(zone),
+        spot: spot === true,
+        leaving: leaving === 1,
+        since: number(since) * 1000,
       };
     });
   });
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -31,17 +31,15 @@
 
 test('a report keeps what identifies it, drops tasks without a proper name, and ignores unknown fields', () => {
   const report = parseReport({
-    ...{
-      host: 'vm-1',
-      endpoint: 'e',
-      hull: 'c8',
-      berth: 'a',
-      loaners: true,
-      watch: 2,
-      tick: 7,
-      helm: 41,
-      novelty: 1,
-    },
+    host: 'vm-1',
+    endpoint: 'e',
+    hull: 'c8',
+    berth: 'a',
+    loaners: true,
+    watch: 2,
+    tick: 7,
+    helm: 41,
+    novelty: 1,
     pieces: [
       { piece: 'req-000412/3', try: 2, status: 'ended', cause: 'done' },
       { piece: 'nonsense', try: 1, status: 'running' },
@@ -67,13 +65,13 @@
 // Guards against a fleet that outgrows a value, after which no lease could be written any more.
 test('a block that has every machine of a large deployment is still a value of the store', () => {
   const machines = Array.from({ length: 700 }, (_, i) => ({
-    ...{
-      id: `vm-${String(i).padStart(6, '0')}`,
-      token: 400_000 + i,
-      type: `type-${i % 3}`,
-      zone: `zone-${i % 3}`,
-    },
-    ...{ spot: i % 2 === 0, leaving: i % 5 === 0, since: 1_790_000_000_000 },
+    id: `vm-${String(i).padStart(6, '0')}`,
+    token: 400_000 + i,
+    type: `type-${i % 3}`,
+    zone: `zone-${i % 3}`,
+    spot: i % 2 === 0,
+    leaving: i % 5 === 0,
+    since: 1_790_000_000_000,
   }));
   const shares = Object.fromEntries(
     ['red', 'blue', 'green'].map((team) => [team, [12_345.5, 0] as [number, number]]),
@@ -85,8 +83,14 @@
 test('the longest entry of a ledger stays within what is set aside for it', () => {
   const tasks = tasksPerChunk(32 * 1024);
   const entry = {
-    ...{ id: 'req-123456', chunk: 999, team: 'a-team-with-a-long-name', cpus: 12.25, accelerators: 1.5 },
-    ...{ memoryGb: 123.75, waiting: [], done: [] as number[] },
+    id: 'req-123456',
+    chunk: 999,
+    team: 'a-team-with-a-long-name',
+    cpus: 12.25,
+    accelerators: 1.5,
+    memoryGb: 123.75,
+    waiting: [],
+    done: [] as number[],
     active: Array.from({ length: tasks }, (_, i): [number, number, string] => [99_000 + i, 12, 'vm-1234567']),
   };
   assert.ok(sizeOf(ledgerPage([entry])) <= entryBytes(tasks));
@@ -99,7 +103,13 @@
 
 test('a compact entry gives back what went in, whatever its machines are called', () => {
   const entry = {
-    ...{ id: 'req-123456', chunk: 2, team: 'red', cpus: 0.5, accelerators: 0, memoryGb: 3.2, chunkTasks: 40 },
+    id: 'req-123456',
+    chunk: 2,
+    team: 'red',
+    cpus: 0.5,
+    accelerators: 0,
+    memoryGb: 3.2,
+    chunkTasks: 40,
     active: [
       [80, 1, 'vm-000231'],
       [81, 1, 'vm-1000231'],
@@ -108,7 +118,8 @@
       [82, 3, 'vm-000007'],
       [84, 2, 'vm-00000x'],
     ] as [number, number, string][],
-    ...{ waiting: [[86, 4]] as [number, number][], done: [90, 95, 97, 97] },
+    waiting: [[86, 4]] as [number, number][],
+    done: [90, 95, 97, 97],
   };
   assert.deepEqual(parseLedgerPage(decode(encode(ledgerPage([entry])))), [entry]);
   const idle = { ...entry, active: [] };
@@ -119,8 +130,16 @@
   const tasks = compactTasksPerChunk(2048);
   const first = 99_000;
   const base = {
-    ...{ id: 'req-123456', chunk: 999, team: 'a-team-with-a-long-name', cpus: 12.25, accelerators: 1.5 },
-    ...{ memoryGb: 123.75, active: [], waiting: [], done: [], chunkTasks: tasks },
+    id: 'req-123456',
+    chunk: 999,
+    team: 'a-team-with-a-long-name',
+    cpus: 12.25,
+    accelerators: 1.5,
+    memoryGb: 123.75,
+    active: [],
+    waiting: [],
+    done: [],
+    chunkTasks: tasks,
   };
   const waiting = Array.from({ length: tasks }, (_, i): [number, number] => [first + i, 12]);
   const done = toRanges(Array.from({ length: tasks / 2 }, (_, i) => first + i * 2));
@@ -137,8 +156,15 @@
   const tasks = 68;
   const first = 99_000;
   const base = {
-    ...{ id: 'req-123456', chunk: 999, team: 'a-team-with-a-long-name', cpus: 12.25, accelerators: 1.5 },
-    ...{ memoryGb: 123.75, active: [], waiting: [], done: [] },
+    id: 'req-123456',
+    chunk: 999,
+    team: 'a-team-with-a-long-name',
+    cpus: 12.25,
+    accelerators: 1.5,
+    memoryGb: 123.75,
+    active: [],
+    waiting: [],
+    done: [],
   };
   const indices = Array.from({ length: tasks }, (_, i) => first + i);
   const active = indices.map((index): [number, number, string] => [index, 12, 'vm-000231']);
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -43,8 +43,12 @@
     .map((entry) => {
       const [id, chunk, team, cpus, accelerators, memoryGb, ...tasks] = list(entry);
       return {
-        ...{ id: text(id), chunk: number(chunk), team: text(team) },
-        ...{ cpus: number(cpus), accelerators: number(accelerators), memoryGb: number(memoryGb) },
+        id: text(id),
+        chunk: number(chunk),
+        team: text(team),
+        cpus: number(cpus),
+        accelerators: number(accelerators),
+        memoryGb: number(memoryGb),
         ...(tasks.length > plainLists ? parseCompactTasks(tasks) : parsePlainTasks(tasks)),
       };
     })
