--- a/src/peers/links.test.ts
+++ b/src/peers/links.test.ts
@@ -1,7 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { type Socket, createConnection, createServer } from 'node:net';
 import { steadyClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
+import { Samples } from '../testing/samples.js';
 import { testSettings } from '../testing/settings.js';
 import { PeerLinks, type PeerStatus } from './links.js';
 
@@ -42,3 +44,120 @@
   );
   assert.equal(links[1]?.word('keel-0')?.contactAge, 12);
 });
+
+const samples = new Samples('status.json');
+
+const plainStatus: PeerStatus = {
+  from: 'keel-0',
+  boot: 'boot-0',
+  serial: 1,
+  echo: 0,
+  echoBoot: '',
+  knows: 41,
+  contactAge: 12.5,
+  token: 0,
+  gone: [],
+  up: [],
+  since: 40,
+  cancelled: [],
+};
+
+const leaderStatus: PeerStatus = {
+  ...plainStatus,
+  echo: 70_000,
+  echoBoot: 'boot-1',
+  knows: 5_000_000_000,
+  token: 412,
+  gone: ['vm-000001', 'vm-000002'],
+  up: ['vm-000003'],
+  since: 4_999_999_999,
+  cancelled: [
+    ['req-000001', 40],
+    ['req-123456789012345678', 5_000_000_001],
+  ],
+};
+
+const kept: Record<string, PeerStatus> = { plain: plainStatus, leader: leaderStatus };
+
+/** The controller that says these things of itself, listening on one port and dialling its peer on the next. */
+function speaker(status: PeerStatus, port: number, onStatus: (status: PeerStatus) => void): PeerLinks {
+  const { from, boot, knows, contactAge, token, gone, up, since, cancelled } = status;
+  const settings = testSettings((file) => {
+    const label = from === 'keel-0' ? 'keel-1' : 'keel-0';
+    const others = [{ label, location: 'a', address: `127.0.0.1:${port + 1}` }];
+    Object.assign(file, { label: from, back: `127.0.0.1:${port}`, others });
+  });
+  return new PeerLinks({
+    clock: steadyClock,
+    log: silentLog,
+    settings,
+    boot,
+    onStatus,
+    revision: () => knows,
+    facts: () => ({ contactAge, token, gone, up }),
+    vouch: () => ({ since, cancelled }),
+  });
+}
+
+/** The first bytes that come in on a port. */
+function firstBytes(port: number, count: number, signal: AbortSignal): Promise<Buffer> {
+  return new Promise((resolve, reject) => {
+    let received = Buffer.alloc(0);
+    const server = createServer((socket: Socket) => {
+      socket.on('error', () => undefined);
+      socket.on('data', (chunk: Buffer) => {
+        received = Buffer.concat([received, chunk]);
+        if (received.length >= count) resolve(received.subarray(0, count));
+      });
+    });
+    server.on('error', reject);
+    signal.addEventListener('abort', () => server.close(), { once: true });
+    server.listen(port, '127.0.0.1');
+  });
+}
+
+/** Sends bytes to a port as soon as somebody listens there. */
+async function sendBytes(port: number, bytes: Buffer): Promise<Socket> {
+  for (;;) {
+    const socket = createConnection({ host: '127.0.0.1', port });
+    const isConnected = await new Promise<boolean>((resolve) => {
+      socket.on('connect', () => resolve(true));
+      socket.on('error', () => resolve(false));
+    });
+    if (isConnected) {
+      socket.write(bytes);
+      return socket;
+    }
+    await new Promise((resolve) => setTimeout(resolve, 20));
+  }
+}
+
+// Guards against controllers of two versions that no longer understand each other.
+for (const [index, [name, status]] of Object.entries(kept).entries()) {
+  test(`a status goes out in the same fields and bytes as ever: ${name}`, async () => {
+    const port = 24_910 + index * 10;
+    const stop = new AbortController();
+    const links = speaker(status, port, () => undefined);
+    const { echo, echoBoot } = status;
+    if (echo > 0) links.receive({ ...plainStatus, from: 'keel-1', boot: echoBoot, serial: echo });
+    const expected = samples.bytes(name);
+    samples.assertRead(name, (value) => value, status);
+    const sent = firstBytes(port + 1, expected.length, stop.signal);
+    void links.run(stop.signal);
+    assert.equal((await sent).toString('hex'), expected.toString('hex'));
+    stop.abort();
+  });
+
+  test(`a status of an earlier version is read in all its fields: ${name}`, async () => {
+    const port = 24_912 + index * 10;
+    const stop = new AbortController();
+    const heard = new Promise<PeerStatus>((resolve) => {
+      const links = speaker({ ...plainStatus, from: 'keel-1' }, port, resolve);
+      void links.run(stop.signal);
+    });
+    const socket = await sendBytes(port, samples.bytes(name));
+    assert.deepEqual(await heard, status);
+    socket.destroy();
+    stop.abort();
+  });
+}
--- /dev/null
+++ b/src/wire/message-samples.test.ts
@@ -0,0 +1,293 @@
+/**
+ * What goes to the state service, the cloud, users and workers, and what comes from them, against kept samples of either.
+ * Statuses between controllers are compared in `peers/links.test.ts`, over a real connection.
+ */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { CloudMachine, JobSpec, MachineType, Order, Report } from '../model/types.js';
+import {
+  type OperatorSettings,
+  defaultOperatorSettings,
+  parseOperatorSettings,
+} from '../settings/operator.js';
+import { Samples, readSampleFile } from '../testing/samples.js';
+import {
+  type MachineListPage,
+  machineListPath,
+  parseMachineList,
+  parseMachineNames,
+  parseMachineTypes,
+  releaseBody,
+  rentalBody,
+} from './cloud.js';
+import { jobAnswer, jobDetails, parseJob } from './jobs.js';
+import {
+  type Change,
+  type Condition,
+  type Item,
+  type ListPage,
+  type Write,
+  commitBody,
+  grantBody,
+  grantPath,
+  keyPath,
+  listPath,
+  parseChanges,
+  parseCommit,
+  parseGrant,
+  parseList,
+  parseRead,
+  revisionOf,
+  watchPath,
+} from './state.js';
+import { parseReport, redirectAnswer, reportAnswer } from './workers.js';
+
+const sent = new Samples('sent.json');
+const received = new Samples('received.json');
+
+test('the state service is asked as ever', () => {
+  const conditions: Condition[] = [
+    { key: 'lead', version: 12 },
+    { key: 'job/req-000017', version: 0 },
+  ];
+  const writes: Write[] = [
+    { put: 'alive/keel-0', value: { boot: 'b', zone: 'zone-a' }, lease: 7 },
+    { put: 'job/req-000017', value: [1, 'two', null, 0.5] },
+    { drop: 'machines/0/3' },
+  ];
+  sent.assertWritten('state, commit', commitBody(conditions, writes));
+  sent.assertWritten('state, comparison', commitBody(conditions, []));
+  sent.assertWritten('state, lease', grantBody(6000.4));
+  const paths = {
+    read: keyPath('job/req-000017'),
+    list: listPath('job/', '', 500),
+    listOn: listPath('job/', 'job/req-000017', 500),
+    watch: watchPath(4321, 10_000),
+    lease: grantPath(7),
+  };
+  sent.assertPlain('state, paths', paths);
+});
+
+test('the state service is understood as ever', () => {
+  const item: Item = { key: 'job/req-000017', value: { a: 1 }, version: 12 };
+  assert.deepEqual(parseRead(received.plain('state, read')), item);
+  assert.equal(revisionOf(received.plain('state, read')), 40);
+  const page: ListPage = {
+    items: [item, { key: 'job/req-000018', value: [2], version: 13 }],
+    more: true,
+    revision: 41,
+  };
+  assert.deepEqual(parseList(received.plain('state, list')), page);
+  const changes: Change[] = [
+    { key: 'end/req-000017', value: { end: 'done' }, version: 42, deleted: false },
+    { key: 'job/req-000017', value: undefined, version: 42, deleted: true },
+  ];
+  assert.deepEqual(parseChanges(received.plain('state, changes')), { changes, revision: 43 });
+  assert.deepEqual(parseCommit(received.plain('state, commit')), { revision: 44, failed: [] });
+  const conflict = { revision: 45, failed: ['job/req-000017', 'lead'] };
+  assert.deepEqual(parseCommit(received.plain('state, conflict')), conflict);
+  assert.equal(parseGrant(received.plain('state, lease')), 7);
+});
+
+test('the cloud is asked as ever', () => {
+  const rental = { name: 'n-1', type: 'c8', zone: 'zone-a', spot: true, count: 50 };
+  sent.assertWritten('cloud, rental', rentalBody(rental));
+  sent.assertWritten('cloud, release', releaseBody(['vm-000001', 'vm-000002']));
+  const paths = { list: machineListPath('', 500), listOn: machineListPath('vm-000001', 500) };
+  sent.assertPlain('cloud, paths', paths);
+});
+
+test('the cloud is understood as ever', () => {
+  const types: MachineType[] = [
+    {
+      name: 'g4',
+      cpus: 16,
+      accelerators: 4,
+      memoryGb: 122.5,
+      fetchGbPerS: 0.75,
+      price: 4.5,
+      spotPrice: 1.25,
+      bootS: 50,
+      zones: ['zone-a', 'zone-b'],
+    },
+    {
+      name: 'c8',
+      cpus: 8,
+      accelerators: 0,
+      memoryGb: 32,
+      fetchGbPerS: 1,
+      price: 1,
+      spotPrice: 0.3,
+      bootS: 40,
+      zones: [],
+    },
+  ];
+  assert.deepEqual(parseMachineTypes(received.plain('cloud, machine types')), types);
+  const running: CloudMachine = {
+    id: 'vm-000002',
+    address: '10.0.0.2:7000',
+    type: 'g4',
+    zone: 'zone-b',
+    spot: false,
+    state: 'running',
+    ageS: 90,
+  };
+  const booting: CloudMachine = {
+    id: 'vm-000001',
+    address: '10.0.0.1:7000',
+    type: 'c8',
+    zone: 'zone-a',
+    spot: true,
+    state: 'booting',
+    ageS: 3.5,
+  };
+  const failed: CloudMachine = {
+    ...running,
+    id: 'vm-000003',
+    address: '10.0.0.3:7000',
+    state: 'failed',
+    ageS: 91,
+  };
+  const page: MachineListPage = { machines: [booting, running, failed], more: true };
+  assert.deepEqual(parseMachineList(received.plain('cloud, machines')), page);
+  assert.deepEqual(parseMachineNames(received.plain('cloud, rented')), ['vm-000001', 'vm-000002']);
+});
+
+test('workers are answered as ever', () => {
+  const task = { job: 'req-000017', index: 3, attempt: 2 };
+  const orders: Order[] = [
+    { kind: 'forget', ...task },
+    { kind: 'start', ...task, attempt: 300 },
+    { kind: 'stop', ...task, graceS: 12.5 },
+    { kind: 'stop', ...task },
+  ];
+  sent.assertWritten('worker, orders', reportAnswer(4321, orders));
+  sent.assertWritten('worker, no orders', reportAnswer(0, []));
+  sent.assertWritten('worker, redirect', redirectAnswer('keel-2'));
+  sent.assertWritten('worker, nowhere else', redirectAnswer(undefined));
+});
+
+test('workers are understood as ever', () => {
+  const task = { job: 'req-000017', cause: '' };
+  const report: Report = {
+    machine: 'vm-000001',
+    address: '10.0.0.1:7000',
+    type: 'c8',
+    zone: 'zone-a',
+    spot: true,
+    session: 2,
+    seq: 7,
+    token: 370,
+    noticeS: 28.5,
+    tasks: [
+      { ...task, index: 0, attempt: 1, state: 'fetching' },
+      { ...task, index: 1, attempt: 2, state: 'running' },
+      { ...task, index: 2, attempt: 1, state: 'saving' },
+      { ...task, index: 3, attempt: 3, state: 'ended', cause: 'done' },
+      { ...task, index: 4, attempt: 1, state: 'other' },
+    ],
+  };
+  assert.deepEqual(parseReport(received.plain('worker, report')), report);
+});
+
+test('users are answered as ever', () => {
+  for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
+    sent.assertWritten(`user, ${status}`, jobAnswer('req-000017', status));
+    sent.assertWritten(`user, details of ${status}`, jobDetails('req-000017', status, 39, 1));
+  }
+});
+
+test('users are understood as ever', () => {
+  const small: JobSpec = {
+    id: 'req-000017',
+    jobClass: 'nightly-render',
+    team: 'red',
+    urgency: 'standard',
+    tasks: 40,
+    cpus: 0.5,
+    accelerators: 0,
+    memoryGb: 3.2,
+    image: 'render:7',
+    imageGb: 1.25,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: true,
+    estimateS: 95.5,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
+    acceptedAt: 1234,
+  };
+  assert.deepEqual(parseJob(received.plain('user, small submission'), 1234), small);
+  const full: JobSpec = {
+    id: 'req-000019',
+    jobClass: 'training',
+    team: 'blue',
+    urgency: 'best_effort',
+    tasks: 100_000,
+    cpus: 16,
+    accelerators: 4,
+    memoryGb: 123.75,
+    image: 'train:8',
+    imageGb: 20,
+    types: ['c8', 'g4'],
+    zone: 'zone-b',
+    oneZone: true,
+    spread: true,
+    spot: false,
+    estimateS: 3600,
+    checkpointS: 600,
+    saveS: 12.5,
+    deadlineS: 7200,
+    acceptedAt: 1235,
+    dependencies: ['req-000017', 'req-000018'],
+  };
+  assert.deepEqual(parseJob(received.plain('user, full submission'), 1235), full);
+});
+
+test("the operators' file is understood as ever", async () => {
+  const settings: OperatorSettings = {
+    ladder: { start: 0.7, cheapStart: 0.9, target: 0.02, slotShare: 0.25, periodS: 45, windowS: 450 },
+    blocks: { periodS: 20, lookahead: 0.5 },
+    leadership: { grantReports: 2.8 },
+    workers: { silentReports: 4, bootTimes: 5 },
+  };
+  assert.deepEqual(await parseOperatorSettings(readSampleFile('operator.xml')), settings);
+  const defaults: OperatorSettings = {
+    ladder: { start: 0.8, cheapStart: 0.92, target: 0.01, slotShare: 0.125, periodS: 30, windowS: 300 },
+    blocks: { periodS: 30, lookahead: 0.25 },
+    leadership: { grantReports: 2.4 },
+    workers: { silentReports: 3, bootTimes: 3 },
+  };
+  assert.deepEqual(defaultOperatorSettings, defaults);
+  assert.deepEqual(await parseOperatorSettings('<shalekeel/>'), defaults);
+  assert.deepEqual(await parseOperatorSettings('<shalekeel><ladder start="0.8"/></shalekeel>'), defaults);
+});
+
+test("what is wrong in the operators' file is named as ever", async () => {
+  const sample = readSampleFile('operator.xml');
+  const wrong = [...sample.matchAll(/ (\w+)="([\d.]+)"/g)].map(([all, name]) =>
+    sample.replace(all, ` ${name}="-1"`),
+  );
+  wrong.push(
+    ...['ladder', 'blocks', 'leadership', 'workers'].map((name) => `<shalekeel><${name}/></shalekeel>`),
+    '<shalekeel><ladder novel="1"/></shalekeel>',
+    '<shalekeel><novel/></shalekeel>',
+    '<shalekeel>text</shalekeel>',
+    '<shalekeel><ladder start="0.5"/><ladder start="0.6"/></shalekeel>',
+  );
+  const errors: string[] = [];
+  for (const xml of wrong) {
+    await parseOperatorSettings(xml).then(
+      () => errors.push('none'),
+      (error: Error) => errors.push(error.message),
+    );
+  }
+  sent.assertPlain('operator, errors', errors);
+});
+
+test('no sample of a message is left out', () => {
+  assert.deepEqual([...sent.unread, ...received.unread], []);
+});
--- /dev/null
+++ b/src/wire/stored-samples.test.ts
@@ -0,0 +1,282 @@
+/** Every form in the state service, against samples that an earlier version wrote: there as well as back. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { JobSpec } from '../model/types.js';
+import { Samples } from '../testing/samples.js';
+import {
+  type BlockRecord,
+  type LeasedMachine,
+  blockRecord,
+  machineGroups,
+  pagedBlockRecord,
+  parseBlock,
+} from './block-records.js';
+import {
+  type AliveRecord,
+  type LeadRecord,
+  leadRecord,
+  parseAlive,
+  parseLead,
+} from './controller-records.js';
+import { currentFormat, formatRecord, parseFormat } from './controller-records.js';
+import { endTransaction } from './end-transaction.js';
+import {
+  type EndRecord,
+  type JobRecord,
+  endRecord,
+  jobRecord,
+  parseEnd,
+  parseJobRecord,
+} from './job-records.js';
+import {
+  aliveKey,
+  blockKey,
+  endKey,
+  formatKey,
+  jobKey,
+  ladderKey,
+  leadKey,
+  ledgerKey,
+  ledgerPrefix,
+  machinesKey,
+} from './keys.js';
+import { ladderRecord, parseLadder } from './ladder-records.js';
+import { type LedgerEntry, ledgerPage, parseLedgerPage } from './ledger-records.js';
+
+const samples = new Samples('stored.json');
+
+/** The revision at which a sample was stored. */
+const version = 412;
+
+const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
+
+const lead: LeadRecord = { label: 'keel-1', boot, serial: 3 };
+const alive: AliveRecord = { boot, zone: 'zone-b' };
+
+const modestSpec: JobSpec = {
+  id: 'req-000017',
+  jobClass: 'nightly-render',
+  team: 'red',
+  urgency: 'standard',
+  tasks: 40,
+  cpus: 0.5,
+  accelerators: 0,
+  memoryGb: 3.2,
+  image: 'render:7',
+  imageGb: 1.25,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  estimateS: 95.5,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+  acceptedAt: 1_790_000_123_456,
+};
+
+const demandingSpec: JobSpec = {
+  id: 'req-123456789012345678',
+  jobClass: 'training',
+  team: 'blue',
+  urgency: 'best_effort',
+  tasks: 100_000,
+  cpus: 16,
+  accelerators: 4,
+  memoryGb: 123.75,
+  image: 'train:größer',
+  imageGb: 20,
+  types: ['c8', 'g4'],
+  zone: 'zone-b',
+  oneZone: true,
+  spread: true,
+  spot: false,
+  estimateS: 3600,
+  checkpointS: 600,
+  saveS: 12.5,
+  deadlineS: 7200,
+  acceptedAt: 1_790_000_123_457,
+  dependencies: ['req-000017', 'req-000018'],
+};
+
+const parts = [
+  { block: 0, first: 0, count: 12 },
+  { block: 2, first: 12, count: 28 },
+];
+
+const jobs: Record<string, JobRecord> = {
+  'job, no ranges': { spec: modestSpec, parts: [] },
+  'job, ranges': { spec: modestSpec, parts },
+  'job, dependencies': { spec: demandingSpec, parts: [] },
+  'job, dependencies and ranges': { spec: demandingSpec, parts },
+};
+
+const ends: Record<string, EndRecord> = {
+  'end, done': { end: 'done', tasks: 40, at: 1_790_000_223_456 },
+  'end, cancelled': { end: 'cancelled', tasks: 100_000, at: 1_790_000_223_457 },
+  'end, without time': { end: 'cancelled', tasks: 0 },
+};
+
+function machine(id: string, token: number, change: Partial<LeasedMachine> = {}): LeasedMachine {
+  const kind = { type: 'c8', zone: 'zone-a', spot: false };
+  return { id, token, ...kind, leaving: false, since: 1_790_000_100_000, ...change };
+}
+
+const firstPage = [
+  machine('vm-000001', 370),
+  machine('vm-000002', 371, { leaving: true }),
+  machine('vm-000003', 372, { type: 'g4', zone: 'zone-b', spot: true }),
+];
+const secondPage = [machine('vm-000009', 401, { since: 1_790_000_200_000 })];
+
+const block: BlockRecord = {
+  owner: 'keel-2',
+  boot,
+  shares: { red: [12.5, 0], blue: [1234.25, 3] },
+  machines: [...firstPage, ...secondPage],
+};
+
+const ledgerBase = { team: 'red', cpus: 0.5, accelerators: 0, memoryGb: 3.2 };
+
+const presentEntries: LedgerEntry[] = [
+  {
+    ...ledgerBase,
+    id: 'req-000017',
+    chunk: 0,
+    active: [
+      [3, 1, 'vm-000001'],
+      [4, 2, 'vm-000003'],
+    ],
+    waiting: [[5, 1]],
+    done: [0, 2, 6, 6],
+  },
+  { ...ledgerBase, id: 'req-000018', chunk: 7, active: [], waiting: [], done: [] },
+];
+
+const compactEntries: LedgerEntry[] = [
+  {
+    ...ledgerBase,
+    id: 'req-000017',
+    chunk: 2,
+    chunkTasks: 40,
+    active: [
+      [80, 1, 'vm-000231'],
+      [81, 1, 'odd'],
+      [82, 3, 'vm-000007'],
+    ],
+    waiting: [[86, 4]],
+    done: [90, 95, 97, 97],
+  },
+  { ...ledgerBase, id: 'req-000018', chunk: 0, chunkTasks: 40, active: [], waiting: [[1, 1]], done: [] },
+];
+
+test('who leads, who is alive and who reads which format are stored as ever', () => {
+  samples.assertWritten('lead', leadRecord(lead));
+  samples.assertRead('lead', parseLead, lead);
+  samples.assertWritten('alive', alive);
+  samples.assertRead('alive', parseAlive, alive);
+  samples.assertWritten('formats', formatRecord());
+  samples.assertRead('formats', parseFormat, currentFormat);
+});
+
+test('jobs are stored as ever', () => {
+  for (const [name, job] of Object.entries(jobs)) {
+    samples.assertWritten(name, jobRecord(job));
+    samples.assertRead(name, parseJobRecord, job);
+  }
+});
+
+test('ends of jobs are stored as ever', () => {
+  for (const [name, end] of Object.entries(ends)) {
+    samples.assertWritten(name, endRecord(end));
+    samples.assertRead(name, parseEnd, end);
+    assert.deepEqual(endTransaction('req-000017', 9, end).writes[0].value, endRecord(end));
+  }
+});
+
+test('a block that names its machines is stored as ever', () => {
+  samples.assertWritten('block, machines', blockRecord(block));
+  samples.assertRead('block, machines', (value) => parseBlock(value, version), {
+    ...block,
+    machines: [firstPage[0], firstPage[1], secondPage[0], firstPage[2]],
+  });
+});
+
+test('a token of 0 is stored for that of the revision as ever', () => {
+  const [first] = firstPage;
+  const fresh = { ...block, machines: [{ ...first, token: 0 } as LeasedMachine] };
+  samples.assertWritten('block, fresh machine', blockRecord(fresh));
+  samples.assertRead('block, fresh machine', (value) => parseBlock(value, version), {
+    ...block,
+    machines: [{ ...first, token: version }],
+  });
+});
+
+test('a block whose machines are on pages is stored as ever', () => {
+  const pages: [number, LeasedMachine[]][] = [
+    [0, firstPage],
+    [3, secondPage],
+  ];
+  for (const [page, machines] of pages) samples.assertWritten(`machines/${page}`, machineGroups(machines));
+  const stored = pages.map(([page]): [number, { value: unknown; version: number }] => {
+    const { value } = samples.plain(`machines/${page}`) as { value: unknown };
+    return [page, { value, version }];
+  });
+  const machinesFrom = (token: number): LeasedMachine[] =>
+    pages.flatMap(([page, machines]) =>
+      machines.map((each) => ({ ...each, token: Math.max(each.token, token), page })),
+    );
+  const read = (value: unknown): unknown => parseBlock(value, version, stored);
+  samples.assertWritten('block, pages', pagedBlockRecord(block));
+  samples.assertRead('block, pages', read, { ...block, machines: machinesFrom(1), leaseToken: 1 });
+  samples.assertWritten('block, pages and token', pagedBlockRecord({ ...block, leaseToken: 400 }));
+  const raised = { ...block, machines: machinesFrom(400), leaseToken: 400 };
+  samples.assertRead('block, pages and token', read, raised);
+  samples.assertWritten('block, pages and fresh token', pagedBlockRecord({ ...block, leaseToken: 0 }));
+  const renewed = { ...block, machines: machinesFrom(version), leaseToken: version };
+  samples.assertRead('block, pages and fresh token', read, renewed);
+});
+
+test('pages of a ledger are stored as ever, in both sizes of entries', () => {
+  for (const [name, entries] of [
+    ['run, present size', presentEntries],
+    ['run, compact', compactEntries],
+    ['run, both', [...presentEntries, ...compactEntries]],
+  ] as const) {
+    samples.assertWritten(name, ledgerPage([...entries]));
+    samples.assertRead(name, parseLedgerPage, entries);
+  }
+});
+
+test('ladders are stored as ever', () => {
+  const moved: [number, number][] = [
+    [1, 7],
+    [12, 0.125],
+    [13, 88],
+  ];
+  samples.assertWritten('ladder', ladderRecord(moved));
+  samples.assertRead('ladder', parseLadder, moved);
+  samples.assertWritten('ladder, cut', ladderRecord(moved, 65));
+  samples.assertRead('ladder, cut', parseLadder, moved.slice(1));
+});
+
+test('everything is stored where it always was', () => {
+  const keys = {
+    lead: leadKey,
+    alive: aliveKey('keel-1'),
+    formats: formatKey('keel-1'),
+    job: jobKey('req-000017'),
+    end: endKey('req-000017'),
+    block: blockKey(2),
+    machines: machinesKey(2, 3),
+    ledger: ledgerKey(2, 11),
+    ledgerOfBlock: ledgerPrefix(2),
+    ladder: ladderKey('c8/spot'),
+  };
+  samples.assertPlain('keys', keys);
+});
+
+test('no sample of a stored form is left out', () => {
+  assert.deepEqual(samples.unread, []);
+});
