--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -27,10 +27,59 @@
   ),
 });
 
-/** What operators may set beyond the platform's file. Every value is a ratio to a figure of that file. */
-export type OperatorSettings = v.InferOutput<typeof schema>;
+/** What operators may set beyond the platform's file. Every value is a ratio to a figure of that file, or a time in s. */
+export interface OperatorSettings {
+  ladder: {
+    /** Where thresholds start, as a share of the room of the machines before. */
+    start: number;
+    /** The same for spot machines. */
+    cheapStart: number;
+    /** Share of tasks that may wait or be displaced. */
+    target: number;
+    /** A slot, as a share of a machine's dominant resource. */
+    slotShare: number;
+    /** Between two moves of a threshold. */
+    periodS: number;
+    /** For how long failures count. */
+    windowS: number;
+  };
+  blocks: {
+    /** For how long shares of teams' limits are leased. */
+    periodS: number;
+    /** How much more than fits now a block is given, as a share of its size. */
+    lookahead: number;
+  };
+  leadership: {
+    /** Life of a controller's grant, in report intervals. */
+    grantReports: number;
+  };
+  workers: {
+    /** Report intervals after which a silent machine is released. */
+    silentReports: number;
+    /** Multiple of its type's boot time after which a machine counts as never coming. */
+    bootTimes: number;
+  };
+}
+
+/** Field by field: the file keeps the names of its elements and attributes, whatever our own are. */
+function settingsOf(file: v.InferOutput<typeof schema>): OperatorSettings {
+  const { ladder, blocks, leadership, workers } = file;
+  return {
+    ladder: {
+      start: ladder.start,
+      cheapStart: ladder.cheapStart,
+      target: ladder.target,
+      slotShare: ladder.slotShare,
+      periodS: ladder.periodS,
+      windowS: ladder.windowS,
+    },
+    blocks: { periodS: blocks.periodS, lookahead: blocks.lookahead },
+    leadership: { grantReports: leadership.grantReports },
+    workers: { silentReports: workers.silentReports, bootTimes: workers.bootTimes },
+  };
+}
 
-export const defaultOperatorSettings: OperatorSettings = v.parse(schema, {});
+export const defaultOperatorSettings: OperatorSettings = settingsOf(v.parse(schema, {}));
 
 /** The operators' file: `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the platform's, it is strict. */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
@@ -52,5 +101,5 @@
     const issue = result.issues[0];
     throw new SettingsError(`element ${v.getDotPath(issue) ?? 'shalekeel'}: ${issue.message}`);
   }
-  return result.output;
+  return settingsOf(result.output);
 }
