--- a/src/controller.ts
+++ b/src/controller.ts
@@ -23,7 +23,7 @@
 import { Membership } from './leadership/membership.js';
 import type { Term } from './leadership/term.js';
 import type { MachineType } from './model/types.js';
-import { PeerLinks, type PeerStatus, splitAddress } from './peers/links.js';
+import { PeerLinks, splitAddress } from './peers/links.js';
 import { JobIndex } from './placement/job-index.js';
 import { OrderOfWork } from './placement/order.js';
 import type { OperatorSettings } from './settings/operator.js';
@@ -33,6 +33,7 @@
 import { Mirror } from './store/mirror.js';
 import { endRecord, parseEnd } from './wire/job-records.js';
 import { endKey, endedJob, leadKey } from './wire/keys.js';
+import type { PeerStatus } from './wire/peer-status.js';
 import { ReportHandler } from './workers/report-handler.js';
 
 const probeMs = 400;
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -1,10 +1,9 @@
+import type { Cancelled } from '../wire/peer-status.js';
+
 /** Cancelled jobs that are remembered, and those that are told in one message: no outage brings more. */
 const mostKept = 4000;
 const mostTold = 500;
 
-/** A job that has ended as cancelled, and the revision of its end. */
-export type Cancelled = [id: string, version: number];
-
 export interface Vouched {
   /** No cancelled end with a version above this has been told to any user without being on the list. */
   since: number;
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../base/log.js';
-import { PeerLinks, type PeerStatus } from '../peers/links.js';
+import { PeerLinks } from '../peers/links.js';
 import { testSettings } from '../testing/settings.js';
+import type { PeerStatus } from '../wire/peer-status.js';
 import { type AnsweringFacts, type PeerWord, answerUntil, peerIsServed } from './answering.js';
 import { mayStand } from './election.js';
 
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -7,7 +7,7 @@
 import type { CommitStage } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import {
-  type AliveRecord,
+  aliveRecord,
   currentFormat,
   formatRecord,
   parseAlive,
@@ -115,7 +115,7 @@
 
   private async announce(grant: number): Promise<void> {
     const { commits, settings, boot } = this.ports;
-    const value: AliveRecord = { boot, zone: settings.zone };
+    const value = aliveRecord({ boot, zone: settings.zone });
     this.announcing = true;
     await commits.commit([], [{ put: aliveKey(settings.label), value, lease: grant }]);
     this.announcing = false;
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -25,6 +25,8 @@
   dependencies?: string[];
   /** Time of day of acceptance in ms, for deadlines only: it may be off by the clocks' error. */
   acceptedAt: number;
+  /** What a later version has recorded of the job beside all this: kept when the job's record is written again. */
+  unknownFields?: Record<string, unknown>;
 }
 
 export interface MachineType {
--- a/src/peers/links.test.ts
+++ b/src/peers/links.test.ts
@@ -5,7 +5,8 @@
 import { silentLog } from '../base/log.js';
 import { Samples } from '../testing/samples.js';
 import { testSettings } from '../testing/settings.js';
-import { PeerLinks, type PeerStatus } from './links.js';
+import { type PeerStatus, parsePeerStatus } from '../wire/peer-status.js';
+import { PeerLinks } from './links.js';
 
 // Guards against links over which every status arrived and none was understood: the reader made maps of what the writer had
 // packed as objects, and all that rests on the word of peers was never in force.
@@ -141,7 +142,7 @@
     const { echo, echoBoot } = status;
     if (echo > 0) links.receive({ ...plainStatus, from: 'keel-1', boot: echoBoot, serial: echo });
     const expected = samples.bytes(name);
-    samples.assertRead(name, (value) => value, status);
+    samples.assertRead(name, parsePeerStatus, status);
     const sent = firstBytes(port + 1, expected.length, stop.signal);
     void links.run(stop.signal);
     assert.equal((await sent).toString('hex'), expected.toString('hex'));
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -6,32 +6,10 @@
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
-import type { Cancelled, Vouched } from '../intake/cancellations.js';
+import type { Vouched } from '../intake/cancellations.js';
 import type { PeerWord } from '../leadership/answering.js';
 import type { Settings } from '../settings/settings.js';
-
-/** What a controller tells the others of itself, several times in a report interval. */
-export interface PeerStatus {
-  from: string;
-  boot: string;
-  serial: number;
-  /** How long it has been without the state service, in ms. */
-  contactAge: number;
-  /** Its token while it leads, else 0. */
-  token: number;
-  /** The last serial it has from the receiver in this life of the receiver, else 0. */
-  echo: number;
-  echoBoot: string;
-  /** The revision that its copy of the store has reached. */
-  knows: number;
-  /** The cancelled jobs that it has learned of with a version above `since`: all that it can have told users of. */
-  cancelled: Cancelled[];
-  since: number;
-  /** Machines that it has lately proven gone. */
-  gone: string[];
-  /** Machines that it has lately heard of for the first time. */
-  up: string[];
-}
+import { type PeerStatus, parsePeerStatus, peerStatusRecord } from '../wire/peer-status.js';
 
 interface Heard {
   boot: string;
@@ -146,9 +124,9 @@
     socket.setTimeout(this.everyMs * silentStatuses, () => socket.destroy());
     const handle = new Writable({
       objectMode: true,
-      write: (status: PeerStatus, _encoding, done) => {
-        const lists = [status?.cancelled, status?.gone, status?.up];
-        if (typeof status?.from === 'string' && lists.every(Array.isArray)) this.receive(status);
+      write: (message: unknown, _encoding, done) => {
+        const status = parsePeerStatus(message);
+        if (status !== undefined) this.receive(status);
         done();
       },
     });
@@ -174,10 +152,10 @@
     }
   }
 
-  private async *statuses(label: string, socket: Socket, signal: AbortSignal): AsyncGenerator<PeerStatus> {
+  private async *statuses(label: string, socket: Socket, signal: AbortSignal): AsyncGenerator<unknown> {
     while (!signal.aborted) {
       // Nothing new is queued behind a cut: the peer would get it late and in bulk.
-      if (socket.writableLength < 4096) yield this.compose(label);
+      if (socket.writableLength < 4096) yield peerStatusRecord(this.compose(label));
       await sleep(this.everyMs, signal);
     }
   }
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -1,5 +1,5 @@
 /** The lease of a block: its owner, its machines, and what its teams may use. */
-import { isFields, list, number, text } from './codec.js';
+import { type Fields, isFields, list, number, text } from './codec.js';
 import { type StoredValue, machinesPrefix } from './keys.js';
 
 /** A machine as its block's record names it. */
@@ -49,14 +49,16 @@
 
 /** The record of a block with all its machines, which earlier versions can read. */
 export function blockRecord(record: BlockRecord): unknown {
-  const { owner, boot, shares } = record;
-  return { owner, boot, shares, machines: machineGroups(record.machines) };
+  return { ...leaseFields(record), machines: machineGroups(record.machines) };
 }
 
 /** The record of a block whose machines are named by pages of their own. */
 export function pagedBlockRecord(record: BlockRecord): unknown {
-  const { owner, boot, shares, leaseToken } = record;
-  return { owner, boot, shares, leaseToken: leaseToken ?? leastToken };
+  return { ...leaseFields(record), leaseToken: record.leaseToken ?? leastToken };
+}
+
+function leaseFields(record: BlockRecord): Fields {
+  return { owner: record.owner, boot: record.boot, shares: record.shares };
 }
 
 /** A lease that raises no token. */
@@ -94,7 +96,11 @@
       shares[team] = [number(cpus), number(accelerators)];
     }
   }
-  const lease = { owner: text(value['owner']), boot: text(value['boot']), shares };
+  const lease: Pick<BlockRecord, 'owner' | 'boot' | 'shares'> = {
+    owner: text(value['owner']),
+    boot: text(value['boot']),
+    shares,
+  };
   if (namesItsMachines(value)) return { ...lease, machines: parseMachines(value['machines'], version) };
   const leaseToken = tokenOr(value['leaseToken'], version);
   const machines: LeasedMachine[] = [];
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -8,7 +8,7 @@
 }
 
 export function leadRecord(lead: LeadRecord): unknown {
-  return { ...lead };
+  return { label: lead.label, boot: lead.boot, serial: lead.serial };
 }
 
 export function parseLead(value: unknown): LeadRecord | undefined {
@@ -21,6 +21,10 @@
   zone: string;
 }
 
+export function aliveRecord(alive: AliveRecord): unknown {
+  return { boot: alive.boot, zone: alive.zone };
+}
+
 export function parseAlive(value: unknown): AliveRecord | undefined {
   if (!isFields(value)) return undefined;
   return { boot: text(value['boot']), zone: text(value['zone']) };
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -1,6 +1,7 @@
 /** Open jobs, with the blocks that their tasks are dispatched to, and the ends of jobs. */
 import type { JobSpec } from '../model/types.js';
-import { isFields, list, number, sizeOf } from './codec.js';
+import { type Fields, isFields, list, number, sizeOf } from './codec.js';
+import { jobSpecRecord, parseJobSpec } from './job-spec-record.js';
 
 export type End = 'done' | 'cancelled';
 
@@ -13,14 +14,18 @@
 }
 
 export function endRecord(record: EndRecord): unknown {
-  return { ...record };
+  const fields: Fields = { end: record.end, tasks: record.tasks };
+  if (record.at !== undefined) fields['at'] = record.at;
+  return fields;
 }
 
 export function parseEnd(value: unknown): EndRecord | undefined {
   if (!isFields(value)) return undefined;
-  const { end, tasks, at } = value;
+  const end = value['end'];
   if (end !== 'done' && end !== 'cancelled') return undefined;
-  return { end, tasks: number(tasks), ...(at === undefined ? {} : { at: number(at) }) };
+  const record: EndRecord = { end: end, tasks: number(value['tasks']) };
+  if (value['at'] !== undefined) record.at = number(value['at']);
+  return record;
 }
 
 /** Consecutive tasks of a job that are dispatched to a block, which places them. */
@@ -49,14 +54,14 @@
 }
 
 export function jobRecord(job: JobRecord): unknown {
-  return { spec: job.spec, parts: job.parts.map((p) => [p.block, p.first, p.count]) };
+  return { spec: jobSpecRecord(job.spec), parts: job.parts.map((p) => [p.block, p.first, p.count]) };
 }
 
 export function parseJobRecord(value: unknown): JobRecord | undefined {
   if (!isFields(value) || !isFields(value['spec']) || typeof value['spec']['id'] !== 'string')
     return undefined;
   return {
-    spec: value['spec'] as unknown as JobSpec,
+    spec: parseJobSpec(value['spec']),
     parts: list(value['parts']).map((part) => {
       const [block, first, count] = list(part);
       return { block: number(block), first: number(first), count: number(count) };
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CloudMachine, JobSpec, MachineType, Order, Report } from '../model/types.js';
+import type { CloudMachine, JobSpec, MachineType, Order, Report, ReportedTask } from '../model/types.js';
 import {
   type OperatorSettings,
   defaultOperatorSettings,
@@ -13,6 +13,7 @@
 import { Samples, readSampleFile } from '../testing/samples.js';
 import {
   type MachineListPage,
+  type RentalRequest,
   machineListPath,
   parseMachineList,
   parseMachineNames,
@@ -90,7 +91,7 @@
 });
 
 test('the cloud is asked as ever', () => {
-  const rental = { name: 'n-1', type: 'c8', zone: 'zone-a', spot: true, count: 50 };
+  const rental: RentalRequest = { name: 'n-1', type: 'c8', zone: 'zone-a', spot: true, count: 50 };
   sent.assertWritten('cloud, rental', rentalBody(rental));
   sent.assertWritten('cloud, release', releaseBody(['vm-000001', 'vm-000002']));
   const paths = { list: machineListPath('', 500), listOn: machineListPath('vm-000001', 500) };
@@ -154,7 +155,7 @@
 });
 
 test('workers are answered as ever', () => {
-  const task = { job: 'req-000017', index: 3, attempt: 2 };
+  const task: Pick<Order, 'job' | 'index' | 'attempt'> = { job: 'req-000017', index: 3, attempt: 2 };
   const orders: Order[] = [
     { kind: 'forget', ...task },
     { kind: 'start', ...task, attempt: 300 },
@@ -168,7 +169,7 @@
 });
 
 test('workers are understood as ever', () => {
-  const task = { job: 'req-000017', cause: '' };
+  const task: Pick<ReportedTask, 'job' | 'cause'> = { job: 'req-000017', cause: '' };
   const report: Report = {
     machine: 'vm-000001',
     address: '10.0.0.1:7000',
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -14,15 +14,19 @@
 import {
   type AliveRecord,
   type LeadRecord,
+  aliveRecord,
+  currentFormat,
+  formatRecord,
   leadRecord,
   parseAlive,
+  parseFormat,
   parseLead,
 } from './controller-records.js';
-import { currentFormat, formatRecord, parseFormat } from './controller-records.js';
 import { endTransaction } from './end-transaction.js';
 import {
   type EndRecord,
   type JobRecord,
+  type Part,
   endRecord,
   jobRecord,
   parseEnd,
@@ -100,7 +104,7 @@
   dependencies: ['req-000017', 'req-000018'],
 };
 
-const parts = [
+const parts: Part[] = [
   { block: 0, first: 0, count: 12 },
   { block: 2, first: 12, count: 28 },
 ];
@@ -119,8 +123,16 @@
 };
 
 function machine(id: string, token: number, change: Partial<LeasedMachine> = {}): LeasedMachine {
-  const kind = { type: 'c8', zone: 'zone-a', spot: false };
-  return { id, token, ...kind, leaving: false, since: 1_790_000_100_000, ...change };
+  return {
+    id,
+    token,
+    type: 'c8',
+    zone: 'zone-a',
+    spot: false,
+    leaving: false,
+    since: 1_790_000_100_000,
+    ...change,
+  };
 }
 
 const firstPage = [
@@ -137,7 +149,12 @@
   machines: [...firstPage, ...secondPage],
 };
 
-const ledgerBase = { team: 'red', cpus: 0.5, accelerators: 0, memoryGb: 3.2 };
+const ledgerBase: Pick<LedgerEntry, 'team' | 'cpus' | 'accelerators' | 'memoryGb'> = {
+  team: 'red',
+  cpus: 0.5,
+  accelerators: 0,
+  memoryGb: 3.2,
+};
 
 const presentEntries: LedgerEntry[] = [
   {
@@ -174,7 +191,7 @@
 test('who leads, who is alive and who reads which format are stored as ever', () => {
   samples.assertWritten('lead', leadRecord(lead));
   samples.assertRead('lead', parseLead, lead);
-  samples.assertWritten('alive', alive);
+  samples.assertWritten('alive', aliveRecord(alive));
   samples.assertRead('alive', parseAlive, alive);
   samples.assertWritten('formats', formatRecord());
   samples.assertRead('formats', parseFormat, currentFormat);
