--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { type Socket, connect } from 'node:net';
 import { test } from 'node:test';
+import { tick } from '../testing/ticks.js';
 import { encode } from '../wire/codec.js';
 import { steadyClock } from './clock.js';
 import { ConnectionLoad } from './connection-load.js';
@@ -13,8 +14,10 @@
 interface Client {
   socket: Socket;
   say: (bytes: Buffer | string) => void;
-  /** Everything heard so far, once it is that many answers or the connection has ended. */
+  /** Everything heard so far, once it is that many answers or the connection has ended; fails if that takes far too long. */
   heard: (answers: number) => Promise<string>;
+  /** Everything heard until the connection ended; fails if that takes far too long. */
+  heardUntilClosed: () => Promise<string>;
 }
 
 function request(path: string, body: Buffer, extra = ''): Buffer {
@@ -30,14 +33,15 @@
   socket.on('error', () => undefined);
   socket.on('close', () => (ended = true));
   await new Promise((resolve) => socket.once('connect', resolve));
+  const heardOnce = async (condition: () => boolean): Promise<string> => {
+    await tick(condition);
+    return text;
+  };
   return {
     socket,
     say: (bytes) => void socket.write(bytes),
-    heard: async (answers) => {
-      for (let i = 0; i < 200 && !ended && text.split('HTTP/1.1 ').length <= answers; i++)
-        await new Promise((resolve) => setTimeout(resolve, 10));
-      return text;
-    },
+    heard: (answers) => heardOnce(() => ended || text.split('HTTP/1.1 ').length > answers),
+    heardUntilClosed: () => heardOnce(() => ended),
   };
 }
 
@@ -48,6 +52,8 @@
 test('reports are answered whole or in pieces, and other requests on the same connection get their answers too', async () => {
   const stop = new AbortController();
   const bodies: unknown[] = [];
+  let holdsAnswers = false;
+  const heldAnswers: (() => void)[] = [];
   const hello: LeanRoute = {
     method: 'POST',
     path: '/hello',
@@ -55,7 +61,9 @@
     handle: (body, answer) => {
       bodies.push(body);
       if (body === 'fail') throw new Error('as the test likes');
-      setTimeout(() => answer({ status: 200, body: { helm: 7 } }), 20);
+      const deliver = (): void => answer({ status: 200, body: { helm: 7 } });
+      if (holdsAnswers) heldAnswers.push(deliver);
+      else setTimeout(deliver, 20);
     },
   };
   const health: LeanRoute = {
@@ -66,11 +74,8 @@
   const users: RequestHandler = (_request, response) => send(response, { status: 404 });
   const loadHandler = (): Promise<RequestHandler> => Promise.resolve(users);
   const listen = { lean: [hello, health], loadHandler, log: silentLog, host: '127.0.0.1', port };
-  const served = serveWeb(
-    { ...listen, clock: steadyClock, load: new ConnectionLoad(20), idleMs: 5000, sliceMs: 50 },
-    stop.signal,
-  );
-  await new Promise((resolve) => setTimeout(resolve, 100));
+  const load = new ConnectionLoad(20);
+  const served = serveWeb({ ...listen, clock: steadyClock, load, idleMs: 5000, sliceMs: 50 }, stop.signal);
 
   const report = request('/hello', encode({ host: 'vm-1' }));
   const worker = await client();
@@ -84,9 +89,9 @@
   await worker.heard(4);
   worker.say(request('/hello', encode('fail')));
   await worker.heard(5);
-  // From here on the ordinary server has the connection.
   worker.say(report.subarray(0, 30));
-  await new Promise((resolve) => setTimeout(resolve, 50));
+  // The first piece has arrived alone: from here on the ordinary server has the connection.
+  await tick(() => load.open === 0);
   worker.say(report.subarray(30));
   await worker.heard(6);
   worker.say(request('/v2/runs', encode({})));
@@ -113,10 +118,14 @@
   assert.deepEqual(statusesIn(await large.heard(1)), ['413']);
 
   const pipelining = await client();
+  holdsAnswers = true;
   pipelining.say(report);
-  await new Promise((resolve) => setTimeout(resolve, 5));
+  await tick(() => heldAnswers.length === 1);
   pipelining.say(report);
-  assert.deepEqual(statusesIn(await pipelining.heard(1)), []);
+  assert.equal(await pipelining.heardUntilClosed(), '');
+  // What would have been the answer comes too late for the connection, and the second request was not carried out.
+  for (const deliver of heldAnswers) deliver();
+  assert.equal(heldAnswers.length, 1);
 
   stop.abort();
   await served;
