--- a/src/fault-scenarios/places.test.ts
+++ b/src/fault-scenarios/places.test.ts
@@ -2,18 +2,20 @@
 import { type Cluster, cancelMs, pause, reportMs, submission } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** The machine under some task of the job stops, with all that is on it. */
-function kill(cluster: Cluster, id: string): void {
-  const worker = [...cluster.workers.values()].find((w) =>
-    w.running.some((piece) => piece.startsWith(`${id}/`)),
-  );
-  assert.ok(worker, `${id} runs somewhere`);
-  cluster.cloud.die(worker.machine.id);
+/** The machine under some task of the job stops, with all that is on it, as soon as a task of the job runs. */
+async function loseMachine(cluster: Cluster, id: string): Promise<void> {
+  await cluster.until(`${id} runs and loses a machine`, () => {
+    const worker = [...cluster.workers.values()].find((w) =>
+      w.running.some((task) => task.startsWith(`${id}/`)),
+    );
+    if (worker) cluster.cloud.die(worker.machine.id);
+    return worker !== undefined;
+  });
 }
 
 // Guards against a task that comes back in another zone than its job's others, or in one that already has half of them.
 scenario(
-  'jobs bound to one zone, arrays too, lose machines, and the leader changes',
+  'colocated, spread and zone-bound jobs lose machines before and after the leader fails over',
   { port: 25_000, taskMs: 1200, capacity: 6 },
   async (cluster) => {
     const jobs = [
@@ -23,38 +25,45 @@
       submission('req-000004', 4, { berth: 'a', together: true, owner: 'blue' }),
     ];
     const ids = jobs.map(({ id }) => String(id));
+    // No task ends before each job has lost two machines.
+    cluster.holdsTask = () => true;
     for (const [i, job] of jobs.entries()) await cluster.submitSurely(job, i);
-    for (const id of ids) await cluster.until(`${id} runs`, () => cluster.runningOf(id).length > 0);
-    for (const id of ids) if (cluster.runningOf(id).length > 0) kill(cluster, id);
+    await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
+    await Promise.all(ids.map((id) => loseMachine(cluster, id)));
     await cluster.restart(await cluster.leading());
     await pause(2 * reportMs);
-    for (const id of ids) if (cluster.runningOf(id).length > 0) kill(cluster, id);
+    await Promise.all(ids.map((id) => loseMachine(cluster, id)));
+    cluster.holdsTask = () => false;
     await cluster.allDone(ids);
   },
 );
 
 // Guards against both sides of a cut going on with the same tasks, and against cancels that the inside never hears of.
 scenario(
-  'a zone with workers and a controller is cut off for longer than a lease',
-  { port: 25_040, taskMs: (piece) => (piece.startsWith('req-00000') ? 30_000 : 7000), capacity: 6 },
+  'a zone with workers and a controller is partitioned off for longer than a lease, and jobs are cancelled outside',
+  { port: 25_040, taskMs: 7000, capacity: 6 },
   async (cluster) => {
     const cancelled = ['req-000001', 'req-000002'];
     const kept = ['req-000011', 'req-000012', 'req-000013'];
-    for (const [i, id] of [...cancelled, ...kept].entries()) {
+    const ids = [...cancelled, ...kept];
+    cluster.holdsTask = () => true;
+    for (const [i, id] of ids.entries()) {
       await cluster.submitSurely(submission(id, 3, { owner: 'blue' }), i);
     }
     const inside = (): number =>
       [...cluster.workers.values()].filter((w) => w.machine.zone === 'a' && w.running.length > 0).length;
     await cluster.until('all run, also inside', () => {
-      return [...cancelled, ...kept].every((id) => cluster.runningOf(id).length === 3) && inside() > 0;
+      return ids.every((id) => cluster.runningOf(id).length === 3) && inside() > 0;
     });
     cluster.cutZones.add('a');
     cluster.store.held.add('keel-0');
     for (const link of cluster.peersOf('keel-0')) link.cut();
-    for (const id of cancelled) await cluster.cancelSurely(id, [1, 2]);
+    // The tasks of the other jobs end around the end of the partition; those of the cancelled ones never do by themselves.
+    cluster.holdsTask = (task) => cancelled.some((id) => task.startsWith(`${id}/`));
+    for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
     const until = Date.now() + cancelMs * 1.2;
     while (Date.now() < until) {
-      for (const [i, id] of [...cancelled, ...kept].entries()) await cluster.ask(1 + (i % 2), id);
+      for (const [i, id] of ids.entries()) await cluster.ask(1 + (i % 2), id);
       await pause(reportMs);
     }
     cluster.cutZones.clear();
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -68,6 +68,8 @@
   readonly cutZones = new Set<string>();
   /** Called as a task completes, before anybody has heard of it. */
   onDone: (piece: string) => void = () => undefined;
+  /** Tasks that run until the test lets them go, so that none ends before it is looked for; their time counts from then. */
+  holdsTask: (piece: string) => boolean = () => false;
   /** Tasks that share an entry in the ledger of each block, as of the last lease that began in this process. */
   readonly chunkTasks = new Map<number, number>();
   private calmAt = Date.now();
@@ -392,6 +394,7 @@
       fetchMs: fetchMs ?? 0,
       saveMs: 0,
       taskMs: typeof taskMs === 'number' ? () => taskMs : taskMs,
+      holdsTask: (piece) => this.holdsTask(piece),
       nodes: labels.map((label, i) => ({ label, address: this.address(i, 0) })),
       reaches: (from, label) => {
         const to = zones[labels.indexOf(label)] ?? '';
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -140,6 +140,7 @@
       fetchMs: 500,
       saveMs: 0,
       taskMs: () => taskMs * (0.5 + random()),
+      holdsTask: () => false,
       nodes: labels.map((label, node) => ({ label, address: servingAddress(node) })),
       reaches: () => true,
       history,
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -22,6 +22,8 @@
   answerMs: number;
   fetchMs: number;
   taskMs: (piece: string) => number;
+  /** Whether the task runs on whatever its time; once it is let go, `taskMs` counts from then. */
+  holdsTask: (piece: string) => boolean;
   saveMs: number;
   nodes: { label: string; address: string }[];
   /** Whether the worker and a controller can reach each other. */
@@ -120,6 +122,8 @@
       this.leaseFrom = now;
     }
     for (const task of this.tasks.values()) {
+      if (task.status === 'running' && this.options.holdsTask(task.piece))
+        task.until = now + this.options.taskMs(task.piece);
       if (task.status === 'ended' || task.until > now) continue;
       if (task.status === 'fetching') {
         task.status = 'running';
