--- a/eslint.config.js
+++ b/eslint.config.js
@@ -39,7 +39,11 @@
 
 /** A module begins with a comment that says what it is for. */
 const moduleComment = {
-  meta: { type: 'suggestion', messages: { missing: 'The module has no doc comment at its top.' }, schema: [] },
+  meta: {
+    type: 'suggestion',
+    messages: { missing: 'The module has no doc comment at its top.' },
+    schema: [],
+  },
   create(context) {
     return {
       Program(node) {
