--- a/src/blocks/block-leases.ts
+++ b/src/blocks/block-leases.ts
@@ -11,7 +11,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
 import type { BlockRecord } from '../wire/block-records.js';
@@ -29,7 +29,7 @@
   settings: Settings;
   operator: OperatorSettings;
   store: StoreClient;
-  commits: CommitStage;
+  commits: CommitQueue;
   mirror: Mirror;
   jobIndex: JobIndex;
   registry: Registry;
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { CommitStage } from '../store/commit-stage.js';
+import { CommitQueue } from '../store/commit-stage.js';
 import { HeldStore } from '../testing/held-store.js';
 import { testSettings } from '../testing/settings.js';
 import { mirrorOf } from '../testing/stored-mirror.js';
@@ -65,7 +65,7 @@
 
   async write(next: BlockRecord): Promise<BlockWriteResult> {
     const { signal } = new AbortController();
-    const commits = new CommitStage(this.store, 'duty', this.settings, signal, 100);
+    const commits = new CommitQueue(this.store, 'duty', this.settings, signal, 100);
     return new BlockWriter({ settings: this.settings, registry: await this.registry(), commits }).write(
       0,
       next,
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -2,7 +2,7 @@
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import { sizeOf } from '../wire/codec.js';
 import {
   type BlockRecord,
@@ -97,7 +97,7 @@
 export interface BlockWriterPorts {
   settings: Settings;
   registry: Pick<Registry, 'version' | 'stored' | 'upgraded'>;
-  commits: CommitStage;
+  commits: CommitQueue;
 }
 
 /**
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -7,7 +7,7 @@
 import type { OrderOfWork } from '../placement/order.js';
 import { Usage } from '../placement/placement-round.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { type Part, jobRecord, mostParts } from '../wire/job-records.js';
@@ -20,7 +20,7 @@
   clock: Clock;
   log: Log;
   settings: Settings;
-  commits: CommitStage;
+  commits: CommitQueue;
   mirror: Mirror;
   jobIndex: JobIndex;
   registry: Registry;
--- a/src/blocks/registry.ts
+++ b/src/blocks/registry.ts
@@ -45,7 +45,7 @@
 
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
-    for (const [key, entry] of this.mirror.below('block/')) {
+    for (const [key, entry] of this.mirror.entriesWithPrefix('block/')) {
       const block = Number(key.slice('block/'.length));
       const stored = this.parse(block, entry);
       if (stored) blocks.set(block, stored.record);
@@ -77,7 +77,7 @@
   }
 
   private pagesOf(block: number): Map<number, StoredValue> {
-    return machinePages(block, this.mirror.below(machinesPrefix(block)));
+    return machinePages(block, this.mirror.entriesWithPrefix(machinesPrefix(block)));
   }
 
   version(block: number): number {
@@ -86,7 +86,7 @@
 
   alive(): Member[] {
     const members: Member[] = [];
-    for (const [key, entry] of this.mirror.below('alive/')) {
+    for (const [key, entry] of this.mirror.entriesWithPrefix('alive/')) {
       const alive = parseAlive(entry.value);
       if (alive) members.push({ label: key.slice('alive/'.length), ...alive });
     }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -28,8 +28,8 @@
 import { OrderOfWork } from './placement/order.js';
 import type { OperatorSettings } from './settings/operator.js';
 import type { Settings } from './settings/settings.js';
-import { type Lane, StoreClient } from './store/client.js';
-import { CommitStage } from './store/commit-stage.js';
+import { type TrafficClass, StoreClient } from './store/client.js';
+import { CommitQueue } from './store/commit-stage.js';
 import { Mirror } from './store/mirror.js';
 import { endRecord, parseEnd } from './wire/job-records.js';
 import { endKey, endedJob, leadKey } from './wire/keys.js';
@@ -76,7 +76,7 @@
   registry: Registry;
   cloud: CloudClient;
   /** Everything that is not a user's commits. */
-  commits: CommitStage;
+  commits: CommitQueue;
   order: OrderOfWork;
   /** The store has answered us within the life of a grant: what we were entitled to, we may still be. */
   inTouch: () => boolean;
@@ -90,7 +90,7 @@
   private readonly types = new Map<string, MachineType>();
   /** What most slices need; a term adds itself for what only a leader runs. */
   private readonly parts: Parts;
-  private readonly stages: Record<Lane | 'lead', CommitStage>;
+  private readonly stages: Record<TrafficClass | 'lead', CommitQueue>;
   private readonly store: StoreClient;
   private readonly mirror: Mirror;
   private readonly jobIndex: JobIndex;
@@ -118,14 +118,14 @@
     setMaxListeners(0, signal);
     const store = new StoreClient(settings, clock, signal);
     const mirror = new Mirror(store, store.watchGapMs, probeMs);
-    const cancellations = new Cancellations(() => mirror.firstRevision);
-    const jobIndex = new JobIndex(clock, (id) => mirror.endOf(id));
+    const cancellations = new Cancellations(() => mirror.initialRevision);
+    const jobIndex = new JobIndex(clock, (id) => mirror.outcomeOf(id));
     const ends = new EndReader({ store, mirror });
     const labels = [settings.label, ...settings.peers.map((peer) => peer.label)];
     const registry = new Registry(mirror, labels);
     const cloud = new CloudClient(settings, clock, signal);
-    const stage = (lane: Lane, transactions: number): CommitStage =>
-      new CommitStage(store, lane, settings, signal, transactions * settings.state.txnOps);
+    const stage = (lane: TrafficClass, transactions: number): CommitQueue =>
+      new CommitQueue(store, lane, settings, signal, transactions * settings.state.txnOps);
     this.stages = {
       duty: stage('duty', stageTransactions.duty),
       // What all blocks wait for does not queue behind the pages of one.
@@ -149,7 +149,7 @@
       registry,
       cloud,
       commits,
-      inTouch: () => !store.failing && store.contactAge(clock()) < this.membership.ttlMs,
+      inTouch: () => !store.failing && store.contactAgeMs(clock()) < this.membership.ttlMs,
       order: new OrderOfWork(settings.objectives, settings.reportMs * tellingReports),
     };
     this.parts = shared;
@@ -198,7 +198,7 @@
       boot,
       revision: () => mirror.revision,
       facts: () => ({
-        contactAge: store.contactAge(clock()),
+        contactAge: store.contactAgeMs(clock()),
         token: this.election.term?.token ?? 0,
         gone: this.leases.blockStates().flatMap((blockState) => blockState.goneSince(clock() - toldMs)),
         up: this.leases.blockStates().flatMap((blockState) => blockState.upSince(clock() - toldMs)),
@@ -304,7 +304,7 @@
     const { term } = this.election;
     if (term && status.token > term.token) term.end(`${status.from} leads with a higher token`);
     for (const [id, version] of status.cancelled) {
-      this.mirror.learnEnd(endKey(id), { value: endRecord({ end: 'cancelled', tasks: 0 }), version });
+      this.mirror.recordOutcome(endKey(id), { value: endRecord({ end: 'cancelled', tasks: 0 }), version });
     }
   }
 
@@ -312,14 +312,14 @@
   private mayAnswer(): boolean {
     const { ttlMs } = this.membership;
     const now = this.clock();
-    const { lastContact } = this.store;
+    const { lastContactAt } = this.store;
     // The usual case, asked for with every report: no word of any peer could shorten this.
-    if (now <= this.knownUntil + this.answeringSpanMs && now - lastContact <= ttlMs) return true;
+    if (now <= this.knownUntil + this.answeringSpanMs && now - lastContactAt <= ttlMs) return true;
     const { cancelMs, leaseMs, reportMs, peers } = this.settings;
     const facts: AnsweringFacts = {
       now,
       knownUntil: this.knownUntil,
-      lastContact,
+      lastContact: lastContactAt,
       cancelMs,
       leaseMs,
       reportMs,
@@ -345,7 +345,7 @@
   private isServing(): boolean {
     if (!this.mirror.ready || this.types.size === 0) return false;
     const limit = this.membership.ttlMs / servingShare;
-    if (this.store.contactAge(this.clock()) < limit) return true;
+    if (this.store.contactAgeMs(this.clock()) < limit) return true;
     return this.settings.peers.every(
       (peer) => (this.peers.word(peer.label)?.contactAge ?? Infinity) >= limit,
     );
@@ -368,7 +368,7 @@
     const { log, clock, operator, store, jobIndex } = this;
     if (clock() - this.storeLoggedAt < operator.ladder.periodS * 1000) return;
     this.storeLoggedAt = clock();
-    log.info({ event: 'store', ...store.takeCounts() }, 'changes of the state service');
+    log.info({ event: 'store', ...store.takeChangeCounts() }, 'changes of the state service');
     const { duty, lead, intake, confirm } = this.stages;
     const queued = {
       duty: duty.writableLength,
@@ -395,15 +395,15 @@
     const { store, mirror } = this;
     let watchRenewedAt = this.clock();
     while (!signal.aborted) {
-      if (store.failing || this.clock() - store.lastSighting > probeMs * 2) {
+      if (store.failing || this.clock() - store.lastRevisionSeenAt > probeMs * 2) {
         await store.commit('duty', [{ key: leadKey, version: mirror.version(leadKey) }], []);
       }
       // Others are answered and the watch brings nothing: it is lost, or waits as in an outage.
-      const lateMs = store.lastSighting - this.knownUntil;
+      const lateMs = store.lastRevisionSeenAt - this.knownUntil;
       const patienceMs = this.settings.reportMs * watchReports;
       if (mirror.ready && lateMs > patienceMs && this.clock() - watchRenewedAt > patienceMs) {
         watchRenewedAt = this.clock();
-        store.renewWatch();
+        store.restartWatch();
       }
       this.leases.follow([]);
       // What peers are told, our own leader has to hear as well.
--- a/src/dependencies/cascade.ts
+++ b/src/dependencies/cascade.ts
@@ -4,7 +4,7 @@
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import { changesPerEnd, endTransaction } from '../wire/end-transaction.js';
 import { endKey } from '../wire/keys.js';
@@ -18,7 +18,7 @@
   mirror: Mirror;
   jobIndex: JobIndex;
   /** Changes that are no user's request. */
-  commits: CommitStage;
+  commits: CommitQueue;
   isLeading: () => boolean;
   /** Reads the end of a job into the copy of the store, where it is not known yet. */
   readEnd: (id: string) => Promise<void>;
@@ -84,7 +84,7 @@
     const outcome = await commits.commit(conditions, writes);
     if (outcome.kind === 'applied') {
       log.info({ event: 'dependent-cancelled', job: id }, 'cancelled with a job that it needs');
-      mirror.learnEnd(endKey(id), { value: writes[0].value, version: outcome.revision });
+      mirror.recordOutcome(endKey(id), { value: writes[0].value, version: outcome.revision });
     } else if (outcome.kind === 'conflict' && outcome.failed.includes(endKey(id))) await readEnd(id);
   }
 }
--- a/src/intake/end-reader.ts
+++ b/src/intake/end-reader.ts
@@ -38,7 +38,7 @@
     const [first = ''] = [...this.wanted].sort();
     try {
       const { items } = await store.listPage(endPrefix, justBefore(first), endsPerPage, 'intake');
-      mirror.learnEnds(items);
+      mirror.recordOutcomes(items);
       for (const { key } of items) this.wanted.delete(key);
       this.wanted.delete(first);
     } catch {
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -1,6 +1,6 @@
 /** Cancels jobs for their users. */
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
@@ -16,7 +16,7 @@
   mirror: Mirror;
   jobIndex: Pick<JobIndex, 'openJob' | 'dependencies'>;
   /** Submissions and cancels. */
-  writes: CommitStage;
+  writes: CommitQueue;
 }
 
 /** An open job is not a result of a cancel: its user has to try again. */
@@ -75,7 +75,7 @@
     );
     if (outcome.kind === 'applied') {
       const ends = all.map((one) => one.writes[0]);
-      mirror.learnEnds(ends.map(({ put, value }) => ({ key: put, value, version: outcome.revision })));
+      mirror.recordOutcomes(ends.map(({ put, value }) => ({ key: put, value, version: outcome.revision })));
       return 'cancelled';
     }
     if (outcome.kind !== 'conflict') return 'unavailable';
--- a/src/intake/job-status.ts
+++ b/src/intake/job-status.ts
@@ -2,7 +2,7 @@
 import type { DependencyState } from '../dependencies/dependency-graph.js';
 import type { Mirror } from '../store/mirror.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import { type End, parseJobRecord } from '../wire/job-records.js';
 import { endKey, jobKey } from '../wire/keys.js';
 import type { Condition } from '../wire/state.js';
@@ -29,7 +29,7 @@
   store: Pick<StoreClient, 'failing' | 'read'>;
   mirror: Mirror;
   /** Transactions that compare only. */
-  confirms: CommitStage;
+  confirms: CommitQueue;
   ends: EndReader;
   jobIndex: { dependencyState: (id: string) => DependencyState };
   /** Cancels jobs that need a cancelled one. */
@@ -66,7 +66,7 @@
 
   /** The end of the job, where this controller knows it. An end never changes, so it needs no further evidence. */
   knownEnd(id: string): EndedJob | undefined {
-    const record = this.ports.mirror.endOf(id);
+    const record = this.ports.mirror.outcomeOf(id);
     return record && { kind: 'ended', end: record.end, tasks: record.tasks };
   }
 
@@ -111,7 +111,7 @@
     const { mirror, store } = this.ports;
     if (!this.isRecorded(id)) {
       const item = await store.read(jobKey(id), 'confirm').catch(() => undefined);
-      if (item) mirror.learn(item.key, item);
+      if (item) mirror.recordCommitted(item.key, item);
     }
     const record = parseJobRecord(mirror.get(jobKey(id))?.value);
     return record && (record.spec.dependencies ?? []).length > 0;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import { type Part, endRecord, jobRecord } from '../wire/job-records.js';
 import { endKey, jobKey } from '../wire/keys.js';
@@ -18,7 +18,7 @@
   store: Pick<StoreClient, 'failing' | 'writeWaitMs'>;
   mirror: Mirror;
   /** Submissions and cancels. */
-  writes: CommitStage;
+  writes: CommitQueue;
   types: () => ReadonlyMap<string, MachineType>;
   /** The block that a new job belongs to; empty where the leader has to place it. */
   home: (spec: JobSpec) => Part[];
@@ -115,7 +115,7 @@
     if (jobIndex.dependencies.isDoomedBy(job.dependencies ?? [])) return this.recordAsCancelled(job);
     const key = jobKey(job.id);
     const value = jobRecord({ spec: job, parts: home(job) });
-    return this.commitAsNew(job.id, key, value, (version) => mirror.learn(key, { value, version }));
+    return this.commitAsNew(job.id, key, value, (version) => mirror.recordCommitted(key, { value, version }));
   }
 
   /** A job that needs a cancelled one is accepted all the same, and cancelled with it. */
@@ -123,7 +123,7 @@
     const { mirror, wallClock } = this.ports;
     const key = endKey(job.id);
     const value = endRecord({ end: 'cancelled', tasks: job.tasks, at: wallClock() });
-    return this.commitAsNew(job.id, key, value, (version) => mirror.learnEnd(key, { value, version }));
+    return this.commitAsNew(job.id, key, value, (version) => mirror.recordOutcome(key, { value, version }));
   }
 
   /** Commits the first that there is of a job: neither a record nor an end. */
--- a/src/ladder/fleet.ts
+++ b/src/ladder/fleet.ts
@@ -12,7 +12,7 @@
 import type { OrderOfWork } from '../placement/order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { ladderKey, leadKey } from '../wire/keys.js';
@@ -35,7 +35,7 @@
   jobIndex: JobIndex;
   order: OrderOfWork;
   mirror: Mirror;
-  commits: CommitStage;
+  commits: CommitQueue;
   term: Term;
   /** There has been no leader before, so no rental of one is still to be listed. */
   firstEver: boolean;
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import { type LeadRecord, leadRecord, parseLead } from '../wire/controller-records.js';
 import { leadKey } from '../wire/keys.js';
@@ -14,7 +14,7 @@
   clock: Clock;
   log: Log;
   store: StoreClient;
-  commits: CommitStage;
+  commits: CommitQueue;
   mirror: Mirror;
   settings: Settings;
   membership: Membership;
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -4,7 +4,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import {
   aliveRecord,
@@ -19,7 +19,7 @@
   clock: Clock;
   log: Log;
   store: StoreClient;
-  commits: CommitStage;
+  commits: CommitQueue;
   mirror: Mirror;
   settings: Settings;
   operator: OperatorSettings;
@@ -57,7 +57,7 @@
     this.asideUntil = clock() + ms;
     this.id = undefined;
     log.info({ event: 'stepped-aside', grant: id, ms }, 'no worker is heard: others take over');
-    void store.endGrant(id).catch(() => undefined);
+    void store.revokeLease(id).catch(() => undefined);
   }
 
   async run(signal: AbortSignal): Promise<void> {
@@ -65,7 +65,7 @@
     await sleep(Math.max(0, this.asideUntil - clock()), signal);
     if (signal.aborted) return;
     try {
-      const grant = await store.grant(this.ttlMs);
+      const grant = await store.createLease(this.ttlMs);
       this.id = grant;
       log.info({ event: 'joined', grant }, 'joined');
       await this.keep(grant, signal);
@@ -97,7 +97,7 @@
   private async renew(grant: number): Promise<boolean> {
     const { store, log } = this.ports;
     try {
-      return await store.touch(grant);
+      return await store.renewLease(grant);
     } catch (error) {
       log.debug({ event: 'touch-failed', err: error }, 'grant not renewed');
       return true;
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -77,10 +77,10 @@
   load(mirror: Mirror): void {
     const pages = storedPages(mirror, this.block);
     this.layout = layoutFor(this.options.layout, pages);
-    for (const [key, entry] of mirror.below('job/')) this.setJob(key, entry.value, entry.version);
+    for (const [key, entry] of mirror.entriesWithPrefix('job/')) this.setJob(key, entry.value, entry.version);
     this.loadLedger(pages);
     for (const job of this.jobs.values()) {
-      const end = mirror.endOf(job.id);
+      const end = mirror.outcomeOf(job.id);
       if (end) this.endJob(job, end.end);
     }
   }
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -1,7 +1,7 @@
 /** Ends the jobs of a block whose tasks are all done. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import { changesPerEnd, endTransaction } from '../wire/end-transaction.js';
 import type { BlockState } from './block-state.js';
 import type { JobIndex } from './job-index.js';
@@ -14,7 +14,7 @@
   clock: Clock;
   wallClock: () => number;
   settings: Settings;
-  commits: CommitStage;
+  commits: CommitQueue;
   blockState: BlockState;
   /** Ends with the lease of the block. */
   signal: AbortSignal;
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -53,8 +53,8 @@
     this.byJob.clear();
     this.unread.clear();
     this.loadsNow = undefined;
-    for (const [key, entry] of mirror.below('job/')) this.set(key, entry.value, entry.version);
-    for (const [key, entry] of mirror.below('run/')) this.set(key, entry.value, entry.version);
+    for (const [key, entry] of mirror.entriesWithPrefix('job/')) this.set(key, entry.value, entry.version);
+    for (const [key, entry] of mirror.entriesWithPrefix('run/')) this.set(key, entry.value, entry.version);
   }
 
   apply(changes: Change[]): void {
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import { blockKey, jobKey, ledgerKey } from '../wire/keys.js';
 import { ledgerPage } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
@@ -23,7 +23,7 @@
   log: Log;
   settings: Settings;
   store: Pick<StoreClient, 'read' | 'failing' | 'writeWaitMs'>;
-  commits: CommitStage;
+  commits: CommitQueue;
   blockState: BlockState;
   /** Ends with the lease of the block. */
   signal: AbortSignal;
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -7,7 +7,7 @@
 import type { MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import type { MachineState } from '../workers/machine-state.js';
 import type { BlockState } from './block-state.js';
 import { JobCompletion } from './job-completion.js';
@@ -23,7 +23,7 @@
   log: Log;
   settings: Settings;
   store: StoreClient;
-  commits: CommitStage;
+  commits: CommitQueue;
   blockState: BlockState;
   /** Ends with the lease of the block. */
   signal: AbortSignal;
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -17,9 +17,9 @@
   page: StoredPage;
 }
 
-export function storedPages(mirror: Pick<Mirror, 'below'>, block: number): StoredPage[] {
+export function storedPages(mirror: Pick<Mirror, 'entriesWithPrefix'>, block: number): StoredPage[] {
   const pages: StoredPage[] = [];
-  for (const [key, { value, version }] of mirror.below(ledgerPrefix(block))) {
+  for (const [key, { value, version }] of mirror.entriesWithPrefix(ledgerPrefix(block))) {
     const at = parseLedgerKey(key);
     if (at) pages.push({ index: at.page, version, entries: parseLedgerPage(value) });
   }
--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -5,7 +5,7 @@
 /** A share that refusals have cut below an even one grows back so slowly that only limits that were raised again are felt. */
 const recoveryPerSecond = 0.01;
 /** What each refusal leaves of a share that is no more than an even one. */
-const cutBelowEven = 0.9;
+const refusalCutFactor = 0.9;
 
 /**
  * How far a controller goes beyond its even share of the store's limits. The others seldom need all of theirs at the same
@@ -13,35 +13,37 @@
  * and each refusal halves what was taken. Where lower limits are to come, refusals cut even shares down to what these leave. What the duties write can be gathered, so that they wait is no reason.
  */
 export class AdaptiveShare {
-  private at: number;
-  private value = 1;
+  private updatedAt: number;
+  private currentFactor = 1;
 
   /** `leastFactor`: the part of its even share that a controller keeps however much is refused. */
   constructor(
     now: number,
     private readonly leastFactor = 1,
   ) {
-    this.at = now;
+    this.updatedAt = now;
   }
 
   get factor(): number {
-    return this.value;
+    return this.currentFactor;
   }
 
   /** After a commit; true: the factor has changed. */
-  note(outcome: { refused: boolean; waited: boolean }, now: number): boolean {
-    const passedS = Math.min(1, (now - this.at) / 1000);
-    const before = this.value;
-    this.at = now;
-    if (outcome.refused) this.value = this.afterRefusal();
-    else if (this.value < 1) this.value = Math.min(1, this.value + recoveryPerSecond * passedS);
-    else if (outcome.waited) this.value = Math.min(growth.maxFactor, this.value + growth.perSecond * passedS);
-    else this.value = Math.max(1, this.value - growth.decayPerSecond * passedS);
-    return this.value !== before;
+  recordCommit(outcome: { refused: boolean; waited: boolean }, now: number): boolean {
+    const passedS = Math.min(1, (now - this.updatedAt) / 1000);
+    const before = this.currentFactor;
+    this.updatedAt = now;
+    if (outcome.refused) this.currentFactor = this.afterRefusal();
+    else if (this.currentFactor < 1)
+      this.currentFactor = Math.min(1, this.currentFactor + recoveryPerSecond * passedS);
+    else if (outcome.waited)
+      this.currentFactor = Math.min(growth.maxFactor, this.currentFactor + growth.perSecond * passedS);
+    else this.currentFactor = Math.max(1, this.currentFactor - growth.decayPerSecond * passedS);
+    return this.currentFactor !== before;
   }
 
   private afterRefusal(): number {
-    if (this.value > 1) return Math.max(1, this.value / 2);
-    return Math.max(this.leastFactor, this.value * cutBelowEven);
+    if (this.currentFactor > 1) return Math.max(1, this.currentFactor / 2);
+    return Math.max(this.leastFactor, this.currentFactor * refusalCutFactor);
   }
 }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -46,24 +46,24 @@
  * `intake` carries what users submit and cancel, `confirm` what their questions ask for, `duty` all else: neither a
  * burst of intents nor one of questions can make a submission late.
  */
-export type Lane = 'intake' | 'confirm' | 'duty';
+export type TrafficClass = 'intake' | 'confirm' | 'duty';
 
 /** Shares of the limits, which hold for all controllers together; the whole stays below them. */
-const shares = {
+const limitShares = {
   requests: { intake: 0.12, confirm: 0.23, leader: 0.08, duty: 0.32 },
   /** Changes are shared by whoever needs them: what users submit goes first, and never takes more than its part. */
   writes: { leader: 0.14, even: 0.37, byMachines: 0.43, mostForIntake: 0.5 },
 };
 /** Of the duties' requests, what goes to all evenly; the rest goes by the machines that each has. */
-const evenShare = 0.3;
+const evenRequestShare = 0.3;
 /** What the duties leave of a burst, so that submissions that come together need not wait for each other. */
-const keptForIntake = 0.5;
+const intakeBurstReserve = 0.5;
 /** What watches take of the requests: each that returns with changes is followed by another. */
-const watchShare = 0.2;
+const watchRequestShare = 0.2;
 const burstShare = 0.5;
-const leastWatchGapMs = 200;
+const minWatchGapMs = 200;
 /** Nor need they be closer than this part of a report interval: starts and reports wait for no watch. */
-const watchGapReports = 0.1;
+const watchGapHeartbeats = 0.1;
 const requestTimeoutMs = 1500;
 const watchHoldMs = 10_000;
 /** One is open unless answers take longer than the pause between renewals. */
@@ -84,7 +84,7 @@
   private readonly peer: HttpPeer;
   private readonly watchPeer: HttpPeer;
   private readonly renewalPeer: HttpPeer;
-  private readonly requests: Record<Lane, Pacer>;
+  private readonly requests: Record<TrafficClass, Pacer>;
   private readonly writes: Pacer;
   private readonly writeBurst: number;
   private readonly intakeWrites: Pacer;
@@ -94,8 +94,8 @@
   private openWatch: AbortController | undefined;
   /** What we know of the store's changes; whether it serves us is another matter, see `lastContact`. */
   private readonly freshness = new FreshnessBound();
-  private contactAt: number;
-  private refusedAt = -Infinity;
+  private lastServedAt: number;
+  private lastFailureAt = -Infinity;
 
   constructor(
     private readonly settings: Settings,
@@ -113,9 +113,9 @@
     this.adaptiveShare = new AdaptiveShare(clock(), settings.state.nextRateShare);
     this.writeBurst = Math.max(4, settings.state.writeRps * burstShare);
     // All controllers may start at once: none begins with more than the duties can use.
-    this.writes = new Pacer(1, this.writeBurst * keptForIntake, clock);
-    this.intakeWrites = new Pacer(1, this.writeBurst * keptForIntake, clock);
-    this.contactAt = clock() - settings.cancelMs;
+    this.writes = new Pacer(1, this.writeBurst * intakeBurstReserve, clock);
+    this.intakeWrites = new Pacer(1, this.writeBurst * intakeBurstReserve, clock);
+    this.lastServedAt = clock() - settings.cancelMs;
     const { controllers } = settings;
     this.setRole({ leading: false, alive: controllers, machines: 1 / controllers });
   }
@@ -128,8 +128,8 @@
     this.role = role;
     const { state, controllers } = this.settings;
     const sharing = Math.min(controllers, Math.max(1, role.alive));
-    const weight = evenShare / sharing + (1 - evenShare) * role.machines;
-    const { requests, writes } = shares;
+    const weight = evenRequestShare / sharing + (1 - evenRequestShare) * role.machines;
+    const { requests, writes } = limitShares;
     // Bursts seldom meet; where they do, the service refuses one of them, and it is repeated.
     const burst = Math.max(2, state.rps * burstShare);
     this.requests.intake.setRate((state.rps * requests.intake) / sharing, burst);
@@ -146,36 +146,36 @@
   /** The pause between two watches that keeps all controllers' watches within their share. */
   get watchGapMs(): number {
     const { state, controllers } = this.settings;
-    const share = (controllers * 1000) / (state.rps * watchShare);
-    return Math.max(leastWatchGapMs, this.settings.reportMs * watchGapReports, share);
+    const share = (controllers * 1000) / (state.rps * watchRequestShare);
+    return Math.max(minWatchGapMs, this.settings.reportMs * watchGapHeartbeats, share);
   }
 
   /** Every change committed before this moment of our clock is in a copy that has reached `revision`. */
   knownUntil(revision: number): number {
-    return this.freshness.until(revision);
+    return this.freshness.knownUntil(revision);
   }
 
   /** When the last request was sent whose answer named a revision of the store. */
-  get lastSighting(): number {
-    return this.freshness.lastSighting;
+  get lastRevisionSeenAt(): number {
+    return this.freshness.lastRevisionSeenAt;
   }
 
   /** When the last request that was served had been sent: it says that the store serves us, not what we know of it. */
-  get lastContact(): number {
-    return this.contactAt;
+  get lastContactAt(): number {
+    return this.lastServedAt;
   }
 
-  contactAge(now: number): number {
-    return now - this.contactAt;
+  contactAgeMs(now: number): number {
+    return now - this.lastServedAt;
   }
 
   /** True once the store has turned us away or stayed silent, until it serves us again. */
   get failing(): boolean {
-    return this.refusedAt > this.contactAt;
+    return this.lastFailureAt > this.lastServedAt;
   }
 
-  async read(key: string, lane: Lane = 'duty'): Promise<Item | undefined> {
-    const answer = await this.call('GET', keyPath(key), undefined, lane);
+  async read(key: string, lane: TrafficClass = 'duty'): Promise<Item | undefined> {
+    const answer = await this.sendPaced('GET', keyPath(key), undefined, lane);
     if (answer.status === 404) return undefined;
     if (answer.status !== 200) throw new StoreUnavailable(`read answered ${answer.status}`);
     return parseRead(answer.body);
@@ -197,47 +197,52 @@
   }
 
   /** One page of the items below a prefix, in the order of their keys, beginning after a key. */
-  async listPage(prefix: string, after: string, most: number, lane: Lane = 'duty'): Promise<ListPage> {
-    const answer = await this.call('GET', listPath(prefix, after, most), undefined, lane);
+  async listPage(
+    prefix: string,
+    after: string,
+    maxItems: number,
+    lane: TrafficClass = 'duty',
+  ): Promise<ListPage> {
+    const answer = await this.sendPaced('GET', listPath(prefix, after, maxItems), undefined, lane);
     if (answer.status !== 200) throw new StoreUnavailable(`list answered ${answer.status}`);
     return parseList(answer.body);
   }
 
   /** Waits for changes; undefined where the service no longer has them and the keys must be read again. */
-  async watch(since: number): Promise<{ changes: Change[]; revision: number } | undefined> {
+  async watch(sinceRevision: number): Promise<{ changes: Change[]; revision: number } | undefined> {
     const stop = new AbortController();
     const stopListening = onAbort(this.signal, () => stop.abort());
     this.openWatch = stop;
     const options = { timeoutMs: watchHoldMs * 2, signal: stop.signal };
     const sentAt = this.clock();
     const answer = await this.watchPeer
-      .exchange('GET', watchPath(since, watchHoldMs), undefined, options)
+      .exchange('GET', watchPath(sinceRevision, watchHoldMs), undefined, options)
       .finally(stopListening);
     if (answer.status === 410) return undefined;
     if (answer.status !== 200) throw new StoreUnavailable(`watch answered ${answer.status}`);
-    this.sight(sentAt, answer);
+    this.recordRevision(sentAt, answer);
     return parseChanges(answer.body);
   }
 
   /** Gives the open watch up: a cut may have swallowed it, and it would wait for its time to be up. */
-  renewWatch(): void {
+  restartWatch(): void {
     this.openWatch?.abort();
   }
 
   /** Since this was last called. */
-  takeCounts(): ChangeCounts {
+  takeChangeCounts(): ChangeCounts {
     const { counts } = this;
     this.counts = { changes: {}, refused: 0, conflicts: 0 };
     return counts;
   }
 
   /** How long a commit of this lane would wait for its turn; `ahead` is what goes out before it. */
-  writeWaitMs(lane: Lane, ahead = 0): number {
-    if (lane === 'duty') return this.writes.owedMs(this.writeBurst * keptForIntake);
-    return Math.max(this.writes.owedMs(ahead), this.intakeWrites.owedMs(ahead));
+  writeWaitMs(lane: TrafficClass, writesAhead = 0): number {
+    if (lane === 'duty') return this.writes.owedMs(this.writeBurst * intakeBurstReserve);
+    return Math.max(this.writes.owedMs(writesAhead), this.intakeWrites.owedMs(writesAhead));
   }
 
-  async commit(lane: Lane, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> {
+  async commit(lane: TrafficClass, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> {
     // Waits for what was spent before and spends ahead: a commit that waited for its own changes to be earned would
     // be out of date by the time it went.
     let waited = false;
@@ -252,7 +257,7 @@
     }
     let answer: Answer;
     try {
-      answer = await this.call('POST', '/commit', commitBody(conditions, writes), lane);
+      answer = await this.sendPaced('POST', '/commit', commitBody(conditions, writes), lane);
     } catch {
       return { kind: 'unknown' };
     }
@@ -263,7 +268,7 @@
       const root = writtenKey(write).split('/', 1)[0] ?? '';
       this.counts.changes[root] = (this.counts.changes[root] ?? 0) + 1;
     }
-    if (writes.length > 0 && this.adaptiveShare.note({ refused, waited }, this.clock()))
+    if (writes.length > 0 && this.adaptiveShare.recordCommit({ refused, waited }, this.clock()))
       this.setRole(this.role);
     if (answer.status === 200) return { kind: 'applied', revision: parseCommit(answer.body).revision };
     if (answer.status === 409) return { kind: 'conflict', ...parseCommit(answer.body) };
@@ -273,14 +278,14 @@
     return { kind: 'unknown' };
   }
 
-  async grant(ttlMs: number): Promise<number> {
-    const answer = await this.call('POST', '/grants', grantBody(ttlMs));
+  async createLease(ttlMs: number): Promise<number> {
+    const answer = await this.sendPaced('POST', '/grants', grantBody(ttlMs));
     if (answer.status !== 200) throw new StoreUnavailable(`grant answered ${answer.status}`);
     return parseGrant(answer.body);
   }
 
   /** True: renewed. False: the grant has ended. Throws where nothing is known. */
-  async touch(id: number): Promise<boolean> {
+  async renewLease(id: number): Promise<boolean> {
     // Renewals jump the queues, also that for a connection: a leader busy with commits must not lose its grant over it.
     this.requests.duty.reserve(1);
     const answer = await this.send('POST', `${grantPath(id)}/touch`, {}, this.renewalPeer);
@@ -290,18 +295,23 @@
   }
 
   /** Whatever hangs on it goes at once. */
-  async endGrant(id: number): Promise<void> {
+  async revokeLease(id: number): Promise<void> {
     this.requests.duty.reserve(1);
     await this.send('DELETE', grantPath(id), undefined);
   }
 
   /** Only what was carried out, or turned down for its conditions, says which revision it found. */
-  private sight(sentAt: number, { status, body }: Answer): void {
+  private recordRevision(sentAt: number, { status, body }: Answer): void {
     const revision = status === 200 || status === 404 || status === 409 ? revisionOf(body) : undefined;
-    if (revision !== undefined) this.freshness.note(sentAt, revision);
+    if (revision !== undefined) this.freshness.recordRevision(sentAt, revision);
   }
 
-  private async call(method: string, path: string, body: unknown, lane: Lane = 'duty'): Promise<Answer> {
+  private async sendPaced(
+    method: string,
+    path: string,
+    body: unknown,
+    lane: TrafficClass = 'duty',
+  ): Promise<Answer> {
     await sleep(this.requests[lane].reserve(1), this.signal);
     return this.send(method, path, body);
   }
@@ -313,17 +323,17 @@
         timeoutMs: requestTimeoutMs,
         signal: this.signal,
       });
-      if (answer.status === 503) this.refusedAt = this.clock();
+      if (answer.status === 503) this.lastFailureAt = this.clock();
       else {
         const { failing } = this;
-        this.contactAt = Math.max(this.contactAt, sentAt);
-        if (failing && !this.failing) this.renewWatch();
-        this.sight(sentAt, answer);
+        this.lastServedAt = Math.max(this.lastServedAt, sentAt);
+        if (failing && !this.failing) this.restartWatch();
+        this.recordRevision(sentAt, answer);
       }
       return answer;
     } catch (error) {
       // One answer that is slow or lost says nothing while others that were asked for later have come.
-      if (this.contactAt <= sentAt) this.refusedAt = this.clock();
+      if (this.lastServedAt <= sentAt) this.lastFailureAt = this.clock();
       throw error;
     }
   }
--- a/src/store/commit-stage.ts
+++ b/src/store/commit-stage.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../settings/settings.js';
 import { sizeOf } from '../wire/codec.js';
 import { type Condition, type Write, transactionBytes, writtenKey } from '../wire/state.js';
-import type { CommitOutcome, Lane, StoreClient } from './client.js';
+import type { CommitOutcome, TrafficClass, StoreClient } from './client.js';
 
 interface Operation {
   conditions: Condition[];
@@ -15,16 +15,16 @@
 /** Worst case of a key with its version, in the JSON form that limits are measured in. */
 const bytesPerKey = 64;
 const conditionsPerOperation = 4;
-const mostRepeats = 5;
+const maxRetries = 5;
 
 /**
  * Group commit: what arrives while one transaction is on its way goes out together in the next. The stream's
  * buffer is the stage's bound; a stage that is `full` holds back whoever feeds it.
  */
-export class CommitStage extends Writable {
+export class CommitQueue extends Writable {
   constructor(
     private readonly client: Pick<StoreClient, 'commit'>,
-    private readonly lane: Lane,
+    private readonly lane: TrafficClass,
     private readonly settings: Settings,
     private readonly signal: AbortSignal,
     bound: number,
@@ -54,7 +54,7 @@
 
   private async flush(operations: Operation[]): Promise<void> {
     let queue = operations;
-    let repeats = 0;
+    let retries = 0;
     while (queue.length > 0) {
       if (this.signal.aborted) {
         for (const operation of queue) operation.settle({ kind: 'refused', busy: false });
@@ -67,13 +67,13 @@
         [...new Map(batch.flatMap((o) => o.conditions).map((c) => [c.key, c])).values()],
         batch.flatMap((o) => o.writes),
       );
-      if (outcome.kind === 'refused' && outcome.busy && repeats++ < mostRepeats) {
+      if (outcome.kind === 'refused' && outcome.busy && retries++ < maxRetries) {
         const { writeRps, rps } = this.settings.state;
         const changes = batch.reduce((sum, o) => sum + o.writes.length, 0);
-        await sleep((1000 / rps + (1000 * changes) / writeRps) * repeats, this.signal);
+        await sleep((1000 / rps + (1000 * changes) / writeRps) * retries, this.signal);
         continue;
       }
-      repeats = 0;
+      retries = 0;
       queue = rest;
       if (outcome.kind === 'conflict' && batch.length > 1) {
         // One operation's conflict must not fail its neighbours: they go again without it.
@@ -109,27 +109,27 @@
   const batch: O[] = [];
   const rest: O[] = [];
   const versions = new Map<string, number>();
-  const written = new Set<string>();
+  const writtenKeys = new Set<string>();
   let writes = 0;
   let bytes = 0;
   for (const operation of queue) {
-    const fresh = operation.conditions.filter((c) => !versions.has(c.key)).length;
-    const clash =
+    const newKeys = operation.conditions.filter((c) => !versions.has(c.key)).length;
+    const conflicts =
       operation.conditions.some(
-        (c) => (versions.get(c.key) ?? c.version) !== c.version || written.has(c.key),
-      ) || operation.writes.some((w) => written.has(writtenKey(w)) || versions.has(writtenKey(w)));
-    const room =
+        (c) => (versions.get(c.key) ?? c.version) !== c.version || writtenKeys.has(c.key),
+      ) || operation.writes.some((w) => writtenKeys.has(writtenKey(w)) || versions.has(writtenKey(w)));
+    const fits =
       writes + operation.writes.length <= txnOps &&
-      versions.size + fresh <= txnOps * conditionsPerOperation &&
+      versions.size + newKeys <= txnOps * conditionsPerOperation &&
       bytes + operation.bytes <= transactionBytes;
     // An operation too large for any transaction still goes out, alone, and is refused by the service.
-    if (batch.length > 0 && (clash || !room || rest.length > 0)) {
+    if (batch.length > 0 && (conflicts || !fits || rest.length > 0)) {
       rest.push(operation);
       continue;
     }
     batch.push(operation);
     for (const c of operation.conditions) versions.set(c.key, c.version);
-    for (const w of operation.writes) written.add(writtenKey(w));
+    for (const w of operation.writes) writtenKeys.add(writtenKey(w));
     writes += operation.writes.length;
     bytes += operation.bytes;
   }
--- a/src/store/freshness.ts
+++ b/src/store/freshness.ts
@@ -1,9 +1,9 @@
 /** Freshness bound of the replica of the state service. */
 
 /** Answers whose changes the copy lacks are remembered up to so many; leaving one out only makes us more careful. */
-const mostPending = 64;
+const maxPending = 64;
 
-interface Sighting {
+interface RevisionObservation {
   sentAt: number;
   revision: number;
 }
@@ -14,24 +14,24 @@
  * answers, refusals and open watches move nothing, however recently they came.
  */
 export class FreshnessBound {
-  private pending: Sighting[] = [];
+  private pending: RevisionObservation[] = [];
   private knownAt = -Infinity;
-  private newest = -Infinity;
+  private newestSentAt = -Infinity;
 
   /** When the last request was sent whose answer named a revision. */
-  get lastSighting(): number {
-    return this.newest;
+  get lastRevisionSeenAt(): number {
+    return this.newestSentAt;
   }
 
-  note(sentAt: number, revision: number): void {
-    this.newest = Math.max(this.newest, sentAt);
+  recordRevision(sentAt: number, revision: number): void {
+    this.newestSentAt = Math.max(this.newestSentAt, sentAt);
     const last = this.pending.at(-1);
     if (last?.revision === revision) last.sentAt = Math.max(last.sentAt, sentAt);
-    else if (this.pending.length < mostPending) this.pending.push({ sentAt, revision });
+    else if (this.pending.length < maxPending) this.pending.push({ sentAt, revision });
   }
 
   /** Every change committed before this moment of our clock is in a copy that has reached `revision`. */
-  until(revision: number): number {
+  knownUntil(revision: number): number {
     // Asked for with every report, and mostly there is nothing new.
     if (this.pending.every((sighting) => sighting.revision > revision)) return this.knownAt;
     this.pending = this.pending.filter((sighting) => {
--- a/src/store/store.test.ts
+++ b/src/store/store.test.ts
@@ -7,14 +7,14 @@
 import type { Change, Condition, Write } from '../wire/state.js';
 import { reply } from '../testing/store-standin.js';
 import { type CommitOutcome, StoreClient } from './client.js';
-import { CommitStage, takeBatch } from './commit-stage.js';
+import { CommitQueue, takeBatch } from './commit-stage.js';
 import { Mirror } from './mirror.js';
 import { AdaptiveShare } from './adaptive-share.js';
 
 const never = new AbortController().signal;
 
 function stageWith(answer: (conditions: Condition[], writes: Write[]) => CommitOutcome): {
-  stage: CommitStage;
+  stage: CommitQueue;
   sent: number[];
 } {
   const sent: number[] = [];
@@ -24,7 +24,7 @@
       return new Promise((resolve) => setImmediate(() => resolve(answer(conditions, writes))));
     },
   };
-  return { stage: new CommitStage(client, 'duty', testSettings(), never, 40), sent };
+  return { stage: new CommitQueue(client, 'duty', testSettings(), never, 40), sent };
 }
 
 const put = (key: string): [Condition[], Write[]] => [[{ key, version: 0 }], [{ put: key, value: 1 }]];
@@ -84,7 +84,7 @@
   const mirror = new Mirror(client, 0);
   const heard: string[] = [];
   mirror.listen((changes) => heard.push(...changes.map((c) => c.key)));
-  mirror.learnEnd(end.key, { value: end.value, version: 7 });
+  mirror.recordOutcome(end.key, { value: end.value, version: 7 });
   await mirror.follow(stop.signal);
   assert.deepEqual(heard, ['end/req-1']);
   assert.equal(mirror.revision, 7);
@@ -106,11 +106,11 @@
   await mirror.follow(new AbortController().signal);
   // A watch that fails is asked again where it stopped: nothing is read anew.
   assert.deepEqual([asked, mirror.revision], [3, 9]);
-  mirror.learn('job/a', { value: 1, version: 7 });
+  mirror.recordCommitted('job/a', { value: 1, version: 7 });
   assert.equal(mirror.version('job/a'), 0);
   const heard: string[] = [];
   mirror.listen((changes) => heard.push(...changes.map((c) => c.key)));
-  mirror.learn('job/b', { value: 1, version: 10 });
+  mirror.recordCommitted('job/b', { value: 1, version: 10 });
   assert.deepEqual([mirror.version('job/b'), mirror.revision, heard], [10, 9, ['job/b']]);
 });
 
@@ -155,7 +155,7 @@
   await mirror.follow(new AbortController().signal);
   const heard: string[] = [];
   mirror.listen((changes) => heard.push(...changes.map((c) => `${c.deleted ? '-' : '+'}${c.key}`)));
-  whileListing = () => mirror.learn('job/b', { value: 2, version: 11 });
+  whileListing = () => mirror.recordCommitted('job/b', { value: 2, version: 11 });
   await mirror.follow(new AbortController().signal);
   assert.deepEqual(heard, ['+job/b']);
   assert.deepEqual([mirror.version('job/a'), mirror.version('job/b')], [3, 11]);
@@ -165,7 +165,7 @@
 test('a share grows while its controller has to wait and nothing is refused, and halves with a refusal', () => {
   const adaptiveShare = new AdaptiveShare(0);
   const after = (outcome: { refused: boolean; waited: boolean }, times: number, from: number): number => {
-    for (let i = 1; i <= times; i++) adaptiveShare.note(outcome, from + i * 1000);
+    for (let i = 1; i <= times; i++) adaptiveShare.recordCommit(outcome, from + i * 1000);
     return adaptiveShare.factor;
   };
   assert.equal(after({ refused: false, waited: false }, 5, 0), 1);
@@ -180,13 +180,14 @@
 // Guards against a controller that goes on asking for the present rates once lower ones hold, and is refused for ever.
 test('refusals cut an even share down to what coming limits leave of it, and it comes back slowly', () => {
   const adaptiveShare = new AdaptiveShare(0, 0.7);
-  for (let i = 0; i < 3; i++) adaptiveShare.note({ refused: true, waited: false }, i * 100);
+  for (let i = 0; i < 3; i++) adaptiveShare.recordCommit({ refused: true, waited: false }, i * 100);
   assert.equal(adaptiveShare.factor.toFixed(3), '0.729');
-  for (let i = 0; i < 9; i++) adaptiveShare.note({ refused: true, waited: true }, 1000 + i * 100);
+  for (let i = 0; i < 9; i++) adaptiveShare.recordCommit({ refused: true, waited: true }, 1000 + i * 100);
   assert.equal(adaptiveShare.factor, 0.7);
-  for (let i = 0; i < 10; i++) adaptiveShare.note({ refused: false, waited: true }, 3000 + i * 1000);
+  for (let i = 0; i < 10; i++) adaptiveShare.recordCommit({ refused: false, waited: true }, 3000 + i * 1000);
   assert.ok(adaptiveShare.factor > 0.75 && adaptiveShare.factor < 0.85);
-  for (let i = 0; i < 60; i++) adaptiveShare.note({ refused: false, waited: false }, 20_000 + i * 1000);
+  for (let i = 0; i < 60; i++)
+    adaptiveShare.recordCommit({ refused: false, waited: false }, 20_000 + i * 1000);
   assert.equal(adaptiveShare.factor, 1);
 });
 
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -8,7 +8,7 @@
 import type { LedgerLayout } from '../placement/ledger-layout.js';
 import { Scheduler } from '../placement/scheduler.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitStage } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-stage.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { LeasedMachine, Shares } from '../wire/block-records.js';
 import { tasksPerChunk } from '../wire/ledger-records.js';
@@ -98,7 +98,7 @@
   const commits = {
     full: false,
     commit: (conditions: Condition[]) => Promise.resolve(answer(conditions, stage)),
-  } as unknown as CommitStage;
+  } as unknown as CommitQueue;
   const scheduler = new Scheduler({
     clock: () => 0,
     wallClock: () => 0,
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -5,8 +5,8 @@
 import { EndReader } from '../intake/end-reader.js';
 import { Intake, type IntakePorts } from '../intake/intake.js';
 import { JobIndex } from '../placement/job-index.js';
-import type { Lane, StoreClient } from '../store/client.js';
-import { CommitStage } from '../store/commit-stage.js';
+import type { TrafficClass, StoreClient } from '../store/client.js';
+import { CommitQueue } from '../store/commit-stage.js';
 import { Mirror } from '../store/mirror.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { Item } from '../wire/state.js';
@@ -53,14 +53,15 @@
   static async create(store: HeldStore, id: string, options: UserSideOptions = {}): Promise<UserSide> {
     const settings = testSettings();
     const { signal } = new AbortController();
-    const stage = (lane: Lane): CommitStage => new CommitStage(store, lane, settings, signal, stageBound);
+    const stage = (lane: TrafficClass): CommitQueue =>
+      new CommitQueue(store, lane, settings, signal, stageBound);
     const mirror = new Mirror(
       { list: (prefix) => listFor(store, prefix, options), watch: () => new Promise(() => undefined) },
       0,
     );
     const jobIndex = new JobIndex(
       () => 0,
-      (id) => mirror.endOf(id),
+      (id) => mirror.outcomeOf(id),
     );
     mirror.listen((changes) => jobIndex.apply(changes));
     void mirror.follow(signal);
