--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -10,45 +10,47 @@
 import { BlockAllocator, type BlockAllocatorPorts } from './block-allocator.js';
 
 const labels = ['keel-0', 'keel-1', 'keel-2'];
-const fresh: LeasedMachine = {
+const unassignedMachine: LeasedMachine = {
   id: 'm1',
-  token: 0,
+  fencingToken: 0,
   type: 'c8',
   zone: 'a',
   spot: false,
-  leaving: false,
-  since: 0,
+  draining: false,
+  rentedAt: 0,
 };
 
 /** Blocks whose versions and records change together, between any two turns. */
 class ChangingRegistry {
-  private version_ = 1;
+  private currentVersion = 1;
   /** Called with every look at the blocks. */
-  onLook: () => void = () => undefined;
+  onRead: () => void = () => undefined;
 
   /** As when an owner renews its leases: a new life, and a new version. */
   change(): void {
-    this.version_++;
+    this.currentVersion++;
   }
 
-  readonly upgraded = false;
+  readonly isClusterUpgraded = false;
 
-  stored(): undefined {
+  storedBlock(): undefined {
     return undefined;
   }
 
-  version(): number {
-    return this.version_;
+  blockVersion(): number {
+    return this.currentVersion;
   }
 
   blocks(): Map<number, BlockRecord> {
-    const boot = `life-${this.version_}`;
-    this.onLook();
-    return new Map(labels.map((owner, block) => [block, { owner, boot, shares: {}, machines: [] }]));
+    const incarnation = `life-${this.currentVersion}`;
+    this.onRead();
+    return new Map(
+      labels.map((owner, block) => [block, { owner, incarnation, quotaShares: {}, machines: [] }]),
+    );
   }
 
-  alive(): { label: string; boot: string; zone: string }[] {
-    return labels.map((label) => ({ label, boot: `life-${this.version_}`, zone: 'a' }));
+  liveMembers(): { label: string; incarnation: string; zone: string }[] {
+    return labels.map((label) => ({ label, incarnation: `life-${this.currentVersion}`, zone: 'a' }));
   }
 
   isAlive(): boolean {
@@ -71,21 +73,21 @@
     log: silentLog,
     term,
     registry,
-    boot: 'b',
-    periodMs: 1000,
+    incarnation: 'b',
+    quotaSharePeriodMs: 1000,
     settings: { ...testSettings(), teams: new Map() },
-    jobIndex: { jobs: empty, loads: () => empty, inOrder: () => [], activeTasks: () => [] },
+    jobIndex: { jobs: empty, machineLoads: () => empty, inQueueOrder: () => [], activeTasks: () => [] },
     fleet: {
-      fresh: new Map([[fresh.id, fresh]]),
-      gone: new Set(),
-      unwanted: new Set(),
-      lost: new Set(),
-      waiting: () => 0,
+      unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
+      terminated: new Set(),
+      toDrain: new Set(),
+      presumedTerminated: new Set(),
+      waitingSlots: () => 0,
     },
     store: { failing: false },
     mirror: { revision: 1 },
-    types: () => empty,
-    up: () => true,
+    machineTypes: () => empty,
+    isBooted: () => true,
     lookahead: 0,
     commits: {
       writableLength: 0,
@@ -104,14 +106,14 @@
 // Guards against the record of an earlier version that is written over a newer one: an owner's renewed leases were undone.
 test('a block record is built on the very version that its commit is conditioned on', async () => {
   const registry = new ChangingRegistry();
-  registry.onLook = () => {
-    registry.onLook = () => undefined;
+  registry.onRead = () => {
+    registry.onRead = () => undefined;
     queueMicrotask(() => registry.change());
   };
   const { conditions, writes } = await firstCommitOf(registry);
   const [write] = writes;
   assert.ok(write && 'put' in write);
   const condition = conditions.find(({ key }) => key === write.put);
-  assert.equal(parseBlock(write.value, 0)?.boot, `life-${condition?.version}`);
+  assert.equal(parseBlock(write.value, 0)?.incarnation, `life-${condition?.version}`);
   assert.ok(labels.some((_, block) => blockKey(block) === write.put));
 });
--- a/src/blocks/block-leases.ts
+++ b/src/blocks/block-leases.ts
@@ -6,7 +6,7 @@
 import type { MachineType } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
 import type { JobIndex } from '../placement/job-index.js';
-import type { OrderOfWork } from '../placement/order.js';
+import type { QueueOrder } from '../placement/order.js';
 import { Scheduler } from '../placement/scheduler.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
@@ -19,10 +19,10 @@
 import { HealthMonitor } from '../workers/health-monitor.js';
 import type { MachineState } from '../workers/machine-state.js';
 import { BlockWriter } from './block-writer.js';
-import { giveTo } from './leasing.js';
-import type { Registry } from './registry.js';
+import { transferBlock } from './leasing.js';
+import type { BlockRegistry } from './registry.js';
 
-export interface BlockLeasesPorts {
+export interface OwnedBlocksPorts {
   clock: Clock;
   wallClock: () => number;
   log: Log;
@@ -32,86 +32,89 @@
   commits: CommitQueue;
   mirror: Mirror;
   jobIndex: JobIndex;
-  registry: Registry;
+  registry: BlockRegistry;
   cloud: CloudClient;
   /** The store has lately answered us. */
-  inTouch: () => boolean;
+  isStoreReachable: () => boolean;
   /** None of the machines of a block is heard of. */
-  onUnheard: () => void;
-  order: OrderOfWork;
-  boot: string;
+  onNoHeartbeats: () => void;
+  order: QueueOrder;
+  incarnation: string;
   signal: AbortSignal;
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-interface HeldBlock {
+interface OwnedBlock {
   blockState: BlockState;
   scheduler: Scheduler;
-  stop: AbortController;
+  abortController: AbortController;
   layout: LedgerLayout;
 }
 
 /** The blocks that are leased to this controller, each with its state and its duties. */
-export class BlockLeases {
-  private readonly held = new Map<number, HeldBlock>();
-  private renewing = false;
+export class OwnedBlocks {
+  private readonly owned = new Map<number, OwnedBlock>();
+  private isRenewing = false;
   /** Revisions of renewals, which the copy must have reached before a block is begun. */
-  private readonly renewedAt = new Map<number, number>();
+  private readonly renewalRevisions = new Map<number, number>();
   /** Those of them that were for the sake of a new layout of the ledger. */
-  private readonly relaidAt = new Map<number, number>();
+  private readonly layoutRenewalRevisions = new Map<number, number>();
   private readonly writer: BlockWriter;
 
-  constructor(private readonly ports: BlockLeasesPorts) {
+  constructor(private readonly ports: OwnedBlocksPorts) {
     this.writer = new BlockWriter(ports);
     // A controller that is stopping must not go on judging machines that it no longer hears.
     const endAll = (): void => {
-      for (const [block, heldBlock] of this.held) this.end(block, heldBlock);
+      for (const [block, heldBlock] of this.owned) this.stopBlock(block, heldBlock);
     };
     ports.signal.addEventListener('abort', endAll, { once: true });
   }
 
   blockStates(): BlockState[] {
-    return [...this.held.values()].map((heldBlock) => heldBlock.blockState);
+    return [...this.owned.values()].map((heldBlock) => heldBlock.blockState);
   }
 
-  find(machine: string): { blockState: BlockState; scheduler: Scheduler; machine: MachineState } | undefined {
-    for (const { blockState, scheduler } of this.held.values()) {
+  findMachine(
+    machine: string,
+  ): { blockState: BlockState; scheduler: Scheduler; machine: MachineState } | undefined {
+    for (const { blockState, scheduler } of this.owned.values()) {
       const found = blockState.machines.get(machine);
-      if (found && found.token > 0) return { blockState, scheduler, machine: found };
+      if (found && found.fencingToken > 0) return { blockState, scheduler, machine: found };
     }
     return undefined;
   }
 
   /** Called after every batch of changes of the copy, which is where leases come and go. */
-  follow(changes: Change[]): void {
-    const { registry, settings, boot, signal } = this.ports;
+  applyChanges(changes: Change[]): void {
+    const { registry, settings, incarnation, signal } = this.ports;
     if (signal.aborted) return;
     const blocks = registry.blocks();
-    const layout = ledgerLayout(settings, registry.upgraded);
-    for (const [block, heldBlock] of this.held) {
+    const layout = ledgerLayout(settings, registry.isClusterUpgraded);
+    for (const [block, heldBlock] of this.owned) {
       const record = blocks.get(block);
-      if (record?.owner !== settings.label || record.boot !== boot) this.end(block, heldBlock);
-      else if (this.isRelaid(block, heldBlock, layout)) this.end(block, heldBlock);
-      else if (heldBlock.blockState.apply(changes)) heldBlock.scheduler.poke();
+      if (record?.owner !== settings.label || record.incarnation !== incarnation)
+        this.stopBlock(block, heldBlock);
+      else if (this.isLayoutRenewed(block, heldBlock, layout)) this.stopBlock(block, heldBlock);
+      else if (heldBlock.blockState.applyChanges(changes)) heldBlock.scheduler.requestRound();
     }
     for (const [block, record] of blocks) {
       if (record.owner !== settings.label) continue;
-      const version = registry.version(block);
-      const isOfEarlierLife = record.boot !== boot;
-      const isOutdated = this.isOutdated(this.held.get(block), layout);
-      const isDue = isOfEarlierLife || (isOutdated && !this.relaidAt.has(block));
-      if (isDue && !this.renewing) void this.renew(block, record, isOutdated);
+      const version = registry.blockVersion(block);
+      const isOfEarlierLife = record.incarnation !== incarnation;
+      const isOutdated = this.hasOutdatedLayout(this.owned.get(block), layout);
+      const isDue = isOfEarlierLife || (isOutdated && !this.layoutRenewalRevisions.has(block));
+      if (isDue && !this.isRenewing) void this.renewLease(block, record, isOutdated);
       // Nothing may be committed in the old layout under the version of the renewal.
-      if (isOfEarlierLife || (isOutdated && this.renewing)) continue;
-      if (version < (this.renewedAt.get(block) ?? 0)) continue;
-      const heldBlock = this.held.get(block) ?? this.begin(block, layout);
+      if (isOfEarlierLife || (isOutdated && this.isRenewing)) continue;
+      if (version < (this.renewalRevisions.get(block) ?? 0)) continue;
+      const heldBlock = this.owned.get(block) ?? this.startBlock(block, layout);
       if (heldBlock.blockState.version === version) continue;
-      heldBlock.blockState.applyBlock(record, version);
-      heldBlock.scheduler.poke();
+      heldBlock.blockState.applyBlockRecord(record, version);
+      heldBlock.scheduler.requestRound();
     }
   }
 
-  private isOutdated(heldBlock: HeldBlock | undefined, layout: LedgerLayout): boolean {
+  private hasOutdatedLayout(heldBlock: OwnedBlock | undefined, layout: LedgerLayout): boolean {
     return heldBlock !== undefined && heldBlock.layout.chunkTasks !== layout.chunkTasks;
   }
 
@@ -120,31 +123,31 @@
    * fresh tokens and a version that leaves what is still under way without its condition, and is then begun anew as after a
    * restart.
    */
-  private isRelaid(block: number, heldBlock: HeldBlock, layout: LedgerLayout): boolean {
-    const relaidAt = this.relaidAt.get(block) ?? Infinity;
-    return this.isOutdated(heldBlock, layout) && this.ports.registry.version(block) >= relaidAt;
+  private isLayoutRenewed(block: number, heldBlock: OwnedBlock, layout: LedgerLayout): boolean {
+    const relaidAt = this.layoutRenewalRevisions.get(block) ?? Infinity;
+    return this.hasOutdatedLayout(heldBlock, layout) && this.ports.registry.blockVersion(block) >= relaidAt;
   }
 
   /**
    * A block leased to an earlier life of this process. That life knew which reports were the latest and may have left
    * transactions under way; fresh tokens and a new version of the block put both behind us.
    */
-  private async renew(block: number, record: BlockRecord, isOutdated: boolean): Promise<void> {
-    const { settings, boot, log } = this.ports;
-    this.renewing = true;
+  private async renewLease(block: number, record: BlockRecord, isOutdated: boolean): Promise<void> {
+    const { settings, incarnation, log } = this.ports;
+    this.isRenewing = true;
     const renewed = { ...record, machines: record.machines.map((m) => ({ ...m })) };
-    giveTo(renewed, { label: settings.label, boot, zone: settings.zone });
+    transferBlock(renewed, { label: settings.label, incarnation, zone: settings.zone });
     const { outcome } = await this.writer.write(block, renewed);
     if (outcome.kind === 'applied') {
-      this.renewedAt.set(block, outcome.revision);
-      if (isOutdated) this.relaidAt.set(block, outcome.revision);
+      this.renewalRevisions.set(block, outcome.revision);
+      if (isOutdated) this.layoutRenewalRevisions.set(block, outcome.revision);
     }
     log.info({ event: 'lease-renewed', block, outcome: outcome.kind }, 'lease of an earlier life renewed');
     // Whether it was applied, the watch tells; were it not, the next change tries again.
-    this.renewing = false;
+    this.isRenewing = false;
   }
 
-  private begin(block: number, layout: LedgerLayout): HeldBlock {
+  private startBlock(block: number, layout: LedgerLayout): OwnedBlock {
     const { ports } = this;
     const { settings, log, clock, wallClock, mirror, order, jobIndex } = ports;
     const stop = new AbortController();
@@ -154,12 +157,12 @@
     const blockState = new BlockState({
       block,
       layout,
-      reportMs: settings.reportMs,
+      heartbeatIntervalMs: settings.heartbeatIntervalMs,
       teams: settings.teams,
       clock,
       wallClock,
-      order,
-      chainOf: (spec) => jobIndex.chainOf(spec),
+      queueOrder: order,
+      dependencyFactsOf: (spec) => jobIndex.dependencyFactsOf(spec),
     });
     blockState.load(mirror);
     const scheduler = new Scheduler({ ...ports, blockState, signal: stop.signal });
@@ -167,10 +170,10 @@
       ...ports,
       blockState,
       signal: stop.signal,
-      onFreed: () => scheduler.poke(),
+      onTasksRequeued: () => scheduler.requestRound(),
     });
-    const heldBlock = { blockState, scheduler, stop, layout };
-    this.held.set(block, heldBlock);
+    const heldBlock = { blockState, scheduler, abortController: stop, layout };
+    this.owned.set(block, heldBlock);
     void runRoutine(`scheduler-${block}`, signal, log, () => scheduler.run());
     void runRoutine(`health-monitor-${block}`, signal, log, () => healthMonitor.run());
     const { chunkTasks } = layout;
@@ -178,9 +181,9 @@
     return heldBlock;
   }
 
-  private end(block: number, heldBlock: HeldBlock): void {
-    heldBlock.stop.abort();
-    this.held.delete(block);
+  private stopBlock(block: number, heldBlock: OwnedBlock): void {
+    heldBlock.abortController.abort();
+    this.owned.delete(block);
     this.ports.log.info({ event: 'lease-over', block }, 'block is no longer ours');
   }
 }
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -8,8 +8,8 @@
 import { formatRecord } from '../wire/controller-records.js';
 import { blockKey, formatKey } from '../wire/keys.js';
 import { BlockWriter, type BlockWriteResult } from './block-writer.js';
-import { giveTo } from './leasing.js';
-import { Registry } from './registry.js';
+import { transferBlock } from './leasing.js';
+import { BlockRegistry } from './registry.js';
 
 const labels = ['keel-0', 'keel-1', 'keel-2'];
 const nextLimits = { value_kb: 2, txn_ops: 6 };
@@ -18,17 +18,17 @@
   const kind = { type: ['harju16', 'toompea32'][i % 2] ?? '', zone: labels[i % 3] ?? '', spot: i % 5 > 0 };
   return {
     id: `vm-${String(i).padStart(6, '0')}`,
-    token: 1,
+    fencingToken: 1,
     ...kind,
-    leaving: false,
-    since: 1e12,
+    draining: false,
+    rentedAt: 1e12,
     ...change,
   };
 }
 
 function recordOf(count: number): BlockRecord {
   const machines = Array.from({ length: count }, (_, i) => machine(i));
-  return { owner: 'keel-0', boot: 'life', machines, shares: { red: [4, 0] } };
+  return { owner: 'keel-0', incarnation: 'life', machines, quotaShares: { red: [4, 0] } };
 }
 
 /** A store in which every controller has run with this version, and a block as the version before has written it. */
@@ -53,8 +53,8 @@
     this.store.forgetSizes();
   }
 
-  async registry(): Promise<Registry> {
-    return new Registry(await mirrorOf(this.store), labels);
+  async registry(): Promise<BlockRegistry> {
+    return new BlockRegistry(await mirrorOf(this.store), labels);
   }
 
   async read(): Promise<BlockRecord> {
@@ -80,7 +80,7 @@
     const stage = new Stage();
     await stage.prepare(230, labels.slice(1));
     await stage.write(recordOf(231));
-    assert.deepEqual((await stage.registry()).stored(0)?.inline, true);
+    assert.deepEqual((await stage.registry()).storedBlock(0)?.isInline, true);
     assert.equal((await stage.read()).machines.length, 231);
   });
 
@@ -88,7 +88,7 @@
     const stage = new Stage();
     await stage.prepare(10);
     await stage.write(recordOf(11));
-    assert.deepEqual((await stage.registry()).stored(0)?.inline, true);
+    assert.deepEqual((await stage.registry()).storedBlock(0)?.isInline, true);
   });
 
   // Guards against a block that can never be written again: its record has outgrown the service's new limits.
@@ -98,13 +98,13 @@
       await stage.prepare(machines);
       const before = await stage.read();
       stage.store.onWrite = async () => assert.deepEqual(idsOf(await stage.read()), idsOf(before));
-      const { outcome } = await stage.write({ ...before, shares: { red: [8, 0] } });
+      const { outcome } = await stage.write({ ...before, quotaShares: { red: [8, 0] } });
       await stage.store.checked;
       assert.equal(outcome.kind, 'applied');
       const after = await stage.read();
       assert.deepEqual(idsOf(after), idsOf(before));
-      assert.ok(after.machines.every(({ token }) => token === 1));
-      assert.deepEqual(after.shares, { red: [8, 0] });
+      assert.ok(after.machines.every(({ fencingToken }) => fencingToken === 1));
+      assert.deepEqual(after.quotaShares, { red: [8, 0] });
       assert.ok(stage.store.largestValue <= 2048, `${stage.store.largestValue} bytes`);
       assert.ok(stage.store.largestWrites <= 6);
     });
@@ -123,14 +123,14 @@
   test('changes hands in one change, with tokens above all before', async () => {
     const stage = await paged(4000);
     const next = await stage.read();
-    giveTo(next, { label: 'keel-1', boot: 'other', zone: 'a' });
+    transferBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
     const { outcome } = await stage.write(next);
     assert.equal(stage.store.largestWrites, 1);
     const { owner, machines } = await stage.read();
     assert.equal(owner, 'keel-1');
     assert.equal(machines.length, 4000);
     const revision = outcome.kind === 'applied' ? outcome.revision : 0;
-    assert.ok(machines.every(({ token }) => token === revision));
+    assert.ok(machines.every(({ fencingToken }) => fencingToken === revision));
   });
 
   test('names a new machine, one that leaves and one less with a change of few pages, the others keep their tokens', async () => {
@@ -139,8 +139,8 @@
     const gone = next.machines.pop()?.id;
     const leaving = next.machines[0];
     assert.ok(leaving);
-    leaving.leaving = true;
-    next.machines.push(machine(5000, { token: 0 }));
+    leaving.draining = true;
+    next.machines.push(machine(5000, { fencingToken: 0 }));
     await stage.write(next);
     assert.ok(stage.store.largestWrites <= 4);
     const { machines } = await stage.read();
@@ -150,32 +150,32 @@
       false,
     );
     assert.deepEqual(
-      machines.filter((one) => one.leaving).map(({ id }) => id),
+      machines.filter((one) => one.draining).map(({ id }) => id),
       [leaving.id],
     );
     const fresh = machines.find(({ id }) => id === 'vm-005000');
-    assert.ok(fresh && fresh.token > 1);
-    assert.ok(machines.filter((one) => one !== fresh).every(({ token }) => token === 1));
+    assert.ok(fresh && fresh.fencingToken > 1);
+    assert.ok(machines.filter((one) => one !== fresh).every(({ fencingToken: token }) => token === 1));
   });
 
   // Guards against intents on a machine that is to be given back: each step has a version of its own.
   test('of which more pages change than a transaction holds changes in steps that all renew its version', async () => {
     const stage = await paged(1300);
     const next = await stage.read();
-    for (const one of next.machines) one.leaving = true;
+    for (const one of next.machines) one.draining = true;
     const versions = new Set<number>();
-    stage.store.onWrite = async () => void versions.add((await stage.registry()).version(0));
+    stage.store.onWrite = async () => void versions.add((await stage.registry()).blockVersion(0));
     await stage.write(next);
     await stage.store.checked;
     assert.ok(versions.size >= 5);
     assert.ok(stage.store.largestWrites <= 6);
-    assert.ok((await stage.read()).machines.every(({ leaving }) => leaving));
+    assert.ok((await stage.read()).machines.every(({ draining }) => draining));
   });
 
   test('whose steps meet a conflict is left as a mixture of both, and says so', async () => {
     const stage = await paged(1300);
     const next = await stage.read();
-    for (const one of next.machines) one.leaving = true;
+    for (const one of next.machines) one.draining = true;
     let writes = 0;
     stage.store.onWrite = async () => {
       if (++writes === 2)
@@ -187,7 +187,7 @@
     };
     const { outcome } = await stage.write(next);
     assert.equal(outcome.kind, 'conflict');
-    const left = (await stage.read()).machines.filter(({ leaving }) => leaving).length;
+    const left = (await stage.read()).machines.filter(({ draining: leaving }) => leaving).length;
     assert.ok(left > 0 && left < 1300);
   });
 });
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -8,14 +8,14 @@
   type BlockRecord,
   type LeasedMachine,
   blockRecord,
-  kindOfMachine,
+  machineKind,
   machineGroups,
   pagedBlockRecord,
-  tokenOfThisCommit,
+  tokenOfOwnCommit,
 } from '../wire/block-records.js';
 import { blockKey, machinesKey } from '../wire/keys.js';
-import { type Condition, type Write, transactionBytes } from '../wire/state.js';
-import type { Registry, StoredBlock } from './registry.js';
+import { type Condition, type Write, maxTransactionBytes } from '../wire/state.js';
+import type { BlockRegistry, StoredBlock } from './registry.js';
 
 /** A change of one page; without machines it is dropped. */
 export interface PageChange {
@@ -24,13 +24,13 @@
 }
 
 /** A record that takes more than this part of a value leaves the naming of its machines to pages. */
-const inlineShare = 1 / 2;
+const maxInlineRecordRatio = 1 / 2;
 /** Digits that a token may take. */
-const tokenDigits = 16;
+const fencingTokenDigits = 16;
 
 /** How many bytes the machines of a page may take: several pages fit a transaction together. */
 export function machinePageBytes({ state }: Pick<Settings, 'state'>): number {
-  return Math.min(state.valueBytes, Math.floor(transactionBytes / state.txnOps));
+  return Math.min(state.valueBytes, Math.floor(maxTransactionBytes / state.txnOps));
 }
 
 /**
@@ -43,15 +43,15 @@
 ): Map<number, LeasedMachine[]> {
   const pages = new Map<number, { bytes: number; kinds: Set<string>; machines: LeasedMachine[] }>();
   const costOn = (page: number, machine: LeasedMachine): number => {
-    const [group] = machineGroups([{ ...machine, token: 0 }]);
-    const known = pages.get(page)?.kinds.has(kindOfMachine(machine)) === true;
-    const entry = machine.id.length + tokenDigits * 2;
+    const [group] = machineGroups([{ ...machine, fencingToken: 0 }]);
+    const known = pages.get(page)?.kinds.has(machineKind(machine)) === true;
+    const entry = machine.id.length + fencingTokenDigits * 2;
     return known ? entry : entry + sizeOf(group);
   };
   const put = (page: number, machine: LeasedMachine): void => {
     const to = pages.get(page) ?? { bytes: 0, kinds: new Set<string>(), machines: [] };
     to.bytes += costOn(page, machine);
-    to.kinds.add(kindOfMachine(machine));
+    to.kinds.add(machineKind(machine));
     to.machines.push(machine);
     pages.set(page, to);
   };
@@ -73,19 +73,20 @@
   stored: StoredBlock | undefined,
   next: ReadonlyMap<number, LeasedMachine[]>,
 ): PageChange[] {
-  const named = stored?.inline === false ? stored.record.machines : [];
+  const named = stored?.isInline === false ? stored.record.machines : [];
   const before = groupBy(named, ({ page }) => page ?? 0);
   const changes = [...next]
-    .filter(([page, machines]) => !sameMachines(before.get(page) ?? [], machines))
+    .filter(([page, machines]) => !haveSameMachines(before.get(page) ?? [], machines))
     .map(([page, machines]) => ({ page, machines }));
-  for (const page of stored?.pages.keys() ?? []) if (!next.has(page)) changes.push({ page, machines: [] });
+  for (const page of stored?.pageVersions.keys() ?? [])
+    if (!next.has(page)) changes.push({ page, machines: [] });
   return changes;
 }
 
-function sameMachines(a: LeasedMachine[], b: LeasedMachine[]): boolean {
+function haveSameMachines(a: LeasedMachine[], b: LeasedMachine[]): boolean {
   if (a.length !== b.length) return false;
-  const leaving = new Map(a.map((machine) => [machine.id, machine.leaving]));
-  return b.every((machine) => leaving.get(machine.id) === machine.leaving);
+  const leaving = new Map(a.map((machine) => [machine.id, machine.draining]));
+  return b.every((machine) => leaving.get(machine.id) === machine.draining);
 }
 
 export interface BlockWriteResult {
@@ -96,7 +97,7 @@
 
 export interface BlockWriterPorts {
   settings: Settings;
-  registry: Pick<Registry, 'version' | 'stored' | 'upgraded'>;
+  registry: Pick<BlockRegistry, 'blockVersion' | 'storedBlock' | 'isClusterUpgraded'>;
   commits: CommitQueue;
 }
 
@@ -114,7 +115,7 @@
   /** Conditioned on the block as the copy of the store has it. `guards`: what has to hold beside that. */
   async write(block: number, next: BlockRecord, guards: Condition[] = []): Promise<BlockWriteResult> {
     const { registry, commits } = this.ports;
-    const unchanged: Condition = { key: blockKey(block), version: registry.version(block) };
+    const unchanged: Condition = { key: blockKey(block), version: registry.blockVersion(block) };
     if (this.needsPages(block, next)) return this.writePages(block, next, unchanged, guards);
     const outcome = await commits.commit(
       [...guards, unchanged],
@@ -126,9 +127,9 @@
   /** Once on pages, a block stays there: whoever wrote it so knew that all controllers read it. */
   private needsPages(block: number, next: BlockRecord): boolean {
     const { registry, settings } = this.ports;
-    if (registry.stored(block)?.inline === false) return true;
-    if (!registry.upgraded) return false;
-    return sizeOf(blockRecord(next)) > settings.state.valueBytes * inlineShare;
+    if (registry.storedBlock(block)?.isInline === false) return true;
+    if (!registry.isClusterUpgraded) return false;
+    return sizeOf(blockRecord(next)) > settings.state.valueBytes * maxInlineRecordRatio;
   }
 
   private async writePages(
@@ -138,10 +139,10 @@
     guards: Condition[],
   ): Promise<BlockWriteResult> {
     const { settings, registry, commits } = this.ports;
-    const stored = registry.stored(block);
+    const stored = registry.storedBlock(block);
     const pages = assignPages(next.machines, machinePageBytes(settings));
     const changes = changedPages(stored, pages);
-    const versions = new Map(stored?.pages);
+    const versions = new Map(stored?.pageVersions);
     const perStep = settings.state.txnOps - 1;
     let record = next;
     let version = unchanged.version;
@@ -149,13 +150,17 @@
       const step = changes.slice(at, at + perStep);
       const isLast = at + perStep >= changes.length;
       // While the record names the machines itself, only the last step may touch it.
-      const touchesRecord = isLast || stored?.inline !== true;
+      const touchesRecord = isLast || stored?.isInline !== true;
       const writes = step.map((change) => pageWrite(block, change));
       if (touchesRecord) writes.push({ put: blockKey(block), value: pagedBlockRecord(record) });
       const conditions = [
         ...guards,
         { key: unchanged.key, version },
-        ...conditionsOn(block, versions, stored?.inline === true && isLast ? pages.keys() : stepPages(step)),
+        ...pageConditions(
+          block,
+          versions,
+          stored?.isInline === true && isLast ? pages.keys() : pageNumbers(step),
+        ),
       ];
       const outcome = await commits.commit(conditions, writes);
       if (outcome.kind !== 'applied' || isLast) return { outcome, version };
@@ -163,17 +168,17 @@
       if (touchesRecord) {
         version = outcome.revision;
         // Fresh tokens come from the first step: the others must not raise them again.
-        if (record.leaseToken === tokenOfThisCommit) record = { ...record, leaseToken: version };
+        if (record.leaseFencingToken === tokenOfOwnCommit) record = { ...record, leaseFencingToken: version };
       }
     }
   }
 }
 
-function* stepPages(step: PageChange[]): Iterable<number> {
+function* pageNumbers(step: PageChange[]): Iterable<number> {
   for (const { page } of step) yield page;
 }
 
-function conditionsOn(
+function pageConditions(
   block: number,
   versions: ReadonlyMap<number, number>,
   pages: Iterable<number>,
--- a/src/blocks/blocks.test.ts
+++ b/src/blocks/blocks.test.ts
@@ -2,51 +2,55 @@
 import { test } from 'node:test';
 import type { JobSpec } from '../model/types.js';
 import { JobIndex, type IndexedEntry } from '../placement/job-index.js';
-import { OrderOfWork, type Queued, unchained } from '../placement/order.js';
+import { QueueOrder, type QueuedJob, withoutDependencies } from '../placement/order.js';
 import { testSettings } from '../testing/settings.js';
 import { machineType } from '../testing/cloud-standin.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
-import type { Part } from '../wire/job-records.js';
-import { type LeaseFacts, nextBlocks } from './leasing.js';
-import { BlockCapacity, mergeParts, undispatched } from './block-capacity.js';
-import { restore, takeBack } from './rebalance.js';
-import { nextShares } from './shares.js';
+import type { TaskRange } from '../wire/job-records.js';
+import { type AssignmentInput, assignBlocks } from './leasing.js';
+import { CapacityEstimate, mergeTaskRanges, undispatchedRanges } from './block-capacity.js';
+import { restoreStartedTasks, recallTasks } from './rebalance.js';
+import { allocateQuotaShares } from './shares.js';
 
 const machine = (id: string, zone = 'a', change: Partial<LeasedMachine> = {}): LeasedMachine => ({
   id,
-  token: 5,
+  fencingToken: 5,
   type: 'c8',
   zone,
   spot: false,
-  leaving: false,
-  since: 0,
+  draining: false,
+  rentedAt: 0,
   ...change,
 });
 const block = (owner: string, ...machines: LeasedMachine[]): BlockRecord => ({
   owner,
-  boot: 'b',
-  shares: {},
+  incarnation: 'b',
+  quotaShares: {},
   machines,
 });
-const members = ['k0', 'k1', 'k2'].map((label, i) => ({ label, boot: 'b', zone: i === 0 ? 'a' : 'b' }));
+const members = ['k0', 'k1', 'k2'].map((label, i) => ({
+  label,
+  incarnation: 'b',
+  zone: i === 0 ? 'a' : 'b',
+}));
 
-function lease(change: Partial<LeaseFacts>): Map<number, BlockRecord> {
-  return nextBlocks({
-    count: 3,
+function lease(change: Partial<AssignmentInput>): Map<number, BlockRecord> {
+  return assignBlocks({
+    blockCount: 3,
     blocks: new Map([
       [0, block('k0', machine('m1'))],
       [1, block('k1', machine('m2', 'b'))],
       [2, block('k2')],
     ]),
-    alive: members,
-    settled: new Set(['k0', 'k1', 'k2']),
-    fresh: [],
-    gone: new Set<string>(),
-    busy: new Set<string>(),
-    unwanted: new Set<string>(),
-    waiting: () => 0,
-    shares: new Map(),
+    liveMembers: members,
+    stableMembers: new Set(['k0', 'k1', 'k2']),
+    unassignedMachines: [],
+    terminatedMachines: new Set<string>(),
+    machinesWithTasks: new Set<string>(),
+    drainingMachines: new Set<string>(),
+    waitingSlots: () => 0,
+    quotaShares: new Map(),
     ...change,
   });
 }
@@ -56,11 +60,11 @@
 });
 
 test("a dead controller's block goes to another with fresh tokens, the other blocks keep theirs", () => {
-  const next = lease({ alive: members.slice(1) });
+  const next = lease({ liveMembers: members.slice(1) });
   assert.deepEqual([...next.keys()], [0]);
   assert.equal(next.get(0)?.owner, 'k1');
   assert.deepEqual(
-    next.get(0)?.machines.map((m) => m.token),
+    next.get(0)?.machines.map((m) => m.fencingToken),
     [0],
   );
 });
@@ -71,34 +75,34 @@
     [1, block('k1', machine('m2'), machine('m3'))],
     [2, block('k2')],
   ]);
-  assert.equal(lease({ blocks, settled: new Set(['k1', 'k2']) }).size, 0);
+  assert.equal(lease({ blocks, stableMembers: new Set(['k1', 'k2']) }).size, 0);
   assert.equal(lease({ blocks }).get(0)?.owner, 'k0');
 });
 
 test('a new machine goes to a controller of its zone, or to where alone work waits', () => {
   assert.ok(
-    lease({ fresh: [machine('m9', 'a', { token: 0 })] })
+    lease({ unassignedMachines: [machine('m9', 'a', { fencingToken: 0 })] })
       .get(0)
       ?.machines.some((m) => m.id === 'm9'),
   );
   const waiting = (b: number): number => (b === 2 ? 4 : 0);
   assert.ok(
-    lease({ fresh: [machine('m9', 'a', { token: 0 })], waiting })
+    lease({ unassignedMachines: [machine('m9', 'a', { fencingToken: 0 })], waitingSlots: waiting })
       .get(2)
       ?.machines.some((m) => m.id === 'm9'),
   );
 });
 
 test('a machine that is gone stays in its block until its tasks have left it', () => {
-  assert.equal(lease({ gone: new Set(['m1']), busy: new Set(['m1']) }).size, 0);
-  assert.deepEqual(lease({ gone: new Set(['m1']) }).get(0)?.machines, []);
+  assert.equal(lease({ terminatedMachines: new Set(['m1']), machinesWithTasks: new Set(['m1']) }).size, 0);
+  assert.deepEqual(lease({ terminatedMachines: new Set(['m1']) }).get(0)?.machines, []);
 });
 
 test("shares never add up to more than the team's limit, whatever is in use beyond them", () => {
   const { teams } = testSettings();
   const need = { cpus: 4, accelerators: 0, memoryGb: 1 };
   const blocks = new Map([
-    [0, { ...block('k0'), shares: { red: [24, 0] as [number, number] } }],
+    [0, { ...block('k0'), quotaShares: { red: [24, 0] as [number, number] } }],
     [1, block('k1')],
   ]);
   const used: [number, number][] = [
@@ -111,14 +115,14 @@
     blocks,
     demand: (b: number) => ({ used: used[b] ?? [0, 0], waiting: waiting[b] ?? [] }),
   };
-  const next = nextShares(facts);
+  const next = allocateQuotaShares(facts);
   const share = (b: number): number => next.get(b)?.['red']?.[0] ?? 0;
   // 32 in all: 24 are leased to the first block, so only 8 are free now, and its share is cut to what it uses.
   assert.deepEqual([share(0), share(1)], [20, 8]);
   // Once the cut is in force, the rest is there to give.
-  blocks.set(0, { ...block('k0'), shares: { red: [20, 0] } });
-  blocks.set(1, { ...block('k1'), shares: { red: [8, 0] } });
-  const later = nextShares(facts);
+  blocks.set(0, { ...block('k0'), quotaShares: { red: [20, 0] } });
+  blocks.set(1, { ...block('k1'), quotaShares: { red: [8, 0] } });
+  const later = allocateQuotaShares(facts);
   assert.deepEqual([later.get(0)?.['red']?.[0], later.get(1)?.['red']?.[0]], [20, 12]);
   assert.equal(next.get(0)?.['blue'], undefined);
 });
@@ -134,41 +138,48 @@
   memoryGb: 2,
   image: 'i',
   imageGb: 1,
-  types: null,
+  machineTypes: null,
   zone: null,
-  oneZone: false,
+  colocated: false,
   spread: false,
   spot: false,
-  estimateS: 10,
-  checkpointS: 0,
-  saveS: 0,
+  estimatedRunS: 10,
+  checkpointIntervalS: 0,
+  checkpointSaveS: 0,
   deadlineS: null,
   acceptedAt: 0,
   ...change,
 });
 
-function rooms(up: (id: string) => boolean = () => true): BlockCapacity {
+function rooms(up: (id: string) => boolean = () => true): CapacityEstimate {
   const jobIndex = new JobIndex(() => 0);
   const types = new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t]));
   const blocks = new Map([
     [0, block('k0', machine('m1'))],
     [1, block('k1', machine('m2'), machine('m3'))],
   ]);
-  return new BlockCapacity({ blocks, alive: () => true, types, jobIndex, lookahead: 0, up: (m) => up(m.id) });
+  return new CapacityEstimate({
+    blocks,
+    isAlive: () => true,
+    machineTypes: types,
+    jobIndex,
+    lookahead: 0,
+    isBooted: (m) => up(m.id),
+  });
 }
 
 test('a job goes whole to the roomiest block, and to none where none has room for all of it', () => {
-  assert.deepEqual(rooms().whole(spec('req-1', 8)), [{ block: 1, first: 0, count: 8 }]);
-  assert.equal(rooms().whole(spec('req-1', 9)), undefined);
+  assert.deepEqual(rooms().findWholeJobBlock(spec('req-1', 8)), [{ block: 1, first: 0, count: 8 }]);
+  assert.equal(rooms().findWholeJobBlock(spec('req-1', 9)), undefined);
 });
 
 // Guards against jobs that wait for a machine to boot while another block has room.
 test('a block whose machines are still booting has no room, and one that is preferred is taken if it has', () => {
   const some = rooms((id) => id === 'm1');
-  assert.deepEqual(some.whole(spec('req-1', 4)), [{ block: 0, first: 0, count: 4 }]);
-  assert.equal(some.whole(spec('req-2', 5)), undefined);
+  assert.deepEqual(some.findWholeJobBlock(spec('req-1', 4)), [{ block: 0, first: 0, count: 4 }]);
+  assert.equal(some.findWholeJobBlock(spec('req-2', 5)), undefined);
   assert.deepEqual(
-    rooms().whole(spec('req-3', 4), (b) => b === 0),
+    rooms().findWholeJobBlock(spec('req-3', 4), (b) => b === 0),
     [{ block: 0, first: 0, count: 4 }],
   );
 });
@@ -184,7 +195,7 @@
 });
 
 test('tasks bound to each other by zone are dispatched to one block, all or none', () => {
-  assert.deepEqual(rooms().dispatch(spec('req-1', 20, { oneZone: true }), []), [
+  assert.deepEqual(rooms().dispatch(spec('req-1', 20, { colocated: true }), []), [
     { block: 1, first: 0, count: 20 },
   ]);
 });
@@ -194,11 +205,11 @@
     { block: 0, first: 4, count: 2 },
     { block: 1, first: 0, count: 3 },
   ];
-  assert.deepEqual(undispatched(parts, 8), [
+  assert.deepEqual(undispatchedRanges(parts, 8), [
     { first: 3, count: 1 },
     { first: 6, count: 2 },
   ]);
-  assert.deepEqual(mergeParts([...parts, { block: 0, first: 6, count: 2 }]), [
+  assert.deepEqual(mergeTaskRanges([...parts, { block: 0, first: 6, count: 2 }]), [
     { block: 0, first: 4, count: 4 },
     parts[1],
   ]);
@@ -206,14 +217,15 @@
 
 // Guards against the largest jobs being starved: they need room in many places, and small ones fit anywhere.
 test('a job of many tasks begins within four minutes and comes to its end while small ones take all the room', () => {
-  const large = { spec: spec('req-1', 60, { acceptedAt: 0 }), parts: [] as Part[] };
-  const order = new OrderOfWork([]);
+  const large = { spec: spec('req-1', 60, { acceptedAt: 0 }), parts: [] as TaskRange[] };
+  const order = new QueueOrder([]);
   const jobs = [large];
-  const dispatched = (job: { parts: Part[] }): number => job.parts.reduce((sum, part) => sum + part.count, 0);
-  const queued = (job: (typeof jobs)[number]): Queued => {
+  const dispatched = (job: { parts: TaskRange[] }): number =>
+    job.parts.reduce((sum, part) => sum + part.count, 0);
+  const queued = (job: (typeof jobs)[number]): QueuedJob => {
     return {
       spec: job.spec,
-      chain: unchained(job.spec),
+      dependencyFacts: withoutDependencies(job.spec),
       waiting: job.spec.tasks - dispatched(job),
       started: dispatched(job) > 0,
     };
@@ -241,7 +253,7 @@
   const large = spec('req-1', 500);
   const given = (backlog: number): number => {
     const room = rooms();
-    if (backlog > 0) room.deepen([{ spec: large, tasks: backlog }]);
+    if (backlog > 0) room.extendLookahead([{ spec: large, tasks: backlog }]);
     return (room.dispatch(large, []) ?? []).reduce((sum, part) => sum + part.count, 0);
   };
   const [without, some, much] = [given(0), given(12), given(500)];
@@ -272,38 +284,43 @@
     { block: 0, first: 10, count: 5 },
   ];
   const entries = [entry(0, [0, 11], [10, 10]), entry(1, [14])];
-  assert.deepEqual(takeBack(parts, 0, entries, 2), [
+  assert.deepEqual(recallTasks(parts, 0, entries, 2), [
     { block: 0, first: 0, count: 6 },
     { block: 1, first: 6, count: 4 },
     { block: 0, first: 10, count: 3 },
   ]);
-  assert.deepEqual(takeBack(parts, 0, entries, 100), [
+  assert.deepEqual(recallTasks(parts, 0, entries, 100), [
     { block: 0, first: 0, count: 1 },
     { block: 1, first: 6, count: 4 },
     { block: 0, first: 10, count: 2 },
   ]);
   // Also one that waits between others that are done.
-  assert.deepEqual(takeBack([{ block: 0, first: 0, count: 3 }], 0, [entry(0, [], [0, 0, 2, 2])], 5), [
+  assert.deepEqual(recallTasks([{ block: 0, first: 0, count: 3 }], 0, [entry(0, [], [0, 0, 2, 2])], 5), [
     { block: 0, first: 0, count: 1 },
     { block: 0, first: 2, count: 1 },
   ]);
-  assert.deepEqual(takeBack([{ block: 2, first: 0, count: 3 }], 2, [], 3), []);
-  assert.equal(takeBack([{ block: 0, first: 0, count: 1 }], 0, entries, 1), undefined);
+  assert.deepEqual(recallTasks([{ block: 2, first: 0, count: 3 }], 2, [], 3), []);
+  assert.equal(recallTasks([{ block: 0, first: 0, count: 1 }], 0, entries, 1), undefined);
 });
 
 // Guards against two blocks that start one task: its intent was committed just before it was taken back, unseen.
 test("a task that is on a block's ledger goes back to that block before anything of its job is dispatched", () => {
-  const parts = [{ block: 1, first: 0, count: 2 }];
-  const job = (change: Partial<JobSpec> = {}, at = parts): { parts: Part[]; spec: JobSpec } => ({
-    parts: at,
+  const taskRanges = [{ block: 1, first: 0, count: 2 }];
+  const job = (
+    change: Partial<JobSpec> = {},
+    at = taskRanges,
+  ): { taskRanges: TaskRange[]; spec: JobSpec } => ({
+    taskRanges: at,
     spec: spec('req-1', 6, change),
   });
-  assert.deepEqual(restore(job(), [entry(0, [3, 4], [5, 5]), entry(1, [0])]), [
+  assert.deepEqual(restoreStartedTasks(job(), [entry(0, [3, 4], [5, 5]), entry(1, [0])]), [
     { block: 1, first: 0, count: 2 },
     { block: 0, first: 3, count: 3 },
   ]);
-  assert.equal(restore(job(), [entry(1, [0])]), undefined);
-  assert.equal(restore(job({}, [{ block: 1, first: 0, count: 6 }]), [entry(0, [3])]), undefined);
+  assert.equal(restoreStartedTasks(job(), [entry(1, [0])]), undefined);
+  assert.equal(restoreStartedTasks(job({}, [{ block: 1, first: 0, count: 6 }]), [entry(0, [3])]), undefined);
   // Tasks that depend on each other's zones go back to it all together.
-  assert.deepEqual(restore(job({ spread: true }, []), [entry(0, [3])]), [{ block: 0, first: 0, count: 6 }]);
+  assert.deepEqual(restoreStartedTasks(job({ spread: true }, []), [entry(0, [3])]), [
+    { block: 0, first: 0, count: 6 },
+  ]);
 });
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -4,17 +4,23 @@
 import type { Term } from '../leadership/term.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import { type JobIndex, type IndexedJob, needOf } from '../placement/job-index.js';
-import type { OrderOfWork } from '../placement/order.js';
-import { Usage } from '../placement/placement-round.js';
+import type { QueueOrder } from '../placement/order.js';
+import { TeamUsage } from '../placement/placement-round.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
-import { type Part, jobRecord, mostParts } from '../wire/job-records.js';
-import { jobKey, leadKey } from '../wire/keys.js';
-import { restore, takeBack } from './rebalance.js';
-import type { Registry } from './registry.js';
-import { type BlockRoom, BlockCapacity, bound, undispatched, undispatchedTasks } from './block-capacity.js';
+import { type TaskRange, jobRecord, maxTaskRanges } from '../wire/job-records.js';
+import { jobKey, leaderKey } from '../wire/keys.js';
+import { restoreStartedTasks, recallTasks } from './rebalance.js';
+import type { BlockRegistry } from './registry.js';
+import {
+  type BlockSlots,
+  CapacityEstimate,
+  isZoneConstrained,
+  undispatchedRanges,
+  countUndispatchedTasks,
+} from './block-capacity.js';
 
 export interface DispatcherPorts {
   clock: Clock;
@@ -23,68 +29,71 @@
   commits: CommitQueue;
   mirror: Mirror;
   jobIndex: JobIndex;
-  registry: Registry;
+  registry: BlockRegistry;
   term: Term;
-  order: OrderOfWork;
+  order: QueueOrder;
   wallClock: () => number;
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** See the blocks' capacity. */
   lookahead: number;
-  up: (machine: LeasedMachine) => boolean;
+  isBooted: (machine: LeasedMachine) => boolean;
 }
 
 /** What is left over is dispatched again after this part of a report interval. */
-const dispatchReports = 0.5;
+const redispatchAfterHeartbeats = 0.5;
 /**
  * Tasks that wait in a block without room for so many report intervals, while another has some, are taken back and dispatched
  * again. Sooner than that most of them start where they are.
  */
-const stuckReports = 4;
+const recallAfterHeartbeats = 4;
 /** Jobs dispatched at a time, as a share of the changes that the store takes in a second or a transaction. */
-const dispatchShare = 0.35;
+const maxDispatchesRatio = 0.35;
 
 /** Work taken back leaves this part of the ranges that a record has room for, so that what is dispatched anew finds some. */
-const takenBackShare = 1 / 2;
+const maxRangesAfterRecallRatio = 1 / 2;
 
 /** The leader's dispatching of jobs to blocks: of what no block has, and of what waits in one while another has room. */
 export class Dispatcher {
-  private dispatchedAt = -Infinity;
+  private allDispatchedAt = -Infinity;
   private rebalancedAt = -Infinity;
   /** Jobs that had tasks left when last there was dispatching. */
-  private leftOver: ReadonlySet<string> = new Set();
+  private leftOverJobs: ReadonlySet<string> = new Set();
   /** Since when jobs, by block, have waited there beside room elsewhere. */
   private stuckSince: ReadonlyMap<string, number> = new Map();
   /** The copy must have reached this revision before we build on it again. */
-  private committed = 0;
+  private committedRevision = 0;
 
   constructor(private readonly ports: DispatcherPorts) {}
 
   /** Returns the revision of the last commit. */
-  async look(): Promise<number> {
+  async runRound(): Promise<number> {
     await this.dispatchJobs();
     await nextTurn();
-    if (this.ports.mirror.revision >= this.committed) await this.rebalance();
-    return this.committed;
+    if (this.ports.mirror.revision >= this.committedRevision) await this.rebalance();
+    return this.committedRevision;
   }
 
   /** Dispatches what no block has yet, in the order of work. */
   private async dispatchJobs(): Promise<void> {
     const { jobIndex, settings, order, wallClock, commits } = this.ports;
     const open = [...jobIndex.jobs.values()].filter(
-      (job) => undispatched(job.parts, job.spec.tasks).length > 0,
+      (job) => undispatchedRanges(job.taskRanges, job.spec.tasks).length > 0,
     );
     const due = this.dueForDispatch(open);
     // Behind a queue of commits it would be out of date, and hold up what our own block has to start.
     if (due.length === 0 || commits.writableLength > settings.state.txnOps / 2) return;
-    const capacity = this.capacity();
-    capacity.deepen(open.map(({ spec, parts }) => ({ spec, tasks: undispatchedTasks(parts, spec.tasks) })));
+    const capacity = this.estimateCapacity();
+    capacity.extendLookahead(
+      open.map(({ spec, taskRanges }) => ({ spec, tasks: countUndispatchedTasks(taskRanges, spec.tasks) })),
+    );
     const dispatches: Promise<void>[] = [];
-    for (const job of jobIndex.inOrder(order, wallClock(), due)) {
-      if (dispatches.length >= this.mostDispatches) break;
-      const { spec, parts } = job;
+    for (const job of jobIndex.inQueueOrder(order, wallClock(), due)) {
+      if (dispatches.length >= this.maxDispatches) break;
+      const { spec, taskRanges: parts } = job;
       const next =
-        restore(job, jobIndex.entries(job.id)) ?? capacity.dispatch(spec, parts, this.mostPartsOf(spec));
-      if (next) dispatches.push(this.place(job, next));
+        restoreStartedTasks(job, jobIndex.entriesOf(job.id)) ??
+        capacity.dispatch(spec, parts, this.maxTaskRangesOf(spec));
+      if (next) dispatches.push(this.commitDispatch(job, next));
     }
     await Promise.all(dispatches);
   }
@@ -96,31 +105,35 @@
   private async rebalance(): Promise<void> {
     const { jobIndex, clock, settings, order, wallClock } = this.ports;
     const now = clock();
-    if (now - this.rebalancedAt < settings.reportMs) return;
+    if (now - this.rebalancedAt < settings.heartbeatIntervalMs) return;
     this.rebalancedAt = now;
     const stuck = new Map<string, number>();
-    const capacity = this.capacity(0);
-    const usage = new Usage();
+    const capacity = this.estimateCapacity(0);
+    const usage = new TeamUsage();
     for (const { page } of jobIndex.activeTasks()) usage.add(page.team, needOf(page));
     const recalls: Promise<void>[] = [];
-    for (const job of jobIndex.inOrder(order, wallClock())) {
+    for (const job of jobIndex.inQueueOrder(order, wallClock())) {
       if (!usage.admits(settings.teams.get(job.spec.team), needOf(job.spec))) continue;
-      for (const { block, count } of jobIndex.waiting(job)) {
+      for (const { block, count } of jobIndex.waitingByBlock(job)) {
         if (block === undefined) continue;
-        const room = capacity.of(job.spec);
-        const tasks = movable(room, block, count);
+        const room = capacity.slotsByBlock(job.spec);
+        const tasks = countMovableTasks(room, block, count);
         if (tasks === 0) continue;
         const key = `${block}/${job.id}`;
         const since = this.stuckSince.get(key) ?? now;
         stuck.set(key, since);
-        if (now - since < settings.reportMs * stuckReports || recalls.length >= this.mostDispatches) continue;
-        const parts = this.without(job, block, tasks);
+        if (
+          now - since < settings.heartbeatIntervalMs * recallAfterHeartbeats ||
+          recalls.length >= this.maxDispatches
+        )
+          continue;
+        const parts = this.rangesAfterRecall(job, block, tasks);
         if (!parts) continue;
         for (const other of room) {
-          if (other.block !== block) capacity.take(job.spec, other.block, clamp(other.free, tasks));
+          if (other.block !== block) capacity.reserve(job.spec, other.block, clamp(other.freeSlots, tasks));
         }
         stuck.delete(key);
-        recalls.push(this.place(job, parts));
+        recalls.push(this.commitDispatch(job, parts));
         break;
       }
     }
@@ -129,28 +142,35 @@
   }
 
   /** Tasks that depend on each other's zones stay with one block, so all of them go or none. */
-  private without(job: IndexedJob, block: number, tasks: number): Part[] | undefined {
+  private rangesAfterRecall(job: IndexedJob, block: number, tasks: number): TaskRange[] | undefined {
     const { jobIndex } = this.ports;
-    const { spec, parts, id } = job;
-    const most = this.mostPartsOf(spec) * takenBackShare;
-    if (!bound(spec)) return takeBack(parts, block, jobIndex.entries(id), tasks, most);
+    const { spec, taskRanges, id } = job;
+    const most = this.maxTaskRangesOf(spec) * maxRangesAfterRecallRatio;
+    if (!isZoneConstrained(spec)) return recallTasks(taskRanges, block, jobIndex.entriesOf(id), tasks, most);
     const { done, active } = jobIndex.progress(id);
-    return done + active > 0 ? undefined : takeBack(parts, block, jobIndex.entries(id), spec.tasks);
+    return done + active > 0 ? undefined : recallTasks(taskRanges, block, jobIndex.entriesOf(id), spec.tasks);
   }
 
-  private mostPartsOf(spec: JobSpec): number {
-    return mostParts(spec, this.ports.settings.state.valueBytes);
+  private maxTaskRangesOf(spec: JobSpec): number {
+    return maxTaskRanges(spec, this.ports.settings.state.valueBytes);
   }
 
-  private capacity(lookahead = this.ports.lookahead): BlockCapacity {
-    const { jobIndex, registry, types, up } = this.ports;
+  private estimateCapacity(lookahead = this.ports.lookahead): CapacityEstimate {
+    const { jobIndex, registry, machineTypes, isBooted } = this.ports;
     const alive = (label: string): boolean => registry.isAlive(label);
-    return new BlockCapacity({ blocks: registry.blocks(), alive, types: types(), jobIndex, lookahead, up });
+    return new CapacityEstimate({
+      blocks: registry.blocks(),
+      isAlive: alive,
+      machineTypes: machineTypes(),
+      jobIndex,
+      lookahead,
+      isBooted,
+    });
   }
 
-  private get mostDispatches(): number {
+  private get maxDispatches(): number {
     const { state } = this.ports.settings;
-    return Math.max(2, Math.min(state.txnOps, state.writeRps) * dispatchShare);
+    return Math.max(2, Math.min(state.txnOps, state.writeRps) * maxDispatchesRatio);
   }
 
   /**
@@ -159,25 +179,26 @@
    */
   private dueForDispatch(open: IndexedJob[]): IndexedJob[] {
     const { clock, settings } = this.ports;
-    const before = this.leftOver;
-    this.leftOver = new Set(open.map((job) => job.id));
-    if (clock() - this.dispatchedAt < settings.reportMs * dispatchReports) {
+    const before = this.leftOverJobs;
+    this.leftOverJobs = new Set(open.map((job) => job.id));
+    if (clock() - this.allDispatchedAt < settings.heartbeatIntervalMs * redispatchAfterHeartbeats) {
       return open.filter((job) => !before.has(job.id));
     }
-    this.dispatchedAt = clock();
+    this.allDispatchedAt = clock();
     return open;
   }
 
-  private async place(job: IndexedJob, parts: Part[]): Promise<void> {
+  private async commitDispatch(job: IndexedJob, parts: TaskRange[]): Promise<void> {
     const { commits, log, term } = this.ports;
     const outcome = await commits.commit(
       [
-        { key: leadKey, version: term.token },
+        { key: leaderKey, version: term.fencingToken },
         { key: jobKey(job.id), version: job.version },
       ],
-      [{ put: jobKey(job.id), value: jobRecord({ spec: job.spec, parts }) }],
+      [{ put: jobKey(job.id), value: jobRecord({ spec: job.spec, taskRanges: parts }) }],
     );
-    if (outcome.kind === 'applied') this.committed = Math.max(this.committed, outcome.revision);
+    if (outcome.kind === 'applied')
+      this.committedRevision = Math.max(this.committedRevision, outcome.revision);
     log.debug(
       { event: 'job-dispatched', job: job.id, parts, outcome: outcome.kind },
       'job dispatched to blocks',
@@ -186,11 +207,11 @@
 }
 
 /** How many of a job's tasks that wait in a block have no room there and some in others. */
-function movable(room: BlockRoom[], block: number, waiting: number): number {
+function countMovableTasks(room: BlockSlots[], block: number, waiting: number): number {
   const own = room.find((r) => r.block === block);
   // A block whose owner is gone has none.
-  const over = own ? clamp(-own.free, waiting) : waiting;
-  const elsewhere = room.reduce((sum, r) => sum + (r === own ? 0 : Math.max(0, r.free)), 0);
+  const over = own ? clamp(-own.freeSlots, waiting) : waiting;
+  const elsewhere = room.reduce((sum, r) => sum + (r === own ? 0 : Math.max(0, r.freeSlots)), 0);
   return Math.min(over, elsewhere);
 }
 
--- a/src/blocks/job-home.ts
+++ b/src/blocks/job-home.ts
@@ -2,56 +2,56 @@
 import type { Clock } from '../base/clock.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
-import type { Part } from '../wire/job-records.js';
-import { BlockCapacity } from './block-capacity.js';
-import type { Registry } from './registry.js';
-import type { UpMachines } from './up-machines.js';
+import type { TaskRange } from '../wire/job-records.js';
+import { CapacityEstimate } from './block-capacity.js';
+import type { BlockRegistry } from './registry.js';
+import type { BootedMachines } from './up-machines.js';
 
-export interface JobHomePorts {
+export interface InitialDispatcherPorts {
   clock: Clock;
-  registry: Registry;
+  registry: BlockRegistry;
   jobIndex: JobIndex;
-  types: () => ReadonlyMap<string, MachineType>;
-  up: UpMachines;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
+  bootedMachines: BootedMachines;
   /** The blocks that this controller owns. */
   ownBlocks: () => ReadonlySet<number>;
   leader: () => string | undefined;
 }
 
 /** Measuring all machines for every submission would take too long: what is handed out meanwhile is counted. */
-const measureEveryMs = 300;
+const capacityMaxAgeMs = 300;
 
 /** A job goes whole to the block with the most room; what is too big for any is the leader's to dispatch. */
-export class JobHome {
-  private capacity: BlockCapacity | undefined;
+export class InitialDispatcher {
+  private capacity: CapacityEstimate | undefined;
   private measuredAt = -Infinity;
 
-  constructor(private readonly ports: JobHomePorts) {}
+  constructor(private readonly ports: InitialDispatcherPorts) {}
 
   /** Empty where the leader has to dispatch the job, or where it waits for others. */
-  of(spec: JobSpec): Part[] {
+  initialRanges(spec: JobSpec): TaskRange[] {
     const { jobIndex, leader, ownBlocks } = this.ports;
-    if (!jobIndex.isReadyWith(spec.dependencies ?? [])) return [];
-    const capacity = this.measured();
+    if (!jobIndex.isReadyAfter(spec.dependencies ?? [])) return [];
+    const capacity = this.currentCapacity();
     // Our own block can start it without waiting for anybody's watch.
     const ours = ownBlocks();
-    const parts = capacity.whole(spec, (block) => ours.has(block));
-    for (const { block, count } of parts ?? []) capacity.take(spec, block, count);
+    const parts = capacity.findWholeJobBlock(spec, (block) => ours.has(block));
+    for (const { block, count } of parts ?? []) capacity.reserve(spec, block, count);
     // Without a leader there is nobody to dispatch: the blocks then share it by their sizes.
-    return parts ?? (leader() === undefined ? capacity.bySize(spec) : []);
+    return parts ?? (leader() === undefined ? capacity.divideBySize(spec) : []);
   }
 
-  private measured(): BlockCapacity {
-    const { clock, registry, types, jobIndex, up } = this.ports;
-    if (this.capacity && clock() - this.measuredAt <= measureEveryMs) return this.capacity;
+  private currentCapacity(): CapacityEstimate {
+    const { clock, registry, machineTypes, jobIndex, bootedMachines } = this.ports;
+    if (this.capacity && clock() - this.measuredAt <= capacityMaxAgeMs) return this.capacity;
     this.measuredAt = clock();
-    this.capacity = new BlockCapacity({
+    this.capacity = new CapacityEstimate({
       blocks: registry.blocks(),
-      types: types(),
+      machineTypes: machineTypes(),
       jobIndex,
       lookahead: 0,
-      alive: (label) => registry.isAlive(label),
-      up: (machine) => up.has(machine),
+      isAlive: (label) => registry.isAlive(label),
+      isBooted: (machine) => bootedMachines.isBooted(machine),
     });
     return this.capacity;
   }
--- a/src/blocks/rebalance.ts
+++ b/src/blocks/rebalance.ts
@@ -1,13 +1,13 @@
 import type { JobSpec } from '../model/types.js';
 import type { IndexedEntry } from '../placement/job-index.js';
 import { fromRanges } from '../base/ranges.js';
-import type { Part } from '../wire/job-records.js';
-import { bound, mergeParts, undispatched } from './block-capacity.js';
+import type { TaskRange } from '../wire/job-records.js';
+import { isZoneConstrained, mergeTaskRanges, undispatchedRanges } from './block-capacity.js';
 
 type Entry = Pick<IndexedEntry, 'block' | 'active' | 'done'>;
 
 /** Tasks that a block has on a machine, or done: these are nobody else's. */
-function heldBy(block: number, entries: Iterable<Entry>): Set<number> {
+function startedTasks(block: number, entries: Iterable<Entry>): Set<number> {
   const held = new Set<number>();
   for (const entry of entries) {
     if (entry.block !== block) continue;
@@ -21,14 +21,14 @@
  * The parts of a job less up to `count` tasks that wait in a block, the last first, so that its parts stay few. Undefined:
  * there are none to take, or more than `most` parts would be left.
  */
-export function takeBack(
-  parts: Part[],
+export function recallTasks(
+  parts: TaskRange[],
   block: number,
   entries: Iterable<Entry>,
   count: number,
   most = Infinity,
-): Part[] | undefined {
-  const held = heldBy(block, entries);
+): TaskRange[] | undefined {
+  const held = startedTasks(block, entries);
   const taken = new Set<number>();
   for (const part of parts.filter((p) => p.block === block).reverse()) {
     for (let index = part.first + part.count - 1; index >= part.first && taken.size < count; index--) {
@@ -36,12 +36,12 @@
     }
   }
   if (taken.size === 0) return undefined;
-  const kept = parts.flatMap((part) => (part.block === block ? without(part, taken) : [part]));
+  const kept = parts.flatMap((part) => (part.block === block ? excludeTasks(part, taken) : [part]));
   return kept.length <= most ? kept : undefined;
 }
 
-function without({ block, first, count }: Part, taken: ReadonlySet<number>): Part[] {
-  const kept: Part[] = [];
+function excludeTasks({ block, first, count }: TaskRange, taken: ReadonlySet<number>): TaskRange[] {
+  const kept: TaskRange[] = [];
   for (let index = first; index < first + count; index++) {
     if (taken.has(index)) continue;
     const last = kept.at(-1);
@@ -56,15 +56,15 @@
  * before the job's record was, unseen by whoever took them back, and they must go to no other block. An intent that is later
  * than the record fails on its version, so the ledger as of the record's revision tells all of them.
  */
-export function restore(
-  { parts, spec }: { parts: Part[]; spec: Pick<JobSpec, 'tasks' | 'oneZone' | 'spread'> },
+export function restoreStartedTasks(
+  { taskRanges, spec }: { taskRanges: TaskRange[]; spec: Pick<JobSpec, 'tasks' | 'colocated' | 'spread'> },
   entries: Iterable<Entry>,
-): Part[] | undefined {
-  const gaps = undispatched(parts, spec.tasks);
+): TaskRange[] | undefined {
+  const gaps = undispatchedRanges(taskRanges, spec.tasks);
   if (gaps.length === 0) return undefined;
-  const restored: Part[] = [];
+  const restored: TaskRange[] = [];
   for (const entry of entries) {
-    for (const index of heldBy(entry.block, [entry])) {
+    for (const index of startedTasks(entry.block, [entry])) {
       const uncovered = gaps.some(({ first, count }) => index >= first && index < first + count);
       if (uncovered) restored.push({ block: entry.block, first: index, count: 1 });
     }
@@ -72,6 +72,6 @@
   const [first] = restored;
   if (!first) return undefined;
   // Tasks that depend on each other's zones stay with one block.
-  if (bound(spec)) return [{ block: first.block, first: 0, count: spec.tasks }];
-  return mergeParts([...parts, ...restored]);
+  if (isZoneConstrained(spec)) return [{ block: first.block, first: 0, count: spec.tasks }];
+  return mergeTaskRanges([...taskRanges, ...restored]);
 }
--- a/src/blocks/registry.ts
+++ b/src/blocks/registry.ts
@@ -3,7 +3,7 @@
   type BlockRecord,
   type LeasedMachine,
   machinePages,
-  namesItsMachines,
+  hasInlineMachines,
   parseBlock,
 } from '../wire/block-records.js';
 import { currentFormat, parseAlive, parseFormat } from '../wire/controller-records.js';
@@ -15,19 +15,19 @@
   record: BlockRecord;
   version: number;
   /** Its record names the machines itself, as earlier versions write it. */
-  inline: boolean;
+  isInline: boolean;
   /** Versions of the pages of its machines, by number; they count only where the record names none itself. */
-  pages: ReadonlyMap<number, number>;
+  pageVersions: ReadonlyMap<number, number>;
 }
 
-type ParsedBlock = Omit<StoredBlock, 'pages'> & { pages: Map<number, number> };
+type ParsedBlock = Omit<StoredBlock, 'pageVersions'> & { pageVersions: Map<number, number> };
 
 /** Who holds which block, and which controllers are alive, as far as this controller's copy of the store knows. */
-export class Registry {
-  private readonly parsed = new Map<number, ParsedBlock>();
+export class BlockRegistry {
+  private readonly parsedBlocks = new Map<number, ParsedBlock>();
   private machineOwners = new Map<string, { block: number; machine: LeasedMachine; owner: string }>();
-  private ownersAt = '';
-  private allUpgraded = false;
+  private ownersBlockVersions = '';
+  private knownUpgraded = false;
 
   /** `labels`: all controllers of the settings. */
   constructor(
@@ -36,43 +36,43 @@
   ) {}
 
   /** Every controller of the settings has run with this format, and none comes back with an earlier one after that. */
-  get upgraded(): boolean {
-    this.allUpgraded ||=
+  get isClusterUpgraded(): boolean {
+    this.knownUpgraded ||=
       this.mirror.ready &&
       this.labels.every((label) => parseFormat(this.mirror.get(formatKey(label))?.value) >= currentFormat);
-    return this.allUpgraded;
+    return this.knownUpgraded;
   }
 
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
     for (const [key, entry] of this.mirror.entriesWithPrefix('block/')) {
       const block = Number(key.slice('block/'.length));
-      const stored = this.parse(block, entry);
+      const stored = this.parseStored(block, entry);
       if (stored) blocks.set(block, stored.record);
     }
     return blocks;
   }
 
-  stored(block: number): StoredBlock | undefined {
+  storedBlock(block: number): StoredBlock | undefined {
     const entry = this.mirror.get(blockKey(block));
-    return entry && this.parse(block, entry);
+    return entry && this.parseStored(block, entry);
   }
 
   /** No page changes without its block's record, but for pages that are being prepared and do not count yet. */
-  private parse(block: number, entry: StoredValue): StoredBlock | undefined {
-    const known = this.parsed.get(block);
-    if (known?.version === entry.version && !known.inline) return known;
+  private parseStored(block: number, entry: StoredValue): StoredBlock | undefined {
+    const known = this.parsedBlocks.get(block);
+    if (known?.version === entry.version && !known.isInline) return known;
     const pages = this.pagesOf(block);
     const versions = new Map([...pages].map(([page, { version }]) => [page, version]));
     if (known?.version === entry.version) {
-      known.pages = versions;
+      known.pageVersions = versions;
       return known;
     }
     const record = parseBlock(entry.value, entry.version, pages);
     if (!record) return undefined;
-    const inline = namesItsMachines(entry.value);
-    const stored = { record, version: entry.version, inline, pages: versions };
-    this.parsed.set(block, stored);
+    const isInline = hasInlineMachines(entry.value);
+    const stored = { record, version: entry.version, isInline, pageVersions: versions };
+    this.parsedBlocks.set(block, stored);
     return stored;
   }
 
@@ -80,11 +80,11 @@
     return machinePages(block, this.mirror.entriesWithPrefix(machinesPrefix(block)));
   }
 
-  version(block: number): number {
+  blockVersion(block: number): number {
     return this.mirror.version(blockKey(block));
   }
 
-  alive(): Member[] {
+  liveMembers(): Member[] {
     const members: Member[] = [];
     for (const [key, entry] of this.mirror.entriesWithPrefix('alive/')) {
       const alive = parseAlive(entry.value);
@@ -97,21 +97,21 @@
     return this.mirror.get(`alive/${label}`) !== undefined;
   }
 
-  machines(): Map<string, LeasedMachine> {
-    return new Map([...this.owners()].map(([id, entry]) => [id, entry.machine]));
+  leasedMachines(): Map<string, LeasedMachine> {
+    return new Map([...this.machineOwnership()].map(([id, entry]) => [id, entry.machine]));
   }
 
   /** The controller that a machine is to report to. */
   ownerOf(machine: string): string | undefined {
-    return this.owners().get(machine)?.owner;
+    return this.machineOwnership().get(machine)?.owner;
   }
 
-  private owners(): Map<string, { block: number; machine: LeasedMachine; owner: string }> {
+  private machineOwnership(): Map<string, { block: number; machine: LeasedMachine; owner: string }> {
     const blocks = this.blocks();
     // Walking all machines is worth it only when a block has changed, which few changes of the copy are about.
-    const at = [...blocks.keys()].map((block) => `${block}:${this.version(block)}`).join(' ');
-    if (this.ownersAt !== at) {
-      this.ownersAt = at;
+    const at = [...blocks.keys()].map((block) => `${block}:${this.blockVersion(block)}`).join(' ');
+    if (this.ownersBlockVersions !== at) {
+      this.ownersBlockVersions = at;
       this.machineOwners = new Map();
       for (const [block, record] of blocks) {
         for (const machine of record.machines) {
--- a/src/blocks/shares.ts
+++ b/src/blocks/shares.ts
@@ -1,18 +1,18 @@
 import type { Resources } from '../model/types.js';
 import { withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import type { BlockRecord, Shares } from '../wire/block-records.js';
+import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
 
-type Amount = [cpus: number, accelerators: number];
+type QuotaAmount = [cpus: number, accelerators: number];
 
 /** What a block's tasks of one team take, and would take if it were admitted. */
 export interface TeamDemand {
-  used: Amount;
+  used: QuotaAmount;
   /** Waiting work in the order in which it is to be admitted, one entry a job. */
   waiting: { need: Resources; count: number }[];
 }
 
-export interface ShareFacts {
+export interface QuotaShareInput {
   teams: Iterable<Team>;
   blocks: ReadonlyMap<number, BlockRecord>;
   /** By block and team; complete up to the present versions of the blocks, which is what makes growing safe. */
@@ -24,18 +24,18 @@
  * its tasks take at the moment. So the sum over the blocks of the larger of share and use must stay within the
  * limit: a share only grows by what is left of it, and others are cut first to make that room.
  */
-export function nextShares(facts: ShareFacts): Map<number, Shares> {
-  const next = new Map<number, Shares>([...facts.blocks].map(([block]) => [block, {}]));
+export function allocateQuotaShares(facts: QuotaShareInput): Map<number, QuotaShares> {
+  const next = new Map<number, QuotaShares>([...facts.blocks].map(([block]) => [block, {}]));
   for (const team of facts.teams) {
     if (team.cpusMax === 0 && team.acceleratorsMax === 0) continue;
     const blocks = [...facts.blocks].map(([block, record]) => {
       const demand = facts.demand(block, team.name);
-      const now: Amount = record.shares[team.name] ?? [0, 0];
-      return { block, demand, now, wish: [0, 0] as Amount };
+      const now: QuotaAmount = record.quotaShares[team.name] ?? [0, 0];
+      return { block, demand, now, wish: [0, 0] as QuotaAmount };
     });
-    admit(blocks, team);
-    const limits: Amount = [team.cpusMax, team.acceleratorsMax];
-    const shares = blocks.map(() => [0, 0] as Amount);
+    computeWantedShares(blocks, team);
+    const limits: QuotaAmount = [team.cpusMax, team.acceleratorsMax];
+    const shares = blocks.map(() => [0, 0] as QuotaAmount);
     for (const axis of [0, 1] as const) {
       const limit = limits[axis];
       if (limit === 0) continue;
@@ -62,8 +62,8 @@
 }
 
 /** Wishes: what is used, then waiting work whole task by whole task, then an even part of what remains. */
-function admit(blocks: { demand: TeamDemand; wish: Amount }[], team: Team): void {
-  const total: Amount = [0, 0];
+function computeWantedShares(blocks: { demand: TeamDemand; wish: QuotaAmount }[], team: Team): void {
+  const total: QuotaAmount = [0, 0];
   for (const b of blocks) {
     b.wish = [...b.demand.used];
     total[0] += b.wish[0];
--- a/src/blocks/up-machines.ts
+++ b/src/blocks/up-machines.ts
@@ -3,36 +3,36 @@
 import type { LeasedMachine } from '../wire/block-records.js';
 
 /** The protocol's usual boot takes up to so many times the type's figure. */
-const usualBootTimes = 1.5;
+const usualBootRatio = 1.5;
 /** Machines that have come up are remembered for so many times those that there are, and this many at least. */
-const keptTimes = 2;
-const leastKept = 1000;
+const rememberedMachinesRatio = 2;
+const minRememberedMachines = 1000;
 
-export interface UpMachinesPorts {
+export interface BootedMachinesPorts {
   /** Time of day in ms. */
   wallClock: () => number;
-  types: () => ReadonlyMap<string, MachineType>;
-  leased: () => ReadonlyMap<string, LeasedMachine>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
+  leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
 /** Up is what any owner has heard of, and what has had the longest time that booting usually takes. */
-export class UpMachines {
-  private readonly heard = new Set<string>();
-  private most = leastKept;
+export class BootedMachines {
+  private readonly reportedIds = new Set<string>();
+  private maxRemembered = minRememberedMachines;
 
-  constructor(private readonly ports: UpMachinesPorts) {}
+  constructor(private readonly ports: BootedMachinesPorts) {}
 
-  note(machines: Iterable<string>): void {
-    for (const id of machines) this.heard.add(id);
-    if (this.heard.size <= this.most) return;
-    const leased = this.ports.leased();
-    this.most = Math.max(leastKept, leased.size * keptTimes);
-    for (const id of this.heard) if (!leased.has(id)) this.heard.delete(id);
+  markBooted(machines: Iterable<string>): void {
+    for (const id of machines) this.reportedIds.add(id);
+    if (this.reportedIds.size <= this.maxRemembered) return;
+    const leased = this.ports.leasedMachines();
+    this.maxRemembered = Math.max(minRememberedMachines, leased.size * rememberedMachinesRatio);
+    for (const id of this.reportedIds) if (!leased.has(id)) this.reportedIds.delete(id);
   }
 
-  has(machine: LeasedMachine): boolean {
-    if (this.heard.has(machine.id)) return true;
-    const bootS = this.ports.types().get(machine.type)?.bootS ?? 0;
-    return this.ports.wallClock() - machine.since > bootS * 1000 * usualBootTimes;
+  isBooted(machine: LeasedMachine): boolean {
+    if (this.reportedIds.has(machine.id)) return true;
+    const bootS = this.ports.machineTypes().get(machine.type)?.bootS ?? 0;
+    return this.ports.wallClock() - machine.rentedAt > bootS * 1000 * usualBootRatio;
   }
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -55,7 +55,7 @@
       const page = parseMachineList(answer.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
-      if (!page.more || !last) return machines;
+      if (!page.hasMore || !last) return machines;
       after = last.id;
     }
   }
--- a/src/dependencies/cascade.ts
+++ b/src/dependencies/cascade.ts
@@ -6,8 +6,8 @@
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
-import { changesPerEnd, endTransaction } from '../wire/end-transaction.js';
-import { endKey } from '../wire/keys.js';
+import { changesPerOutcome, outcomeTransaction } from '../wire/end-transaction.js';
+import { outcomeKey } from '../wire/keys.js';
 
 export interface CascadePorts {
   clock: Clock;
@@ -50,7 +50,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { settings, store, mirror } = this.ports;
     while (!signal.aborted) {
-      await sleep(settings.reportMs / looksPerReport, signal);
+      await sleep(settings.heartbeatIntervalMs / looksPerReport, signal);
       if (signal.aborted || store.failing || !mirror.ready) continue;
       await this.look();
     }
@@ -66,11 +66,11 @@
 
   private due(): string[] {
     const { clock, settings, jobIndex, isLeading } = this.ports;
-    const patienceMs = isLeading() ? 0 : settings.reportMs * patienceReports;
+    const patienceMs = isLeading() ? 0 : settings.heartbeatIntervalMs * patienceReports;
     const due: string[] = [];
     for (const [id, since] of jobIndex.dependencies.doomed()) {
       if (clock() - since >= patienceMs) due.push(id);
-      if (due.length * changesPerEnd >= settings.state.txnOps) break;
+      if (due.length * changesPerOutcome >= settings.state.txnOps) break;
     }
     return due;
   }
@@ -79,12 +79,12 @@
     const { jobIndex, mirror, commits, wallClock, log, readEnd } = this.ports;
     const job = jobIndex.openJob(id);
     if (!job) return;
-    const end = { end: 'cancelled', tasks: job.spec.tasks, at: wallClock() } as const;
-    const { conditions, writes } = endTransaction(id, job.version, end);
+    const end = { outcome: 'cancelled', tasks: job.spec.tasks, endedAt: wallClock() } as const;
+    const { conditions, writes } = outcomeTransaction(id, job.version, end);
     const outcome = await commits.commit(conditions, writes);
     if (outcome.kind === 'applied') {
       log.info({ event: 'dependent-cancelled', job: id }, 'cancelled with a job that it needs');
-      mirror.recordOutcome(endKey(id), { value: writes[0].value, version: outcome.revision });
-    } else if (outcome.kind === 'conflict' && outcome.failed.includes(endKey(id))) await readEnd(id);
+      mirror.recordOutcome(outcomeKey(id), { value: writes[0].value, version: outcome.revision });
+    } else if (outcome.kind === 'conflict' && outcome.failed.includes(outcomeKey(id))) await readEnd(id);
   }
 }
--- a/src/dependencies/dependency-graph.test.ts
+++ b/src/dependencies/dependency-graph.test.ts
@@ -2,11 +2,11 @@
 import { describe, test } from 'node:test';
 import type { JobSpec } from '../model/types.js';
 import { jobSpec } from '../testing/block-stage.js';
-import type { EndRecord } from '../wire/job-records.js';
+import type { OutcomeRecord } from '../wire/job-records.js';
 import { DependencyGraph } from './dependency-graph.js';
 
-const done: EndRecord = { end: 'done', tasks: 1, at: 5000 };
-const cancelled: EndRecord = { end: 'cancelled', tasks: 1, at: 5000 };
+const done: OutcomeRecord = { outcome: 'done', tasks: 1, endedAt: 5000 };
+const cancelled: OutcomeRecord = { outcome: 'cancelled', tasks: 1, endedAt: 5000 };
 const everythingOpen = (): boolean => true;
 
 function needs(id: string, dependencies: string[], change: Partial<JobSpec> = {}): JobSpec {
@@ -15,9 +15,9 @@
 
 /** A diamond: `last` needs `left` and `right`, which need `first`. */
 function diamond(graph: DependencyGraph): void {
-  graph.add(needs('last', ['left', 'right'], { deadlineS: 100, estimateS: 8, urgency: 'high' }));
-  graph.add(needs('left', ['first'], { estimateS: 25 }));
-  graph.add(needs('right', ['first'], { estimateS: 20, urgency: 'best_effort' }));
+  graph.add(needs('last', ['left', 'right'], { deadlineS: 100, estimatedRunS: 8, urgency: 'high' }));
+  graph.add(needs('left', ['first'], { estimatedRunS: 25 }));
+  graph.add(needs('right', ['first'], { estimatedRunS: 20, urgency: 'best_effort' }));
 }
 
 describe('the graph of dependencies', () => {
@@ -35,9 +35,9 @@
     const graph = new DependencyGraph(() => 0);
     const job = needs('b', ['a', 'z'], { acceptedAt: 1000 });
     graph.add(job);
-    graph.noteEnd('a', { ...done, at: 9000 });
+    graph.noteEnd('a', { ...done, endedAt: 9000 });
     // Earlier versions kept no time of an end.
-    graph.noteEnd('z', { end: 'done', tasks: 1 });
+    graph.noteEnd('z', { outcome: 'done', tasks: 1 });
     assert.equal(graph.readyAt(job), 9000);
     assert.equal(graph.readyAt(needs('c', ['z'], { acceptedAt: 1000 })), 1000);
   });
--- a/src/dependencies/dependency-graph.ts
+++ b/src/dependencies/dependency-graph.ts
@@ -1,7 +1,7 @@
 /** The graph of open jobs that need others, and what follows from it: readiness, cancellation, priority, latest end. */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { moreUrgent } from '../model/urgency.js';
-import type { EndRecord } from '../wire/job-records.js';
+import type { OutcomeRecord } from '../wire/job-records.js';
 
 /**
  * `ready`: all dependencies are done. `doomed`: a job before it is cancelled, so that it has to be cancelled too.
@@ -17,7 +17,7 @@
   endBy: number | undefined;
 }
 
-type EndLookup = (id: string) => EndRecord | undefined;
+type EndLookup = (id: string) => OutcomeRecord | undefined;
 
 /** Ends never change, so neither readiness nor a cancellation ever goes away. */
 export class DependencyGraph {
@@ -25,7 +25,7 @@
   private readonly open = new Map<string, JobSpec>();
   private readonly dependents = new Map<string, Set<string>>();
   /** Ends of jobs that open ones need, kept for as long as these are open. */
-  private readonly ends = new Map<string, EndRecord>();
+  private readonly ends = new Map<string, OutcomeRecord>();
   private readonly doomedSince = new Map<string, number>();
   private readonly demands = new Map<string, ChainDemand>();
 
@@ -67,14 +67,14 @@
   }
 
   /** Returns the jobs that this end has made ready. */
-  noteEnd(id: string, end: EndRecord): string[] {
+  noteEnd(id: string, end: OutcomeRecord): string[] {
     // Nothing is left to be done about it, whenever the copy of the store drops its record.
     this.doomedSince.delete(id);
     const dependents = this.dependents.get(id);
     if (!dependents || this.ends.has(id)) return [];
     this.ends.set(id, end);
     this.demands.clear();
-    if (end.end === 'cancelled') {
+    if (end.outcome === 'cancelled') {
       for (const dependent of dependents) this.doom(dependent);
       return [];
     }
@@ -87,7 +87,7 @@
   }
 
   areDone(dependencies: Iterable<string>): boolean {
-    return [...dependencies].every((dependency) => this.knownEnd(dependency)?.end === 'done');
+    return [...dependencies].every((dependency) => this.knownEnd(dependency)?.outcome === 'done');
   }
 
   /** True where a job that names these dependencies has to be cancelled. */
@@ -132,7 +132,7 @@
 
   /** Time of day in ms from which the times of a ready job count. */
   readyAt(spec: JobSpec): number {
-    const ends = (spec.dependencies ?? []).map((dependency) => this.ends.get(dependency)?.at ?? 0);
+    const ends = (spec.dependencies ?? []).map((dependency) => this.ends.get(dependency)?.endedAt ?? 0);
     return Math.max(spec.acceptedAt, ...ends);
   }
 
@@ -153,24 +153,24 @@
   private addDemand(demand: ChainDemand, dependent: JobSpec): void {
     const { urgency, endBy } = this.demandOn(dependent);
     demand.urgency = moreUrgent(demand.urgency, urgency);
-    const { deadlineS, acceptedAt, estimateS } = dependent;
+    const { deadlineS, acceptedAt, estimatedRunS } = dependent;
     const deadline = deadlineS === null ? Infinity : acceptedAt + deadlineS * 1000;
     const latestEnd = Math.min(deadline, endBy ?? Infinity);
     if (latestEnd === Infinity) return;
-    demand.endBy = Math.min(demand.endBy ?? Infinity, latestEnd - estimateS * 1000);
+    demand.endBy = Math.min(demand.endBy ?? Infinity, latestEnd - estimatedRunS * 1000);
   }
 
-  private knownEnd(id: string): EndRecord | undefined {
+  private knownEnd(id: string): OutcomeRecord | undefined {
     return this.ends.get(id) ?? this.endOf(id);
   }
 
   private isDone(id: string): boolean {
-    return this.ends.get(id)?.end === 'done';
+    return this.ends.get(id)?.outcome === 'done';
   }
 
   /** Cancelled, or about to be. */
   private isLost(id: string): boolean {
-    return this.knownEnd(id)?.end === 'cancelled' || this.doomedSince.has(id);
+    return this.knownEnd(id)?.outcome === 'cancelled' || this.doomedSince.has(id);
   }
 
   private doom(id: string): void {
--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -1,5 +1,13 @@
 import assert from 'node:assert/strict';
-import { cancelMs, type Cluster, labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  cancelDeadlineMs,
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const long = 20_000;
@@ -38,15 +46,15 @@
     const others = ids.filter((other) => other !== id);
     await cluster.until('all run', () => ids.every((one) => cluster.runningOf(one).length === 4));
     cluster.store.refused.add(owner);
-    await pause(reportMs / 4);
+    await pause(heartbeatIntervalMs / 4);
     const told = await cluster.cancelSurely(
       id,
       [0, 1, 2].filter((node) => node !== nodeOf(owner)),
     );
     assert.equal(told, 'cancelled');
     cluster.store.down = true;
-    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelMs);
-    await pause(cancelMs * 1.2);
+    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelDeadlineMs);
+    await pause(cancelDeadlineMs * 1.2);
     // Peers vouched for them: the outage ended no task of a job that nobody cancelled.
     for (const other of others)
       assert.deepEqual([cluster.runningOf(other).length, started(cluster, other)], [4, 4]);
@@ -69,8 +77,8 @@
     const { id, owner } = await jobOfOneOwner(cluster, ids);
     assert.equal(await cluster.cancelSurely(id, [nodeOf(owner)]), 'cancelled');
     cluster.store.down = true;
-    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, leaseMs);
-    await pause(cancelMs);
+    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, workerLeaseMs);
+    await pause(cancelDeadlineMs);
     cluster.store.down = false;
   },
 );
@@ -90,7 +98,7 @@
       [0, 1, 2].filter((node) => node !== nodeOf(owner)),
     );
     cluster.store.down = true;
-    await pause(cancelMs * 1.2);
+    await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.refused.clear();
     cluster.store.down = false;
@@ -114,7 +122,7 @@
     await cluster.restart(labels[teller] ?? '', 50);
     // What the two lives had sent before arrives late, and then what the new one has to say.
     for (const link of cluster.peersOf(owner)) link.heal();
-    await pause(cancelMs * 1.2);
+    await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.refused.clear();
     cluster.store.down = false;
@@ -137,7 +145,7 @@
     // Its own users may get no answer, but never an older one.
     for (let i = 0; i < 10; i++) {
       for (const id of ids) await cluster.ask(nodeOf(first), id);
-      await pause(cancelMs / 8);
+      await pause(cancelDeadlineMs / 8);
     }
     for (const id of ids) assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.held.clear();
@@ -169,7 +177,7 @@
     cluster.store.down = true;
     await late;
     await ask();
-    await pause(cancelMs * 1.2);
+    await pause(cancelDeadlineMs * 1.2);
     await ask();
     for (const id of ids.slice(0, 2)) assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.refused.clear();
@@ -200,7 +208,7 @@
     const first = await cluster.leading();
     cluster.stopController(first);
     await Promise.all([cluster.cancelSurely('req-000009'), cluster.cancelSurely(cancelled)]);
-    await pause(leaseMs * 1.2);
+    await pause(workerLeaseMs * 1.2);
     for (const worker of busy) worker.mute = false;
     cluster.startController(first);
     await cluster.allDone(kept);
--- a/src/fault-scenarios/chains.test.ts
+++ b/src/fault-scenarios/chains.test.ts
@@ -1,6 +1,14 @@
 /** Jobs that need others, while something fails. */
 import assert from 'node:assert/strict';
-import { cancelMs, type Cluster, labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  cancelDeadlineMs,
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 60 };
@@ -29,7 +37,11 @@
 const startedOf = (cluster: Cluster, id: string): number =>
   cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
-async function cancelledEverywhere(cluster: Cluster, ids: string[], withinMs = cancelMs): Promise<void> {
+async function cancelledEverywhere(
+  cluster: Cluster,
+  ids: string[],
+  withinMs = cancelDeadlineMs,
+): Promise<void> {
   await cluster.toldEverywhere(ids, 'cancelled', withinMs);
 }
 
@@ -82,10 +94,10 @@
     assert.equal(await cluster.cancelSurely(idOf(1), [node]), 'cancelled');
     cluster.stopController(first);
     cluster.stopController(labels[node] ?? '');
-    await pause(reportMs);
+    await pause(heartbeatIntervalMs);
     cluster.startController(first);
     cluster.startController(labels[node] ?? '');
-    await cancelledEverywhere(cluster, [...chain, ...wide], cancelMs * 2);
+    await cancelledEverywhere(cluster, [...chain, ...wide], cancelDeadlineMs * 2);
   },
 );
 
@@ -145,10 +157,10 @@
     const chain = await startChain(cluster, 5);
     assert.equal(await cluster.cancelSurely(idOf(1), [1]), 'cancelled');
     cluster.store.down = true;
-    const until = Date.now() + cancelMs * 1.3;
+    const until = Date.now() + cancelDeadlineMs * 1.3;
     while (Date.now() < until) {
       for (const [i, id] of chain.entries()) await cluster.ask(i % 3, id);
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
     }
     cluster.store.down = false;
     for (let i = 0; i < 20; i++) await Promise.all(chain.map((id, node) => cluster.ask((node + i) % 3, id)));
@@ -165,12 +177,12 @@
     cluster.store.held.add('keel-2');
     for (const link of cluster.peersOf('keel-2')) link.cut();
     assert.equal(await cluster.cancelSurely(idOf(1), [0, 1]), 'cancelled');
-    await pause(cancelMs + leaseMs);
+    await pause(cancelDeadlineMs + workerLeaseMs);
     cluster.store.held.delete('keel-2');
     for (const link of cluster.peersOf('keel-2')) link.heal();
     for (let i = 0; i < 20; i++) {
       await Promise.all(chain.map((id) => cluster.ask(2, id)));
-      await pause(reportMs / 4);
+      await pause(heartbeatIntervalMs / 4);
     }
     await cancelledEverywhere(cluster, chain);
   },
--- a/src/fault-scenarios/close-looks.test.ts
+++ b/src/fault-scenarios/close-looks.test.ts
@@ -1,6 +1,13 @@
 /** Users who ask at all controllers, again and again, right after a job was accepted, has ended or was cancelled. */
 import assert from 'node:assert/strict';
-import { type Cluster, labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 import { seeded } from '../testing/seeded.js';
 
@@ -30,7 +37,7 @@
       await answerIsHeld(cluster);
       assert.equal(await cluster.cancelSurely(id, [(node + 1) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
-      await pause(reportMs / 10);
+      await pause(heartbeatIntervalMs / 10);
       cluster.store.releaseAnswers();
       assert.deepEqual(await Promise.all([earlier, later]), [200, 200]);
     }
@@ -50,7 +57,7 @@
       await cluster.submitSurely(submission(id, 1), (node + 1) % 3);
       assert.equal(await cluster.cancelSurely(id, [(node + 2) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
-      await pause(reportMs / 10);
+      await pause(heartbeatIntervalMs / 10);
       cluster.store.releaseAnswers();
       await Promise.all([first, later]);
     }
@@ -68,7 +75,7 @@
     await cluster.submitSurely(submission(id, 2), 1);
     assert.equal(await cluster.cancelSurely(id, [2]), 'cancelled');
     assert.equal(cluster.store.deliver(), 1);
-    await pause(leaseMs);
+    await pause(workerLeaseMs);
     for (const node of labels.keys()) {
       assert.equal(await cluster.ask(node, id), 'cancelled');
       assert.equal(await cluster.submit(node, submission(id, 2)), 200);
@@ -94,15 +101,15 @@
       await answerIsHeld(cluster);
       cluster.processes.pause(paused);
       cluster.store.releaseAnswers();
-      await pause(reportMs / 4);
+      await pause(heartbeatIntervalMs / 4);
       // Only the answers from before reach it: its watch, its peers and what it asks once it goes on are held back.
       cluster.store.held.add(paused);
       for (const link of cluster.peersOf(paused)) link.cut();
       assert.equal(await cluster.cancelSurely(id, [0, 1]), 'cancelled');
       const later = [cluster.submit(node, submission(id, 1)), cluster.ask(node, id)];
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
       cluster.processes.continue(paused);
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
       cluster.store.held.delete(paused);
       for (const link of cluster.peersOf(paused)) link.heal();
       await Promise.all([...earlier, ...later]);
@@ -119,7 +126,7 @@
     for (const node of labels.keys()) {
       requests.push(cluster.ask(node, id), cluster.submit(node, submission(id, 1)));
     }
-    await pause(reportMs / 20);
+    await pause(heartbeatIntervalMs / 20);
   }
   return Promise.all(requests);
 }
@@ -130,7 +137,7 @@
   await cluster.submitSurely(submission(id, 1), Math.floor(random() * labels.length));
   looks.push(lookClosely(cluster, id));
   if (random() < 0.6) {
-    await pause(random() * reportMs);
+    await pause(random() * heartbeatIntervalMs);
     await cluster.cancelSurely(id, [Math.floor(random() * labels.length), 0, 1, 2]);
   } else {
     await cluster.until(`${id} has ended`, async () => (await cluster.ask(0, id)) === 'done', 25_000);
@@ -149,16 +156,16 @@
       const ids = Array.from({ length: 24 }, (_, i) => `req-00002${i.toString().padStart(2, '0')}`);
       cluster.store.lateAnswers = { share: 0.5, toMs: 600 };
       const users = ids.map(async (id) => {
-        await pause(random() * 1.5 * leaseMs);
+        await pause(random() * 1.5 * workerLeaseMs);
         await followClosely(cluster, id, random);
       });
-      await pause(leaseMs / 2);
+      await pause(workerLeaseMs / 2);
       cluster.store.losesAnswers = 5;
       await cluster.restart(labels[seed % labels.length] ?? '', 100);
-      cluster.store.late = { share: 0.1, fromMs: reportMs, toMs: leaseMs };
+      cluster.store.late = { share: 0.1, fromMs: heartbeatIntervalMs, toMs: workerLeaseMs };
       const cutOff = labels[(seed + 1) % labels.length] ?? '';
       cluster.store.held.add(cutOff);
-      await pause(leaseMs / 2);
+      await pause(workerLeaseMs / 2);
       cluster.store.held.delete(cutOff);
       cluster.store.late = undefined;
       await Promise.all(labels.map((label, i) => cluster.restart(label, 100 + 100 * i)));
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -7,7 +7,7 @@
 const tasksPerJob = 200;
 /** Long enough for one process to send and to answer the reports of all machines. */
 const times = { report_s: 6, lease_s: 40, cancel_s: 50 };
-const cancelMs = times.cancel_s * 1000;
+const cancelDeadlineMs = times.cancel_s * 1000;
 const rampUpMs = 90_000;
 /** Tasks that may be started again after all that happens to their controllers, as a share of all. */
 const lostWork = 0.05;
@@ -56,17 +56,17 @@
     cluster.stopController(leader);
     cluster.stopController(other);
     assert.equal(await cluster.cancelSurely(cancelled, [labels.indexOf(alone)]), 'cancelled');
-    await cluster.until('it has all blocks', () => new Set(cluster.owners()).size === 1, cancelMs);
+    await cluster.until('it has all blocks', () => new Set(cluster.owners()).size === 1, cancelDeadlineMs);
     await cluster.until(
       'nothing of the job is left',
       () => cluster.runningOf(cancelled).length === 0,
-      cancelMs,
+      cancelDeadlineMs,
     );
     cluster.stopController(alone);
     for (const label of labels) cluster.startController(label);
     await cluster.allDone(
       ids.filter((id) => id !== cancelled),
-      2 * cancelMs,
+      2 * cancelDeadlineMs,
     );
     assert.deepEqual(cluster.store.sizeRefusals, []);
     assert.ok(restartsOf(cluster) < machines * lostWork, `${restartsOf(cluster)} tasks were started again`);
--- a/src/fault-scenarios/leaders.test.ts
+++ b/src/fault-scenarios/leaders.test.ts
@@ -1,5 +1,5 @@
 import assert from 'node:assert/strict';
-import { labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import { labels, workerLeaseMs, pause, heartbeatIntervalMs, submission } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const nodeOf = (label: string): number => labels.indexOf(label);
@@ -72,9 +72,9 @@
     const first = await cluster.leading();
     cluster.stopController(first);
     await cluster.leading(first);
-    await pause(leaseMs * 0.8);
+    await pause(workerLeaseMs * 0.8);
     for (const worker of busy) worker.mute = false;
-    await pause(leaseMs * 0.7);
+    await pause(workerLeaseMs * 0.7);
     for (const worker of busy) worker.deaf = false;
     cluster.startController(first);
     await cluster.allDone(ids);
@@ -102,7 +102,7 @@
       // Its last one, and others from before it had any task: none may be believed.
       for (const back of [0, 30, 8, 0]) worker.repeat(back, nodeOf(cluster.ownerOf(worker.machine.id)));
     }
-    await pause(2 * reportMs);
+    await pause(2 * heartbeatIntervalMs);
     for (const worker of workers) worker.mute = false;
     cluster.startController(first);
     await cluster.allDone(['req-000001', 'req-000002']);
@@ -118,7 +118,7 @@
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 6), i);
     await cluster.until('tasks run', () => cluster.runningOf('req-000001').length > 0);
     for (const label of labels) cluster.stopController(label);
-    await pause(leaseMs * 1.3);
+    await pause(workerLeaseMs * 1.3);
     assert.deepEqual(cluster.runningOf('req-000001'), []);
     for (const label of labels) cluster.startController(label);
     await cluster.allDone(ids);
@@ -136,7 +136,7 @@
       const first = await cluster.leading();
       if (change === 4) cluster.store.down = true;
       await cluster.restart(first, 50);
-      await pause(cluster.store.down ? reportMs : 3 * reportMs);
+      await pause(cluster.store.down ? heartbeatIntervalMs : 3 * heartbeatIntervalMs);
       if (change === 6) cluster.store.down = false;
       for (const [i, id] of ids.entries()) await cluster.ask(i, id);
     }
@@ -152,11 +152,11 @@
   { port: 22_240, taskMs: 1000 },
   async (cluster) => {
     const { store } = cluster;
-    store.delayMs = reportMs * 1.5;
+    store.delayMs = heartbeatIntervalMs * 1.5;
     store.endAllLeases();
     await cluster.leading();
     const led = cluster.leaderToken();
-    await pause(leaseMs);
+    await pause(workerLeaseMs);
     assert.equal(cluster.leaderToken(), led);
     store.delayMs = 0;
     await cluster.submitSurely(submission('req-000001', 3));
--- a/src/fault-scenarios/messages.test.ts
+++ b/src/fault-scenarios/messages.test.ts
@@ -1,5 +1,12 @@
 import assert from 'node:assert/strict';
-import { type Cluster, labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const taskMs = 700;
@@ -18,7 +25,7 @@
     `transactions without an answer are carried out late, after newer ones (seed ${seed})`,
     { port: 24_000 + seed * 40, taskMs, seed },
     async (cluster) => {
-      cluster.store.late = { share: 0.25, fromMs: reportMs, toMs: 6 * reportMs };
+      cluster.store.late = { share: 0.25, fromMs: heartbeatIntervalMs, toMs: 6 * heartbeatIntervalMs };
       await submitAll(cluster, five, 4);
       const [cancelled = '', ...kept] = five;
       await cluster.cancelSurely(cancelled);
@@ -41,7 +48,7 @@
           );
         else kept.push(more);
         if (i % 4 === 3) await cluster.restart(await cluster.leading());
-        await pause(reportMs);
+        await pause(heartbeatIntervalMs);
       }
       await cluster.until('some have been', () => cluster.store.carriedOutLate > 2);
       cluster.store.late = undefined;
@@ -66,7 +73,7 @@
     assert.equal(await cluster.cancel(0, id), 'turned away');
     await cluster.allDone([id]);
     assert.equal(cluster.store.deliver(), 1);
-    await pause(2 * reportMs);
+    await pause(2 * heartbeatIntervalMs);
     for (const node of [0, 1, 2]) assert.equal(await cluster.ask(node, id), 'done');
   },
 );
@@ -81,7 +88,7 @@
     cluster.store.keeps = (key) => key.startsWith('sk/run/');
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4, { owner: 'blue' }), i);
     await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === 4));
-    await pause(2 * reportMs);
+    await pause(2 * heartbeatIntervalMs);
     assert.equal(cluster.store.deliver(), 1);
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.allDone(ids);
@@ -98,13 +105,13 @@
     await submitAll(cluster, five, 4);
     await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
     const [cancelled = '', ...kept] = five;
-    for (const hungMs of [reportMs, leaseMs / 2, leaseMs * 0.9, leaseMs * 1.4]) {
+    for (const hungMs of [heartbeatIntervalMs, workerLeaseMs / 2, workerLeaseMs * 0.9, workerLeaseMs * 1.4]) {
       const hung = [...cluster.workers.values()].filter((_, i) => i % 2 === 0);
       for (const worker of hung) worker.hang();
-      if (hungMs === leaseMs * 0.9) await cluster.cancelSurely(cancelled);
+      if (hungMs === workerLeaseMs * 0.9) await cluster.cancelSurely(cancelled);
       await pause(hungMs);
       for (const worker of hung) worker.resume();
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
     }
     await cluster.allDone(kept);
   },
@@ -117,11 +124,11 @@
   async (cluster) => {
     await submitAll(cluster, five, 2);
     await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
-    for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * leaseMs };
+    for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * workerLeaseMs };
     // Some of them lose their lease, and with it session and attempts, before the copies arrive.
     const lost = [...cluster.workers.values()].slice(0, 2);
     for (const worker of lost) worker.mute = true;
-    await pause(1.1 * leaseMs);
+    await pause(1.1 * workerLeaseMs);
     for (const worker of lost) worker.mute = false;
     for (let i = 0; i < 5; i++) {
       for (const worker of cluster.workers.values()) {
@@ -129,7 +136,7 @@
           worker.repeat(back, labels.indexOf(cluster.ownerOf(worker.machine.id)));
       }
       if (i === 2) await cluster.restart(await cluster.leading());
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
     }
     await cluster.allDone(five);
   },
@@ -147,9 +154,9 @@
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.mute = i % 2 === 0;
     await cluster.cancelSurely(cancelled);
-    await pause(0.9 * leaseMs);
+    await pause(0.9 * workerLeaseMs);
     for (const worker of workers) worker.mute = true;
-    await pause(1.5 * leaseMs);
+    await pause(1.5 * workerLeaseMs);
     for (const worker of workers) worker.mute = false;
     for (const label of labels)
       assert.notEqual(await cluster.ask(labels.indexOf(label), cancelled), 'pending');
@@ -162,15 +169,15 @@
   'rentals and releases get no answer, releases are carried out late, and the list lags',
   { port: 24_280, taskMs: 2000, capacity: 6 },
   async (cluster) => {
-    cluster.cloud.listLagMs = reportMs;
+    cluster.cloud.listLagMs = heartbeatIntervalMs;
     cluster.cloud.losesRentals = 3;
-    cluster.cloud.lateReleases = { count: 4, ms: 4 * reportMs };
+    cluster.cloud.lateReleases = { count: 4, ms: 4 * heartbeatIntervalMs };
     await submitAll(cluster, five, 4);
     await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
     const hung = [...cluster.workers.values()].slice(0, 2);
     for (const worker of hung) worker.hang();
     await cluster.restart(await cluster.leading());
-    await pause(leaseMs);
+    await pause(workerLeaseMs);
     for (const worker of hung) worker.resume();
     await cluster.allDone(five);
   },
--- a/src/fault-scenarios/places.test.ts
+++ b/src/fault-scenarios/places.test.ts
@@ -1,5 +1,11 @@
 import assert from 'node:assert/strict';
-import { type Cluster, cancelMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  type Cluster,
+  cancelDeadlineMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 /** The machine under some task of the job stops, with all that is on it, as soon as a task of the job runs. */
@@ -31,7 +37,7 @@
     await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
     await cluster.restart(await cluster.leading());
-    await pause(2 * reportMs);
+    await pause(2 * heartbeatIntervalMs);
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
     cluster.holdsTask = () => false;
     await cluster.allDone(ids);
@@ -61,10 +67,10 @@
     // The tasks of the other jobs end around the end of the partition; those of the cancelled ones never do by themselves.
     cluster.holdsTask = (task) => cancelled.some((id) => task.startsWith(`${id}/`));
     for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
-    const until = Date.now() + cancelMs * 1.2;
+    const until = Date.now() + cancelDeadlineMs * 1.2;
     while (Date.now() < until) {
       for (const [i, id] of ids.entries()) await cluster.ask(1 + (i % 2), id);
-      await pause(reportMs);
+      await pause(heartbeatIntervalMs);
     }
     cluster.cutZones.clear();
     cluster.store.held.clear();
@@ -78,7 +84,7 @@
   'there is more work than room, urgent and not, over slow links',
   { port: 25_080, taskMs: 300, capacity: 2 },
   async (cluster) => {
-    cluster.store.delayMs = reportMs / 2;
+    cluster.store.delayMs = heartbeatIntervalMs / 2;
     const jobs = Array.from({ length: 12 }, (_, i) =>
       submission(`req-0001${String(i).padStart(2, '0')}`, i === 0 ? 30 : 4, {
         urgency: i % 2 === 0 ? 'high' : 'best_effort',
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -3,7 +3,14 @@
 import { execFileSync } from 'node:child_process';
 import { after, before, test } from 'node:test';
 import { ledgerLayout } from '../placement/ledger-layout.js';
-import { type Cluster, labels, leaseMs, pause, reportMs, submission } from '../testing/cluster.js';
+import {
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+} from '../testing/cluster.js';
 import { type ProductionBuild, buildProduction, productionCommit } from '../testing/production.js';
 import { scenario } from '../testing/scenario.js';
 import { sizeOf } from '../wire/codec.js';
@@ -73,21 +80,21 @@
     // An old leader with a new owner, whose block an old one takes over and gives back.
     await cluster.upgrade(second);
     ids.push(...(await submitSmall(cluster, 50, 2, 100)));
-    await pause(4 * reportMs);
+    await pause(4 * heartbeatIntervalMs);
     cluster.stopController(second);
     await cluster.until('its block has another owner', () => !cluster.owners().includes(second));
-    await pause(4 * reportMs);
+    await pause(4 * heartbeatIntervalMs);
     cluster.startController(second);
     // One that dies before its turn.
     cluster.processes.kill(third);
-    await pause(2 * reportMs);
+    await pause(2 * heartbeatIntervalMs);
     cluster.startProcess(third, earlier.program);
     ids.push(...(await submitSmall(cluster, 100, 3, 100)));
-    await pause(3 * reportMs);
+    await pause(3 * heartbeatIntervalMs);
     assert.equal(await cluster.cancelSurely(idOf(3)), 'cancelled');
     // A new leader with old owners.
     await cluster.upgrade(first);
-    await pause(3 * reportMs);
+    await pause(3 * heartbeatIntervalMs);
     ids.push(...(await submitSmall(cluster, 200, 3, 100)));
     await cluster.upgrade(third);
     await cluster.until('all have announced their format', () => hasUpgradedEverywhere(cluster));
@@ -139,7 +146,7 @@
     await cluster.until('its tasks are gone', () => cluster.runningOf('req-000002').length === 0, 5000);
     cluster.store.refused.clear();
     await cluster.upgrade(third);
-    await pause(leaseMs / 2);
+    await pause(workerLeaseMs / 2);
     await cluster.upgrade(first);
     await cluster.allDone(
       ids.filter((id) => id !== 'req-000002'),
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -2,11 +2,11 @@
 import type { Team } from '../settings/settings.js';
 
 import { sizeOf } from '../wire/codec.js';
-import { jobRecord, leastPartsBytes } from '../wire/job-records.js';
+import { jobRecord, minTaskRangesBytes } from '../wire/job-records.js';
 
 /** Why the record of a job would not fit a value of the state service. */
 export function whyTooLarge(job: JobSpec, valueBytes: number): string | undefined {
-  const bytes = sizeOf(jobRecord({ spec: job, parts: [] })) + leastPartsBytes;
+  const bytes = sizeOf(jobRecord({ spec: job, taskRanges: [] })) + minTaskRangesBytes;
   return bytes > valueBytes ? 'the description of the job is too large' : undefined;
 }
 
@@ -24,7 +24,7 @@
   }
   const fitsSome = [...types].some(
     (type) =>
-      (job.types === null || job.types.includes(type.name)) &&
+      (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
       (job.zone === null || type.zones.includes(job.zone)) &&
       job.cpus <= type.cpus &&
       job.accelerators <= type.accelerators &&
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -1,13 +1,13 @@
-import type { Cancelled } from '../wire/peer-status.js';
+import type { CancelledJob } from '../wire/peer-status.js';
 
 /** Cancelled jobs that are remembered, and those that are told in one message: no outage brings more. */
-const mostKept = 4000;
-const mostTold = 500;
+const maxKept = 4000;
+const maxPerMessage = 500;
 
-export interface Vouched {
+export interface AcknowledgedCancellations {
   /** No cancelled end with a version above this has been told to any user without being on the list. */
-  since: number;
-  cancelled: Cancelled[];
+  cancelledSince: number;
+  cancelled: CancelledJob[];
 }
 
 /**
@@ -25,7 +25,7 @@
   learn(id: string, version: number): void {
     this.versions.set(id, version);
     this.newest = Math.max(this.newest, version);
-    if (this.versions.size <= mostKept) return;
+    if (this.versions.size <= maxKept) return;
     for (const [oldest, cut] of this.versions) {
       this.versions.delete(oldest);
       this.cutAt = Math.max(this.cutAt, cut);
@@ -33,14 +33,17 @@
     }
   }
 
-  /** For a peer whose copy has reached `revision`; what is left out raises `since` above it. */
-  since(revision: number): Vouched {
-    const since = Math.max(this.firstRevision() ?? Infinity, this.cutAt, revision);
+  /** For a peer whose copy has reached `revision`; what is left out raises `cancelledSince` above it. */
+  since(revision: number): AcknowledgedCancellations {
+    const cancelledSince = Math.max(this.firstRevision() ?? Infinity, this.cutAt, revision);
     // Asked for with every status to every peer, and mostly the peer knows all of them.
-    if (this.newest <= since) return { since, cancelled: [] };
-    const cancelled = [...this.versions].filter(([, version]) => version > since);
-    if (cancelled.length <= mostTold) return { since, cancelled };
+    if (this.newest <= cancelledSince) return { cancelledSince, cancelled: [] };
+    const cancelled = [...this.versions].filter(([, version]) => version > cancelledSince);
+    if (cancelled.length <= maxPerMessage) return { cancelledSince, cancelled };
     cancelled.sort(([, a], [, b]) => b - a);
-    return { since: cancelled[mostTold]?.[1] ?? Infinity, cancelled: cancelled.slice(0, mostTold) };
+    return {
+      cancelledSince: cancelled[maxPerMessage]?.[1] ?? Infinity,
+      cancelled: cancelled.slice(0, maxPerMessage),
+    };
   }
 }
--- a/src/intake/end-reader.ts
+++ b/src/intake/end-reader.ts
@@ -1,7 +1,7 @@
 /** Reads the ends of jobs that this controller has not heard of, many with each request to the state service. */
 import type { Mirror } from '../store/mirror.js';
 import type { StoreClient } from '../store/client.js';
-import { endKey, endPrefix } from '../wire/keys.js';
+import { outcomeKey, outcomePrefix } from '../wire/keys.js';
 
 export interface EndReaderPorts {
   store: Pick<StoreClient, 'listPage'>;
@@ -24,7 +24,7 @@
 
   /** Settles once the end is known or cannot be read now; the copy of the store says which. */
   async read(id: string): Promise<void> {
-    const key = endKey(id);
+    const key = outcomeKey(id);
     this.wanted.add(key);
     while (this.wanted.has(key)) {
       this.reading ??= this.readPage();
@@ -37,7 +37,7 @@
     const { store, mirror } = this.ports;
     const [first = ''] = [...this.wanted].sort();
     try {
-      const { items } = await store.listPage(endPrefix, justBefore(first), endsPerPage, 'intake');
+      const { items } = await store.listPage(outcomePrefix, justBefore(first), endsPerPage, 'intake');
       mirror.recordOutcomes(items);
       for (const { key } of items) this.wanted.delete(key);
       this.wanted.delete(first);
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -4,9 +4,9 @@
 import type { Mirror } from '../store/mirror.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
-import { type EndTransaction, changesPerEnd, endTransaction } from '../wire/end-transaction.js';
+import { type OutcomeTransaction, changesPerOutcome, outcomeTransaction } from '../wire/end-transaction.js';
 import { parseJobRecord } from '../wire/job-records.js';
-import { type StoredValue, endKey, jobKey } from '../wire/keys.js';
+import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
 import type { JobStatusReader, JobStatusResult } from './job-status.js';
 
 export interface CancelPorts {
@@ -79,17 +79,21 @@
       return 'cancelled';
     }
     if (outcome.kind !== 'conflict') return 'unavailable';
-    return outcome.failed.includes(endKey(id)) ? 'gone' : 'changed';
+    return outcome.failed.includes(outcomeKey(id)) ? 'gone' : 'changed';
   }
 
-  private cancellation(id: string, jobVersion: number, tasks: number): EndTransaction {
-    return endTransaction(id, jobVersion, { end: 'cancelled', tasks, at: this.ports.wallClock() });
+  private cancellation(id: string, jobVersion: number, tasks: number): OutcomeTransaction {
+    return outcomeTransaction(id, jobVersion, {
+      outcome: 'cancelled',
+      tasks,
+      endedAt: this.ports.wallClock(),
+    });
   }
 
   /** As many of the jobs that need this one as the transaction has room for; the cascade cancels the others. */
-  private cancellationsOfDependents(id: string): EndTransaction[] {
+  private cancellationsOfDependents(id: string): OutcomeTransaction[] {
     const { jobIndex, settings } = this.ports;
-    const room = Math.floor(settings.state.txnOps / changesPerEnd) - 1;
+    const room = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
     return jobIndex.dependencies
       .closure(id)
       .slice(0, room)
--- a/src/intake/job-status.ts
+++ b/src/intake/job-status.ts
@@ -3,14 +3,14 @@
 import type { Mirror } from '../store/mirror.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-stage.js';
-import { type End, parseJobRecord } from '../wire/job-records.js';
-import { endKey, jobKey } from '../wire/keys.js';
+import { type Outcome, parseJobRecord } from '../wire/job-records.js';
+import { outcomeKey, jobKey } from '../wire/keys.js';
 import type { Condition } from '../wire/state.js';
 import type { EndReader } from './end-reader.js';
 
 export interface EndedJob {
   kind: 'ended';
-  end: End;
+  end: Outcome;
   /** The number of the job's tasks, where it is known. */
   tasks: number;
 }
@@ -67,7 +67,7 @@
   /** The end of the job, where this controller knows it. An end never changes, so it needs no further evidence. */
   knownEnd(id: string): EndedJob | undefined {
     const record = this.ports.mirror.outcomeOf(id);
-    return record && { kind: 'ended', end: record.end, tasks: record.tasks };
+    return record && { kind: 'ended', end: record.outcome, tasks: record.tasks };
   }
 
   /** True where the copy of the store holds a record of the job, which stays until the job's end is decided. */
@@ -79,7 +79,7 @@
     const { mirror, store, confirms } = this.ports;
     if (store.failing || confirms.full || !mirror.ready) return { kind: 'unavailable' };
     const recorded = this.isRecorded(id);
-    const noEnd: Condition = { key: endKey(id), version: 0 };
+    const noEnd: Condition = { key: outcomeKey(id), version: 0 };
     const noJob: Condition = { key: jobKey(id), version: 0 };
     const outcome = await confirms.commit(recorded ? [noEnd] : [noEnd, noJob], []);
     if (outcome.kind === 'applied') return { kind: recorded ? 'open' : 'never-accepted' };
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -5,8 +5,8 @@
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
-import { type Part, endRecord, jobRecord } from '../wire/job-records.js';
-import { endKey, jobKey } from '../wire/keys.js';
+import { type TaskRange, outcomeRecord, jobRecord } from '../wire/job-records.js';
+import { outcomeKey, jobKey } from '../wire/keys.js';
 import { whyImpossible, whyTooLarge } from './admission.js';
 import type { JobStatusReader } from './job-status.js';
 import type { DependencyGraph } from '../dependencies/dependency-graph.js';
@@ -19,9 +19,9 @@
   mirror: Mirror;
   /** Submissions and cancels. */
   writes: CommitQueue;
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The block that a new job belongs to; empty where the leader has to place it. */
-  home: (spec: JobSpec) => Part[];
+  home: (spec: JobSpec) => TaskRange[];
   jobIndex: { dependencies: Pick<DependencyGraph, 'isDoomedBy'> };
   /** All controllers heed dependencies: an earlier version would start such a job at once. */
   supportsDependencies: () => boolean;
@@ -59,11 +59,12 @@
    * the repetition.
    */
   async submit(job: JobSpec): Promise<SubmissionResult> {
-    const { store, mirror, types, settings } = this.ports;
+    const { store, mirror, machineTypes, settings } = this.ports;
     if (this.isKnown(job.id)) return { kind: 'accepted-before' };
-    if (types().size === 0 || !mirror.ready) return { kind: 'unavailable' };
+    if (machineTypes().size === 0 || !mirror.ready) return { kind: 'unavailable' };
     const reason =
-      whyImpossible(job, types().values(), settings.teams) ?? whyTooLarge(job, settings.state.valueBytes);
+      whyImpossible(job, machineTypes().values(), settings.teams) ??
+      whyTooLarge(job, settings.state.valueBytes);
     if (reason !== undefined) return { kind: 'impossible', reason };
     const unmet = await this.checkDependencies(job);
     if (unmet) return unmet;
@@ -114,15 +115,15 @@
     const { mirror, home, jobIndex } = this.ports;
     if (jobIndex.dependencies.isDoomedBy(job.dependencies ?? [])) return this.recordAsCancelled(job);
     const key = jobKey(job.id);
-    const value = jobRecord({ spec: job, parts: home(job) });
+    const value = jobRecord({ spec: job, taskRanges: home(job) });
     return this.commitAsNew(job.id, key, value, (version) => mirror.recordCommitted(key, { value, version }));
   }
 
   /** A job that needs a cancelled one is accepted all the same, and cancelled with it. */
   private async recordAsCancelled(job: JobSpec): Promise<SubmissionResult> {
     const { mirror, wallClock } = this.ports;
-    const key = endKey(job.id);
-    const value = endRecord({ end: 'cancelled', tasks: job.tasks, at: wallClock() });
+    const key = outcomeKey(job.id);
+    const value = outcomeRecord({ outcome: 'cancelled', tasks: job.tasks, endedAt: wallClock() });
     return this.commitAsNew(job.id, key, value, (version) => mirror.recordOutcome(key, { value, version }));
   }
 
@@ -133,7 +134,7 @@
     value: unknown,
     learn: (version: number) => void,
   ): Promise<SubmissionResult> {
-    const absent = [jobKey(id), endKey(id)].map((one) => ({ key: one, version: 0 }));
+    const absent = [jobKey(id), outcomeKey(id)].map((one) => ({ key: one, version: 0 }));
     const outcome = await this.ports.writes.commit(absent, [{ put: key, value }]);
     if (outcome.kind === 'conflict') return { kind: 'accepted-before' };
     if (outcome.kind !== 'applied') return { kind: 'unavailable' };
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -7,8 +7,8 @@
   withinLimit,
 } from '../model/types.js';
 import { type JobIndex, type IndexedJob, needOf } from '../placement/job-index.js';
-import type { OrderOfWork } from '../placement/order.js';
-import { Usage } from '../placement/placement-round.js';
+import type { QueueOrder } from '../placement/order.js';
+import { TeamUsage } from '../placement/placement-round.js';
 import type { Team } from '../settings/settings.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { type LadderShape, slotsOf, slotsPerMachine } from './ladder.js';
@@ -54,11 +54,11 @@
 }
 
 /** Pools that may serve the job, cheapest first. Cheap machines leave ordinary ones to work that needs them. */
-export function poolsFor(spec: JobSpec, pools: Iterable<Pool>): Pool[] {
+export function eligiblePools(spec: JobSpec, pools: Iterable<Pool>): Pool[] {
   const eligible = [...pools].filter(
     (pool) =>
       (spec.spot || !pool.spot) &&
-      (spec.types === null || spec.types.includes(pool.type.name)) &&
+      (spec.machineTypes === null || spec.machineTypes.includes(pool.type.name)) &&
       (spec.zone === null || pool.type.zones.includes(spec.zone)) &&
       fits(spec, pool.type),
   );
@@ -72,9 +72,9 @@
   return chosen.sort((a, b) => cost(a) - cost(b) || (a.key < b.key ? -1 : 1));
 }
 
-export interface DemandFacts {
+export interface DemandInputs {
   jobIndex: JobIndex;
-  order: OrderOfWork;
+  order: QueueOrder;
   /** The time of day. */
   now: number;
   machines: ReadonlyMap<string, LeasedMachine>;
@@ -84,33 +84,33 @@
 }
 
 /** Fills in each pool's counted slots: tasks on machines, and waiting ones that their team's limit admits. */
-export function countDemand(facts: DemandFacts): void {
-  const { pools, shape, jobIndex } = facts;
-  const usage = new Usage();
+export function countDemand(inputs: DemandInputs): void {
+  const { pools, shape, jobIndex } = inputs;
+  const usage = new TeamUsage();
   for (const { page, machine: id } of jobIndex.activeTasks()) {
     usage.add(page.team, page);
-    const machine = facts.machines.get(id);
+    const machine = inputs.machines.get(id);
     const pool = machine && pools.get(poolKey(machine.type, machine.spot));
     if (pool) pool.counted += slotsOf(page, pool.type, shape);
   }
   // The order decides only who is admitted below a limit.
-  const limited = [...facts.teams.values()].some((team) => team.cpusMax > 0 || team.acceleratorsMax > 0);
+  const limited = [...inputs.teams.values()].some((team) => team.cpusMax > 0 || team.acceleratorsMax > 0);
   // There are far fewer kinds of tasks than jobs.
   const choicesByKind = new Map<string, Pool[]>();
-  for (const job of limited ? jobIndex.inOrder(facts.order, facts.now) : jobIndex.jobs.values()) {
+  for (const job of limited ? jobIndex.inQueueOrder(inputs.order, inputs.now) : jobIndex.jobs.values()) {
     const need = needOf(job.spec);
-    let left = admitted(job, facts, usage);
+    let left = admittedTasks(job, inputs, usage);
     usage.add(job.spec.team, need, left);
     const kind = taskKind(job.spec);
-    const choices = choicesByKind.get(kind) ?? poolsFor(job.spec, pools.values());
+    const choices = choicesByKind.get(kind) ?? eligiblePools(job.spec, pools.values());
     choicesByKind.set(kind, choices);
-    for (const { block, count } of jobIndex.waiting(job)) {
-      left -= spreadOver(choices, need, Math.min(left, count), block ?? -1, shape);
+    for (const { block, count } of jobIndex.waitingByBlock(job)) {
+      left -= countWaiting(choices, need, Math.min(left, count), block ?? -1, shape);
     }
   }
 }
 
-function spreadOver(
+function countWaiting(
   choices: Pool[],
   need: Resources,
   count: number,
@@ -133,21 +133,21 @@
   return count;
 }
 
-function admitted(job: IndexedJob, facts: DemandFacts, usage: Usage): number {
+function admittedTasks(job: IndexedJob, inputs: DemandInputs, usage: TeamUsage): number {
   const { spec } = job;
-  const team = facts.teams.get(spec.team);
+  const team = inputs.teams.get(spec.team);
   if (!team) return 0;
-  const used = usage.of(team.name);
-  const { done, active } = facts.jobIndex.progress(job.id);
+  const used = usage.usedBy(team.name);
+  const { done, active } = inputs.jobIndex.progress(job.id);
   let count = Math.max(0, spec.tasks - done - active);
   if (!withinLimit(used.cpus, spec.cpus * count, team.cpusMax))
-    count = roomFor(team.cpusMax - used.cpus, spec.cpus);
+    count = tasksWithin(team.cpusMax - used.cpus, spec.cpus);
   if (!withinLimit(used.accelerators, spec.accelerators * count, team.acceleratorsMax)) {
-    count = Math.min(count, roomFor(team.acceleratorsMax - used.accelerators, spec.accelerators));
+    count = Math.min(count, tasksWithin(team.acceleratorsMax - used.accelerators, spec.accelerators));
   }
   return count;
 }
 
-function roomFor(free: number, each: number): number {
+function tasksWithin(free: number, each: number): number {
   return each > 0 ? Math.max(0, Math.floor(free / each)) : 0;
 }
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -1,8 +1,8 @@
 /** Observation of task failures, which the tuning of thresholds counts. */
 import type { JobIndex } from '../placement/job-index.js';
-import { type Pool, poolKey, poolsFor } from './demand.js';
+import { type Pool, poolKey, eligiblePools } from './demand.js';
 import type { LeasedMachine } from '../wire/block-records.js';
-import type { Outcome } from './tuner.js';
+import type { FailureSample } from './tuner.js';
 
 /**
  * Sees from the job index which tasks failed in the paper's sense: they had to wait on arrival, or lost their machine.
@@ -10,7 +10,7 @@
  */
 export class FailureObserver {
   /** Jobs whose arrival has been judged, with the displaced tasks that were counted since. */
-  private readonly judged = new Map<string, number>();
+  private readonly countedDisplacedByJob = new Map<string, number>();
 
   constructor(private readonly patienceMs: number) {}
 
@@ -19,21 +19,21 @@
     pools: ReadonlyMap<string, Pool>,
     machines: ReadonlyMap<string, LeasedMachine>,
     now: number,
-  ): { pool: string; outcome: Outcome }[] {
-    const seen: { pool: string; outcome: Outcome }[] = [];
+  ): { pool: string; outcome: FailureSample }[] {
+    const seen: { pool: string; outcome: FailureSample }[] = [];
     for (const job of jobIndex.jobs.values()) {
-      if (now - job.seenAt < this.patienceMs) continue;
-      const counted = this.judged.get(job.id);
-      const pages = [...jobIndex.entries(job.id)];
+      if (now - job.readySeenAt < this.patienceMs) continue;
+      const counted = this.countedDisplacedByJob.get(job.id);
+      const pages = [...jobIndex.entriesOf(job.id)];
       const displaced = pages.reduce((sum, page) => sum + page.waiting.length, 0);
-      this.judged.set(job.id, displaced);
+      this.countedDisplacedByJob.set(job.id, displaced);
       const on = pages.flatMap((page) => page.active).map(([, , machine]) => machines.get(machine));
       const used = on.find((machine) => machine !== undefined);
-      const choices = poolsFor(job.spec, pools.values());
+      const choices = eligiblePools(job.spec, pools.values());
       const pool = choices.find((p) => !p.exhausted) ?? choices[0];
       const home = (used && pools.get(poolKey(used.type, used.spot))) ?? pool;
       if (!pool || !home) continue;
-      const waits = jobIndex.waiting(job).reduce((sum, waiting) => sum + waiting.count, 0);
+      const waits = jobIndex.waitingByBlock(job).reduce((sum, waiting) => sum + waiting.count, 0);
       const arrived = counted === undefined;
       const failed = arrived ? waits : Math.max(0, displaced - counted);
       if (!arrived && failed === 0) continue;
@@ -47,7 +47,8 @@
       };
       seen.push({ pool: target.key, outcome });
     }
-    for (const id of this.judged.keys()) if (!jobIndex.jobs.has(id)) this.judged.delete(id);
+    for (const id of this.countedDisplacedByJob.keys())
+      if (!jobIndex.jobs.has(id)) this.countedDisplacedByJob.delete(id);
     return seen;
   }
 }
--- a/src/ladder/fleet.ts
+++ b/src/ladder/fleet.ts
@@ -9,23 +9,23 @@
 import type { CloudMachine, MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { lateClasses } from '../placement/lateness.js';
-import type { OrderOfWork } from '../placement/order.js';
+import type { QueueOrder } from '../placement/order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-stage.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
-import { ladderKey, leadKey } from '../wire/keys.js';
+import { ladderKey, leaderKey } from '../wire/keys.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
 import { type Pool, buildPools, countDemand, poolKey } from './demand.js';
 import { Ladder, slotsOf } from './ladder.js';
-import { Refusals } from './refusals.js';
-import { Listing } from './listing.js';
-import { Lack, Surplus } from './surplus.js';
-import { Tuner } from './tuner.js';
+import { CapacityRefusals } from './refusals.js';
+import { MissingMachineDetector } from './listing.js';
+import { ScaleOutWindow, ScaleInWindow } from './surplus.js';
+import { ThresholdTuner } from './tuner.js';
 import { FailureObserver } from './failure-observer.js';
 
-export interface FleetPorts {
+export interface AutoscalerPorts {
   clock: Clock;
   wallClock: () => number;
   log: Log;
@@ -33,141 +33,155 @@
   operator: OperatorSettings;
   cloud: CloudClient;
   jobIndex: JobIndex;
-  order: OrderOfWork;
+  order: QueueOrder;
   mirror: Mirror;
   commits: CommitQueue;
   term: Term;
   /** There has been no leader before, so no rental of one is still to be listed. */
-  firstEver: boolean;
-  types: () => ReadonlyMap<string, MachineType>;
+  isFirstTerm: boolean;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The store has lately answered us: without it the term may be over. */
-  inTouch: () => boolean;
+  isStoreReachable: () => boolean;
   /** All machines of all blocks, as the store has them. */
-  leased: () => ReadonlyMap<string, LeasedMachine>;
+  leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
 /** The ladder is looked at so often in a report interval: what it counts comes with reports. */
-const looksPerReport = 2;
-const leastTickMs = 1000;
+const evaluationsPerHeartbeat = 2;
+const minTickMs = 1000;
 /** A machine that is given back earlier is charged for this long all the same. */
 const minimumChargeMs = 60_000;
 /** Machines that are gone are remembered for so many times the list's lag, and for so long at least. */
-const goneLags = 20;
-const leastGoneMs = 60_000;
+const terminatedMemoryLags = 20;
+const minTerminatedMemoryMs = 60_000;
 /** The part of the calls to the cloud that lists of all machines may take. */
-const listShare = 0.4;
+const listCallShare = 0.4;
 
 /** The leader's renting and giving back, by the ladder of each pool. */
-export class Fleet {
+export class Autoscaler {
   /** Rented or found in the list, and in no block yet. */
-  readonly fresh = new Map<string, LeasedMachine>();
+  readonly unassigned = new Map<string, LeasedMachine>();
   /** Known to be gone; the list and the blocks may still name them for a while. */
-  readonly gone: RecentNames;
+  readonly terminated: RecentNames;
   /** On their way out: nothing more is to be placed on them. */
-  readonly unwanted = new Set<string>();
+  readonly toDrain = new Set<string>();
   /** No longer listed: most likely taken by the cloud, which a release will prove. */
-  readonly lost = new Set<string>();
+  readonly presumedTerminated = new Set<string>();
   /** A release of theirs is under way. */
   private readonly releasing = new Set<string>();
   private pools = new Map<string, Pool>();
-  private readonly ladders = new Map<string, { ladder: Ladder; tuner: Tuner }>();
-  private readonly surplus = new Surplus();
-  private readonly lack: Lack;
+  private readonly ladders = new Map<string, { ladder: Ladder; tuner: ThresholdTuner }>();
+  private readonly scaleInWindow = new ScaleInWindow();
+  private readonly scaleOutWindow: ScaleOutWindow;
   private readonly failureObserver: FailureObserver;
   private readonly tickMs: number;
   private tunedAt: number;
-  private loggedAt = -Infinity;
-  private readonly refusals: Refusals;
-  private readonly listing: Listing;
+  private poolsLoggedAt = -Infinity;
+  private readonly refusals: CapacityRefusals;
+  private readonly missingMachines: MissingMachineDetector;
 
-  constructor(private readonly ports: FleetPorts) {
-    this.lack = new Lack(ports.operator.ladder);
-    this.failureObserver = new FailureObserver(ports.settings.reportMs);
-    this.tickMs = Math.max(leastTickMs, ports.settings.reportMs / looksPerReport);
+  constructor(private readonly ports: AutoscalerPorts) {
+    this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder);
+    this.failureObserver = new FailureObserver(ports.settings.heartbeatIntervalMs);
+    this.tickMs = Math.max(minTickMs, ports.settings.heartbeatIntervalMs / evaluationsPerHeartbeat);
     this.tunedAt = ports.clock();
     const { listLagMs } = ports.settings.cloud;
-    this.gone = new RecentNames(ports.clock, Math.max(leastGoneMs, listLagMs * goneLags));
-    this.listing = new Listing(ports.settings.cloud.listLagMs);
-    this.refusals = new Refusals(ports.settings.cloud.listLagMs * 2);
+    this.terminated = new RecentNames(
+      ports.clock,
+      Math.max(minTerminatedMemoryMs, listLagMs * terminatedMemoryLags),
+    );
+    this.missingMachines = new MissingMachineDetector(ports.settings.cloud.listLagMs);
+    this.refusals = new CapacityRefusals(ports.settings.cloud.listLagMs * 2);
   }
 
   async run(): Promise<void> {
     const { term, log } = this.ports;
     await Promise.all([
-      runRoutine('machine-list', term.signal, log, () => this.followList()),
-      runRoutine('renting', term.signal, log, () => this.keepRenting()),
-      runRoutine('giving-back', term.signal, log, () => this.keepReleasing()),
+      runRoutine('machine-list', term.signal, log, () => this.pollMachineList()),
+      runRoutine('renting', term.signal, log, () => this.scaleRepeatedly()),
+      runRoutine('giving-back', term.signal, log, () => this.releaseRepeatedly()),
     ]);
   }
 
   /** Slots that wait in a block for machines like this one. */
-  waiting(block: number, machine: LeasedMachine): number {
+  waitingSlots(block: number, machine: LeasedMachine): number {
     return this.pools.get(poolKey(machine.type, machine.spot))?.waiting.get(block) ?? 0;
   }
 
-  noteGone(names: Iterable<string>): void {
+  markTerminated(names: Iterable<string>): void {
     for (const id of names) {
-      this.gone.add(id);
-      for (const ids of [this.unwanted, this.lost, this.fresh]) ids.delete(id);
+      this.terminated.add(id);
+      for (const ids of [this.toDrain, this.presumedTerminated, this.unassigned]) ids.delete(id);
     }
   }
 
-  private async followList(): Promise<void> {
+  private async pollMachineList(): Promise<void> {
     const { cloud, settings, term } = this.ports;
     while (!term.signal.aborted) {
       const machines = await cloud.listMachines();
-      this.applyList(machines);
+      this.applyMachineList(machines);
       const { rps, listLagMs } = settings.cloud;
       const pages = Math.ceil((machines.length + 1) / listLimit);
-      const pacedMs = (pages * 1000) / (rps * listShare);
+      const pacedMs = (pages * 1000) / (rps * listCallShare);
       await sleep(Math.max(this.tickMs * 2, listLagMs / 2, pacedMs), term.signal);
     }
   }
 
-  private applyList(machines: CloudMachine[]): void {
+  private applyMachineList(machines: CloudMachine[]): void {
     const { clock, wallClock } = this.ports;
-    const leased = this.ports.leased();
-    const known = machines.filter(({ id }) => !this.gone.has(id));
+    const leased = this.ports.leasedMachines();
+    const known = machines.filter(({ id }) => !this.terminated.has(id));
     for (const { id, type, zone, spot, ageS, state } of known) {
-      this.lost.delete(id);
-      const machine = { id, token: 0, type, zone, spot, leaving: false, since: wallClock() - ageS * 1000 };
+      this.presumedTerminated.delete(id);
+      const machine = {
+        id,
+        fencingToken: 0,
+        type,
+        zone,
+        spot,
+        draining: false,
+        rentedAt: wallClock() - ageS * 1000,
+      };
       // Rented by an earlier leader, or by a request that was carried out late: it is used like any other.
-      if (!leased.has(id) && !this.fresh.has(id)) this.fresh.set(id, machine);
-      if (state === 'failed') this.lost.add(id);
+      if (!leased.has(id) && !this.unassigned.has(id)) this.unassigned.set(id, machine);
+      if (state === 'failed') this.presumedTerminated.add(id);
     }
-    const expected = [...leased.keys()].filter((id) => !this.gone.has(id));
+    const expected = [...leased.keys()].filter((id) => !this.terminated.has(id));
     const listed = known.map(({ id }) => id);
-    for (const id of this.listing.missing(clock(), listed, expected))
-      if (!this.gone.has(id)) this.lost.add(id);
+    for (const id of this.missingMachines.recordList(clock(), listed, expected))
+      if (!this.terminated.has(id)) this.presumedTerminated.add(id);
   }
 
-  private async keepRenting(): Promise<void> {
-    const { term, clock, settings, firstEver } = this.ports;
+  private async scaleRepeatedly(): Promise<void> {
+    const { term, clock, settings, isFirstTerm } = this.ports;
     while (!term.signal.aborted) {
       // What the last leader rented takes a while to be listed; renting sooner would rent it twice.
-      const patience = firstEver ? 0 : settings.cloud.listLagMs;
-      const informed = clock() - term.startedAt > patience && this.listing.at > term.startedAt;
-      if (informed && this.ports.types().size > 0 && this.ports.inTouch()) await this.step();
+      const patience = isFirstTerm ? 0 : settings.cloud.listLagMs;
+      const informed =
+        clock() - term.startedAt > patience && this.missingMachines.lastListAt > term.startedAt;
+      if (informed && this.ports.machineTypes().size > 0 && this.ports.isStoreReachable())
+        await this.evaluatePools();
       await sleep(this.tickMs, term.signal);
     }
   }
 
   private machines(): Map<string, LeasedMachine> {
-    const machines = new Map([...this.ports.leased(), ...this.fresh]);
-    for (const id of machines.keys()) if (this.gone.has(id)) machines.delete(id);
+    const machines = new Map([...this.ports.leasedMachines(), ...this.unassigned]);
+    for (const id of machines.keys()) if (this.terminated.has(id)) machines.delete(id);
     return machines;
   }
 
-  private async step(): Promise<void> {
-    const { types, settings, operator, clock, wallClock, jobIndex, order } = this.ports;
+  private async evaluatePools(): Promise<void> {
+    const { machineTypes, settings, operator, clock, wallClock, jobIndex, order } = this.ports;
     const now = clock();
     const machines = this.machines();
-    for (const id of this.fresh.keys()) if (this.ports.leased().has(id)) this.fresh.delete(id);
+    for (const id of this.unassigned.keys())
+      if (this.ports.leasedMachines().has(id)) this.unassigned.delete(id);
     const pools = buildPools(
-      types().values(),
+      machineTypes().values(),
       machines.values(),
-      (machine) => this.unwanted.has(machine.id) || this.lost.has(machine.id),
-      (type, spot) => type.zones.every((zone) => this.refusals.refused(type.name, zone, spot, now)),
+      (machine) => this.toDrain.has(machine.id) || this.presumedTerminated.has(machine.id),
+      (type, spot) => type.zones.every((zone) => this.refusals.isRefused(type.name, zone, spot, now)),
     );
     await nextTurn();
     countDemand({
@@ -183,29 +197,29 @@
     this.pools = pools;
     this.logPools(now);
     for (const { pool, outcome } of this.failureObserver.observe(jobIndex, pools, machines, now)) {
-      this.of(pool).tuner.add(outcome);
+      this.ladderOf(pool).tuner.add(outcome);
     }
-    await this.tune(now);
+    await this.tuneThresholds(now);
     for (const pool of pools.values()) {
-      const { ladder } = this.of(pool.key);
-      const lacking = this.lack.count(pool, ladder, now);
-      const surplus = this.surplus.count(pool, ladder, now);
-      if (lacking > 0) await this.rent(pool, lacking);
-      else this.giveBack(pool, surplus);
+      const { ladder } = this.ladderOf(pool.key);
+      const lacking = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
+      const surplus = this.scaleInWindow.machinesToRemove(pool, ladder, now);
+      if (lacking > 0) await this.scaleOut(pool, lacking);
+      else this.scaleIn(pool, surplus);
     }
   }
 
   /** A pool's ladder, as the last leader left it in the store. */
-  private of(pool: string): { ladder: Ladder; tuner: Tuner } {
+  private ladderOf(pool: string): { ladder: Ladder; tuner: ThresholdTuner } {
     const { operator, mirror } = this.ports;
     let entry = this.ladders.get(pool);
     if (!entry) {
       const moved = parseLadder(mirror.get(ladderKey(pool))?.value);
-      const { target, windowS, slotShare, start, cheapStart } = operator.ladder;
-      const shape = { slotShare, start: this.pools.get(pool)?.spot ? cheapStart : start };
+      const { targetFailureRatio, windowS, slotShare, start, spotStart } = operator.ladder;
+      const shape = { slotShare, start: this.pools.get(pool)?.spot ? spotStart : start };
       entry = {
         ladder: new Ladder(shape, moved),
-        tuner: new Tuner({ target, windowMs: windowS * 1000 }),
+        tuner: new ThresholdTuner({ targetFailureShare: targetFailureRatio, windowMs: windowS * 1000 }),
       };
       this.ladders.set(pool, entry);
     }
@@ -213,20 +227,20 @@
   }
 
   /** Once a period, one threshold of each pool by one slot. */
-  private async tune(now: number): Promise<void> {
+  private async tuneThresholds(now: number): Promise<void> {
     const { operator, commits, term, log, settings } = this.ports;
     if (now - this.tunedAt < operator.ladder.periodS * 1000) return;
     this.tunedAt = now;
     for (const pool of this.pools.values()) {
-      const { ladder, tuner } = this.of(pool.key);
-      const share = tuner.share(now);
+      const { ladder, tuner } = this.ladderOf(pool.key);
+      const share = tuner.failureShare(now);
       const move = tuner.tune(ladder, pool.machines.length + 1, now);
       if (!move) continue;
       const threshold = ladder.threshold(move.m);
       log.info({ event: 'tuned', pool: pool.key, ...move, threshold, failures: share }, 'threshold moved');
       // Were it lost, the next move writes it again.
       await commits.commit(
-        [{ key: leadKey, version: term.token }],
+        [{ key: leaderKey, version: term.fencingToken }],
         [
           {
             put: ladderKey(pool.key),
@@ -240,7 +254,7 @@
   /** For the people on call: what there is and what is asked for, once a period. */
   private logPools(now: number): void {
     const { log, operator } = this.ports;
-    const due = now - this.loggedAt >= operator.ladder.periodS * 1000;
+    const due = now - this.poolsLoggedAt >= operator.ladder.periodS * 1000;
     if (!due && !log.isLevelEnabled('debug')) return;
     const pools = [...this.pools.values()].map((pool) => ({
       pool: pool.key,
@@ -252,45 +266,53 @@
     }));
     log[due ? 'info' : 'debug']({ event: 'pools', pools }, 'pools');
     if (!due) return;
-    this.loggedAt = now;
-    this.logLate();
+    this.poolsLoggedAt = now;
+    this.logLateClasses();
   }
 
-  private logLate(): void {
+  private logLateClasses(): void {
     const { log, jobIndex, settings, wallClock } = this.ports;
-    const jobs = [...jobIndex.jobs.values()].map((job) => jobIndex.queued(job));
+    const jobs = [...jobIndex.jobs.values()].map((job) => jobIndex.asQueuedJob(job));
     const classes = lateClasses(settings.objectives, jobs, wallClock());
     if (classes.length > 0) log.info({ event: 'late', classes }, 'classes run late');
   }
 
-  private async rent(pool: Pool, count: number): Promise<void> {
+  private async scaleOut(pool: Pool, count: number): Promise<void> {
     const { term } = this.ports;
     let missing = count;
     // A machine on its way out is the quickest to have back.
-    const back = pool.leaving.filter((m) => !this.lost.has(m.id) && !this.releasing.has(m.id));
+    const back = pool.leaving.filter((m) => !this.presumedTerminated.has(m.id) && !this.releasing.has(m.id));
     for (const machine of back.slice(0, missing)) {
-      this.unwanted.delete(machine.id);
+      this.toDrain.delete(machine.id);
       missing--;
     }
-    for (const [zone, share] of this.zonesFor(pool, missing)) {
+    for (const [zone, share] of this.machinesByZone(pool, missing)) {
       // One call rents only so many; a fleet that starts from nothing takes several for each zone.
       for (let left = share; left > 0 && !term.signal.aborted; left -= rentalLimit) {
-        if (!(await this.rentIn(pool, zone, Math.min(left, rentalLimit)))) break;
+        if (!(await this.scaleOutInZone(pool, zone, Math.min(left, rentalLimit)))) break;
       }
     }
   }
 
   /** True: got all that was asked for. */
-  private async rentIn(pool: Pool, zone: string, asked: number): Promise<boolean> {
+  private async scaleOutInZone(pool: Pool, zone: string, asked: number): Promise<boolean> {
     const { clock, wallClock, cloud, log } = this.ports;
     const { name: type } = pool.type;
     const outcome = await cloud.rent(type, zone, pool.spot, asked);
     const rented = outcome.kind === 'rented' ? outcome.machines : [];
     for (const id of rented) {
-      this.fresh.set(id, { id, token: 0, type, zone, spot: pool.spot, leaving: false, since: wallClock() });
+      this.unassigned.set(id, {
+        id,
+        fencingToken: 0,
+        type,
+        zone,
+        spot: pool.spot,
+        draining: false,
+        rentedAt: wallClock(),
+      });
     }
     if (rented.length > 0) {
-      this.refusals.granted(type, zone, pool.spot);
+      this.refusals.clear(type, zone, pool.spot);
       const count = rented.length;
       log.info(
         { event: 'rented', pool: pool.key, zone, asked, count, first: rented[0], last: rented.at(-1) },
@@ -299,15 +321,17 @@
     }
     // Nothing was rented where the cloud only asks us to slow down; the next step asks again.
     if (rented.length === asked || outcome.kind === 'busy') return rented.length === asked;
-    this.refusals.refuse(type, zone, pool.spot, clock());
+    this.refusals.recordRefusal(type, zone, pool.spot, clock());
     log.info({ event: 'rental-refused', pool: pool.key, zone, asked, why: outcome.kind }, 'capacity refused');
     return false;
   }
 
   /** Each machine in the zone with the fewest of its type, of those that have not just refused. */
-  private zonesFor(pool: Pool, count: number): Map<string, number> {
+  private machinesByZone(pool: Pool, count: number): Map<string, number> {
     const { clock } = this.ports;
-    const open = pool.type.zones.filter((z) => !this.refusals.refused(pool.type.name, z, pool.spot, clock()));
+    const open = pool.type.zones.filter(
+      (z) => !this.refusals.isRefused(pool.type.name, z, pool.spot, clock()),
+    );
     const inZone = new Map(pool.type.zones.map((zone) => [zone, 0]));
     for (const { zone } of pool.machines) inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
     const shares = new Map<string, number>();
@@ -321,35 +345,35 @@
   }
 
   /** Empty machines if there are any, else the least loaded are drained. */
-  private giveBack(pool: Pool, count: number): void {
+  private scaleIn(pool: Pool, count: number): void {
     if (count === 0) return;
     const { wallClock, jobIndex, operator } = this.ports;
-    const loads = jobIndex.loads();
+    const loads = jobIndex.machineLoads();
     const loadOf = (machine: LeasedMachine): number => {
       const load = loads.get(machine.id);
       return load ? slotsOf(load, pool.type, operator.ladder) : 0;
     };
     // Placement fills machines in order of name, so the last ones empty first.
     const least = pool.machines
-      .filter((machine) => wallClock() - machine.since >= minimumChargeMs)
+      .filter((machine) => wallClock() - machine.rentedAt >= minimumChargeMs)
       .sort((a, b) => loadOf(a) - loadOf(b) || (a.id < b.id ? 1 : -1));
-    for (const machine of least.slice(0, count)) this.unwanted.add(machine.id);
+    for (const machine of least.slice(0, count)) this.toDrain.add(machine.id);
   }
 
   /**
    * Releases unwanted machines once they are empty. A block's owner places nothing on a machine that its record calls
    * leaving; what it had committed before that record is in the job index by the time the record is.
    */
-  private async keepReleasing(): Promise<void> {
+  private async releaseRepeatedly(): Promise<void> {
     const { cloud, term, log, jobIndex } = this.ports;
     while (!term.signal.aborted) {
       await sleep(this.tickMs / 2, term.signal);
-      if (!this.ports.inTouch()) continue;
-      const busy = jobIndex.loads();
-      const leased = this.ports.leased();
-      const due = [...this.unwanted, ...this.lost].filter((id) => {
+      if (!this.ports.isStoreReachable()) continue;
+      const busy = jobIndex.machineLoads();
+      const leased = this.ports.leasedMachines();
+      const due = [...this.toDrain, ...this.presumedTerminated].filter((id) => {
         const record = leased.get(id);
-        return !busy.has(id) && (record ? record.leaving : true);
+        return !busy.has(id) && (record ? record.draining : true);
       });
       const batch = due.slice(0, releaseLimit);
       if (batch.length === 0) continue;
@@ -357,7 +381,7 @@
       const released = await cloud.release(batch);
       for (const id of batch) this.releasing.delete(id);
       if (!released) continue;
-      this.noteGone(batch);
+      this.markTerminated(batch);
       log.info({ event: 'given-back', count: batch.length, machines: batch }, 'given back');
     }
   }
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -5,10 +5,10 @@
 import type { LeasedMachine } from '../wire/block-records.js';
 import { sizeOf } from '../wire/codec.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
-import { Listing } from './listing.js';
-import { Refusals } from './refusals.js';
-import { Lack, Surplus } from './surplus.js';
-import { Tuner } from './tuner.js';
+import { MissingMachineDetector } from './listing.js';
+import { CapacityRefusals } from './refusals.js';
+import { ScaleOutWindow, ScaleInWindow } from './surplus.js';
+import { ThresholdTuner } from './tuner.js';
 
 const shape = { slotShare: 0.125, start: 0.8 };
 
@@ -24,9 +24,9 @@
   const ladder = new Ladder(shape);
   let machines = 0;
   const trace = [0, 1, 5, 6, 12, 13, 30, 25, 12, 5, 0].map((counted) => {
-    const want = ladder.rentTo(machines, counted);
+    const want = ladder.scaleOutTarget(machines, counted);
     if (want > machines) machines = want;
-    else if (ladder.givesBack(machines, counted)) machines--;
+    else if (ladder.allowsScaleIn(machines, counted)) machines--;
     return `${counted}:${machines}`;
   });
   assert.deepEqual(trace, ['0:0', '1:1', '5:1', '6:2', '12:2', '13:3', '30:5', '25:4', '12:3', '5:2', '0:1']);
@@ -46,7 +46,7 @@
 
 test('the threshold in force at most failures goes down while too many fail, and up again after', () => {
   const ladder = new Ladder(shape);
-  const tuner = new Tuner({ target: 0.01, windowMs: 300_000 });
+  const tuner = new ThresholdTuner({ targetFailureShare: 0.01, windowMs: 300_000 });
   assert.equal(tuner.tune(ladder, 4, 0), undefined);
   tuner.add({ at: 0, tasks: 90, failed: 0, m: 3 });
   tuner.add({ at: 1000, tasks: 10, failed: 2, m: 3 });
@@ -58,22 +58,22 @@
 });
 
 test('a refusal is asked again after growing pauses, and forgotten once granted', () => {
-  const refusals = new Refusals(1000);
-  refusals.refuse('c8', 'a', true, 0);
+  const refusals = new CapacityRefusals(1000);
+  refusals.recordRefusal('c8', 'a', true, 0);
   assert.deepEqual(
-    [refusals.refused('c8', 'a', true, 999), refusals.refused('c8', 'a', false, 999)],
+    [refusals.isRefused('c8', 'a', true, 999), refusals.isRefused('c8', 'a', false, 999)],
     [true, false],
   );
-  refusals.refuse('c8', 'a', true, 1000);
-  assert.equal(refusals.refused('c8', 'a', true, 2999), true);
-  refusals.granted('c8', 'a', true);
-  assert.equal(refusals.refused('c8', 'a', true, 2999), false);
+  refusals.recordRefusal('c8', 'a', true, 1000);
+  assert.equal(refusals.isRefused('c8', 'a', true, 2999), true);
+  refusals.clear('c8', 'a', true);
+  assert.equal(refusals.isRefused('c8', 'a', true, 2999), false);
 });
 
 test('machines are given back once they have been too many for a boot time, as many as there were all along', () => {
   const ladder = new Ladder(shape);
-  const surplus = new Surplus();
-  const pool = (counted: number): Parameters<Surplus['count']>[0] => ({
+  const surplus = new ScaleInWindow();
+  const pool = (counted: number): Parameters<ScaleInWindow['machinesToRemove']>[0] => ({
     key: 'c8/spot',
     counted,
     machines: new Array<LeasedMachine>(3),
@@ -90,13 +90,13 @@
     [119_000, 0, 3],
   ];
   for (const [now, counted, count] of trace)
-    assert.equal(surplus.count(pool(counted), ladder, now), count, `at ${now}`);
+    assert.equal(surplus.machinesToRemove(pool(counted), ladder, now), count, `at ${now}`);
 });
 
 test('what has no room is rented for at once, room to spare only once it has been lacking for a while', () => {
   const ladder = new Ladder(shape);
-  const lack = new Lack(shape);
-  const pool = (counted: number): Parameters<Lack['count']>[0] => ({
+  const lack = new ScaleOutWindow(shape);
+  const pool = (counted: number): Parameters<ScaleOutWindow['machinesToAdd']>[0] => ({
     key: 'c8/spot',
     counted,
     machines: new Array<LeasedMachine>(10),
@@ -110,24 +110,24 @@
     [15_000, 78, 0],
     [20_000, 78, 3],
   ];
-  assert.equal(ladder.rentTo(10, 78), 13);
+  assert.equal(ladder.scaleOutTarget(10, 78), 13);
   for (const [now, counted, count] of trace)
-    assert.equal(lack.count(pool(counted), ladder, now), count, `at ${now}`);
+    assert.equal(lack.machinesToAdd(pool(counted), ladder, now), count, `at ${now}`);
 });
 
 // Guards against machines that are counted for ever, so that the ladder rents nothing in their place: let go by their owner
 // between two terms, they were on no list of the new leader and could not be missed by it.
 test('a machine that no list names is missing, whether it was ever on one or only leased', () => {
-  const listing = new Listing(100);
-  assert.deepEqual(listing.missing(0, ['m1', 'm2'], ['m1', 'm2', 'm3']), []);
-  assert.deepEqual(listing.missing(150, ['m1'], ['m1', 'm2', 'm3', 'm4']), []);
-  assert.deepEqual(listing.missing(250, ['m1'], ['m1', 'm4']), ['m2', 'm3']);
+  const listing = new MissingMachineDetector(100);
+  assert.deepEqual(listing.recordList(0, ['m1', 'm2'], ['m1', 'm2', 'm3']), []);
+  assert.deepEqual(listing.recordList(150, ['m1'], ['m1', 'm2', 'm3', 'm4']), []);
+  assert.deepEqual(listing.recordList(250, ['m1'], ['m1', 'm4']), ['m2', 'm3']);
   // A rental shows up within twice the lag.
-  assert.deepEqual(listing.missing(340, ['m1', 'm4'], ['m1', 'm4']), []);
+  assert.deepEqual(listing.recordList(340, ['m1', 'm4'], ['m1', 'm4']), []);
   // After a pause in the lists nothing is missed by what was listed before it.
-  assert.deepEqual(listing.missing(2000, ['m1'], ['m1', 'm4']), []);
-  assert.deepEqual(listing.missing(2150, ['m1'], ['m1', 'm4']), []);
-  assert.deepEqual(listing.missing(2201, ['m1'], ['m1', 'm4']), ['m4']);
+  assert.deepEqual(listing.recordList(2000, ['m1'], ['m1', 'm4']), []);
+  assert.deepEqual(listing.recordList(2150, ['m1'], ['m1', 'm4']), []);
+  assert.deepEqual(listing.recordList(2201, ['m1'], ['m1', 'm4']), ['m4']);
 });
 
 // Guards against a ladder that is never written again: after a long time on a large fleet every threshold has been moved.
--- a/src/ladder/ladder.ts
+++ b/src/ladder/ladder.ts
@@ -25,24 +25,25 @@
 /** The thresholds of one pool. The m-th machine is rented once the counted slots reach threshold m. */
 export class Ladder {
   /** Thresholds that were moved, by m; all others are where they start. */
-  private readonly moved = new Map<number, number>();
+  private readonly movedByMachineNumber = new Map<number, number>();
 
   constructor(
     private readonly shape: LadderShape,
     moved: Iterable<[number, number]> = [],
   ) {
-    for (const [m, slots] of moved) if (m > 1) this.moved.set(m, Math.min(Math.max(0, slots), this.room(m)));
+    for (const [m, slots] of moved)
+      if (m > 1) this.movedByMachineNumber.set(m, Math.min(Math.max(0, slots), this.slotsBelow(m)));
   }
 
   /** The last ones to be moved come last. */
   get movedThresholds(): [number, number][] {
-    return [...this.moved];
+    return [...this.movedByMachineNumber];
   }
 
   threshold(m: number): number {
     // The first is rented for any work at all.
     if (m <= 1) return Number.MIN_VALUE;
-    return this.moved.get(m) ?? Math.max(1, Math.round(this.shape.start * this.room(m)));
+    return this.movedByMachineNumber.get(m) ?? Math.max(1, Math.round(this.shape.start * this.slotsBelow(m)));
   }
 
   /** Moves one threshold by one slot, within zero and the room of the machines before it, and within its neighbours. */
@@ -50,26 +51,26 @@
     if (m <= 1) return false;
     const next = this.threshold(m) + by;
     const lowest = m === 2 ? 0 : this.threshold(m - 1);
-    const highest = Math.min(this.room(m), this.threshold(m + 1));
+    const highest = Math.min(this.slotsBelow(m), this.threshold(m + 1));
     if (next < lowest || next > highest) return false;
-    this.moved.delete(m);
-    this.moved.set(m, next);
+    this.movedByMachineNumber.delete(m);
+    this.movedByMachineNumber.set(m, next);
     return true;
   }
 
   /** How many machines there should be at the least, given how many there are. */
-  rentTo(machines: number, counted: number): number {
+  scaleOutTarget(machines: number, counted: number): number {
     let m = machines;
     while (counted > 0 && counted >= this.threshold(m + 1)) m++;
     return m;
   }
 
   /** True once the counted slots are below what the last machine was rented for. */
-  givesBack(machines: number, counted: number): boolean {
+  allowsScaleIn(machines: number, counted: number): boolean {
     return machines > 0 && counted < this.threshold(machines);
   }
 
-  private room(m: number): number {
+  private slotsBelow(m: number): number {
     return slotsPerMachine(this.shape) * (m - 1);
   }
 }
--- a/src/ladder/lasting.ts
+++ b/src/ladder/lasting.ts
@@ -1,8 +1,8 @@
 /** The least that a count has been all along over the last while; 0 until there has been such a while. */
-export class Lasting {
+export class SustainedMinimum {
   private readonly samples = new Map<string, { at: number; count: number }[]>();
 
-  least(key: string, count: number, now: number, windowMs: number): number {
+  record(key: string, count: number, now: number, windowMs: number): number {
     const since = now - windowMs;
     const samples = [...(this.samples.get(key) ?? []), { at: now, count }];
     // The newest of those before the window stands for what held when it began.
--- a/src/ladder/refusals.ts
+++ b/src/ladder/refusals.ts
@@ -1,5 +1,5 @@
 /** Where the cloud has refused a machine lately, by type, zone and kind; asked again after growing pauses. */
-export class Refusals {
+export class CapacityRefusals {
   private readonly entries = new Map<string, { until: number; times: number }>();
 
   constructor(
@@ -7,17 +7,17 @@
     private readonly mostTimes = 4,
   ) {}
 
-  refuse(type: string, zone: string, spot: boolean, now: number): void {
+  recordRefusal(type: string, zone: string, spot: boolean, now: number): void {
     const key = this.key(type, zone, spot);
     const times = Math.min((this.entries.get(key)?.times ?? 0) + 1, this.mostTimes);
     this.entries.set(key, { until: now + this.pauseMs * times, times });
   }
 
-  granted(type: string, zone: string, spot: boolean): void {
+  clear(type: string, zone: string, spot: boolean): void {
     this.entries.delete(this.key(type, zone, spot));
   }
 
-  refused(type: string, zone: string, spot: boolean, now: number): boolean {
+  isRefused(type: string, zone: string, spot: boolean, now: number): boolean {
     return (this.entries.get(this.key(type, zone, spot))?.until ?? -Infinity) > now;
   }
 
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -24,54 +24,57 @@
   settings: Settings;
   operator: OperatorSettings;
   /** Tells one life of this process from the next. */
-  boot: string;
+  incarnation: string;
 }
 
 /** How often a grant is renewed in its life. */
-const renewals = 4;
+const renewalsPerLeaseTtl = 4;
 
 /**
  * Keeps this controller's grant and the key that hangs on it, by which the others know it to be alive. The grant
  * outlives a quick restart: the new life finds its blocks still leased to it.
  */
 export class Membership {
-  readonly ttlMs: number;
-  private id: number | undefined;
-  private asideUntil = -Infinity;
+  readonly leaseTtlMs: number;
+  private currentLeaseId: number | undefined;
+  private resignedUntil = -Infinity;
   /** Whether a commit of our key is on its way. */
-  private announcing = false;
+  private announcementInFlight = false;
 
   constructor(private readonly ports: MembershipPorts) {
-    this.ttlMs = ports.settings.reportMs * ports.operator.leadership.grantReports;
+    this.leaseTtlMs = ports.settings.heartbeatIntervalMs * ports.operator.leadership.leaseHeartbeats;
   }
 
-  get grant(): number | undefined {
-    return this.id;
+  get leaseId(): number | undefined {
+    return this.currentLeaseId;
   }
 
   /** Gives the grant up, and with it the blocks and the lead, for so long: we are of no use to our workers. */
-  stepAside(ms: number): void {
+  resign(durationMs: number): void {
     const { store, log, clock } = this.ports;
-    const { id } = this;
-    if (id === undefined) return;
-    this.asideUntil = clock() + ms;
-    this.id = undefined;
-    log.info({ event: 'stepped-aside', grant: id, ms }, 'no worker is heard: others take over');
-    void store.revokeLease(id).catch(() => undefined);
+    const { currentLeaseId } = this;
+    if (currentLeaseId === undefined) return;
+    this.resignedUntil = clock() + durationMs;
+    this.currentLeaseId = undefined;
+    log.info(
+      { event: 'stepped-aside', grant: currentLeaseId, ms: durationMs },
+      'no worker is heard: others take over',
+    );
+    void store.revokeLease(currentLeaseId).catch(() => undefined);
   }
 
   async run(signal: AbortSignal): Promise<void> {
     const { store, log, clock } = this.ports;
-    await sleep(Math.max(0, this.asideUntil - clock()), signal);
+    await sleep(Math.max(0, this.resignedUntil - clock()), signal);
     if (signal.aborted) return;
     try {
-      const grant = await store.createLease(this.ttlMs);
-      this.id = grant;
+      const grant = await store.createLease(this.leaseTtlMs);
+      this.currentLeaseId = grant;
       log.info({ event: 'joined', grant }, 'joined');
-      await this.keep(grant, signal);
+      await this.maintainLease(grant, signal);
       if (!signal.aborted) log.info({ event: 'grant-lost', grant }, 'grant ended');
     } finally {
-      this.id = undefined;
+      this.currentLeaseId = undefined;
     }
   }
 
@@ -79,25 +82,25 @@
    * Until the grant has ended, or was given up. Renewals go out on time whether or not what was sent before has been
    * answered: where answers take most of a grant's life, waiting for them would cost each grant in turn.
    */
-  private async keep(grant: number, signal: AbortSignal): Promise<void> {
-    const lost = new AbortController();
-    const stopListening = onAbort(signal, () => lost.abort());
-    void this.announce(grant);
-    while (!lost.signal.aborted && this.id === grant) {
-      void this.renew(grant).then((renewed) => {
-        if (!renewed) lost.abort();
+  private async maintainLease(leaseId: number, signal: AbortSignal): Promise<void> {
+    const leaseEnded = new AbortController();
+    const stopListening = onAbort(signal, () => leaseEnded.abort());
+    void this.announceAlive(leaseId);
+    while (!leaseEnded.signal.aborted && this.currentLeaseId === leaseId) {
+      void this.renewLease(leaseId).then((renewed) => {
+        if (!renewed) leaseEnded.abort();
       });
-      await sleep(this.ttlMs / renewals, lost.signal);
-      if (!lost.signal.aborted && this.id === grant) this.repeatAnnouncements(grant);
+      await sleep(this.leaseTtlMs / renewalsPerLeaseTtl, leaseEnded.signal);
+      if (!leaseEnded.signal.aborted && this.currentLeaseId === leaseId) this.repairAnnouncements(leaseId);
     }
     stopListening();
   }
 
   /** False once the grant has ended; an attempt without an answer says nothing. */
-  private async renew(grant: number): Promise<boolean> {
+  private async renewLease(leaseId: number): Promise<boolean> {
     const { store, log } = this.ports;
     try {
-      return await store.renewLease(grant);
+      return await store.renewLease(leaseId);
     } catch (error) {
       log.debug({ event: 'touch-failed', err: error }, 'grant not renewed');
       return true;
@@ -105,20 +108,20 @@
   }
 
   /** A late message of an earlier life may have hung our key on its own grant. */
-  private repeatAnnouncements(grant: number): void {
-    const { mirror, settings, boot } = this.ports;
-    if (!mirror.ready || this.announcing) return;
+  private repairAnnouncements(leaseId: number): void {
+    const { mirror, settings, incarnation } = this.ports;
+    if (!mirror.ready || this.announcementInFlight) return;
     const alive = parseAlive(mirror.get(aliveKey(settings.label))?.value);
-    if (alive?.boot !== boot) void this.announce(grant);
+    if (alive?.incarnation !== incarnation) void this.announceAlive(leaseId);
     void this.announceFormat();
   }
 
-  private async announce(grant: number): Promise<void> {
-    const { commits, settings, boot } = this.ports;
-    const value = aliveRecord({ boot, zone: settings.zone });
-    this.announcing = true;
-    await commits.commit([], [{ put: aliveKey(settings.label), value, lease: grant }]);
-    this.announcing = false;
+  private async announceAlive(leaseId: number): Promise<void> {
+    const { commits, settings, incarnation } = this.ports;
+    const value = aliveRecord({ incarnation, zone: settings.zone });
+    this.announcementInFlight = true;
+    await commits.commit([], [{ put: aliveKey(settings.label), value, lease: leaseId }]);
+    this.announcementInFlight = false;
   }
 
   /** Kept for good: a controller that has run with this format does not come back with an earlier one. */
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -12,14 +12,14 @@
   memoryGb: number;
   image: string;
   imageGb: number;
-  types: string[] | null;
+  machineTypes: string[] | null;
   zone: string | null;
-  oneZone: boolean;
+  colocated: boolean;
   spread: boolean;
   spot: boolean;
-  estimateS: number;
-  checkpointS: number;
-  saveS: number;
+  estimatedRunS: number;
+  checkpointIntervalS: number;
+  checkpointSaveS: number;
   deadlineS: number | null;
   /** Jobs that have to be done before any task of this one starts; records of earlier versions lack the field. */
   dependencies?: string[];
@@ -54,20 +54,20 @@
   cause: string;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  noticeS: number | null;
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
+  preemptionNoticeS: number | null;
   tasks: ReportedTask[];
 }
 
-export interface Order extends TaskRef {
+export interface WorkerCommand extends TaskRef {
   kind: 'start' | 'stop' | 'forget';
   attempt: number;
   graceS?: number;
@@ -106,11 +106,11 @@
 }
 
 /** A limit of 0 means that there is none. */
-export function withinLimit(used: number, more: number, limit: number): boolean {
-  return limit === 0 || used + more <= limit + slack;
+export function withinLimit(used: number, added: number, limit: number): boolean {
+  return limit === 0 || used + added <= limit + slack;
 }
 
 /** Tasks of the same kind fit the same machines. */
-export function taskKind({ cpus, accelerators, memoryGb, spot, zone, types }: JobSpec): string {
-  return [cpus, accelerators, memoryGb, spot, zone, types].join('/');
+export function taskKind({ cpus, accelerators, memoryGb, spot, zone, machineTypes }: JobSpec): string {
+  return [cpus, accelerators, memoryGb, spot, zone, machineTypes].join('/');
 }
--- a/src/peers/links.test.ts
+++ b/src/peers/links.test.ts
@@ -24,54 +24,66 @@
       clock: steadyClock,
       log: silentLog,
       settings,
-      boot: `boot-${index}`,
+      incarnation: `boot-${index}`,
       onStatus,
-      revision: () => 41,
-      facts: () => ({ contactAge: 12, token: 7, gone: ['vm-000001'], up: [] }),
-      vouch: (revision) => ({ since: revision, cancelled: [['req-000001', 40]] }),
+      storeRevision: () => 41,
+      localStatus: () => ({
+        storeContactAgeMs: 12,
+        fencingToken: 7,
+        terminatedMachines: ['vm-000001'],
+        bootedMachines: [],
+      }),
+      cancellationsSince: (revision) => ({ cancelledSince: revision, cancelled: [['req-000001', 40]] }),
     });
   };
   const links = [end(0, () => undefined), end(1, (status) => heard.push(status))];
   for (const link of links) void link.run(stop.signal);
   const deadline = Date.now() + 5000;
-  while (links[1]?.word('keel-0') === undefined && Date.now() < deadline) {
+  while (links[1]?.lastStatus('keel-0') === undefined && Date.now() < deadline) {
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
   stop.abort();
   const last = heard.at(-1);
   assert.deepEqual(
-    [last?.from, last?.boot, last?.token, last?.knows, last?.cancelled, last?.gone],
+    [
+      last?.from,
+      last?.incarnation,
+      last?.fencingToken,
+      last?.storeRevision,
+      last?.cancelled,
+      last?.terminatedMachines,
+    ],
     ['keel-0', 'boot-0', 7, 41, [['req-000001', 40]], ['vm-000001']],
   );
-  assert.equal(links[1]?.word('keel-0')?.contactAge, 12);
+  assert.equal(links[1]?.lastStatus('keel-0')?.storeContactAgeMs, 12);
 });
 
 const samples = new Samples('status.json');
 
 const plainStatus: PeerStatus = {
   from: 'keel-0',
-  boot: 'boot-0',
-  serial: 1,
-  echo: 0,
-  echoBoot: '',
-  knows: 41,
-  contactAge: 12.5,
-  token: 0,
-  gone: [],
-  up: [],
-  since: 40,
+  incarnation: 'boot-0',
+  sequence: 1,
+  echoedSequence: 0,
+  echoedIncarnation: '',
+  storeRevision: 41,
+  storeContactAgeMs: 12.5,
+  fencingToken: 0,
+  terminatedMachines: [],
+  bootedMachines: [],
+  cancelledSince: 40,
   cancelled: [],
 };
 
 const leaderStatus: PeerStatus = {
   ...plainStatus,
-  echo: 70_000,
-  echoBoot: 'boot-1',
-  knows: 5_000_000_000,
-  token: 412,
-  gone: ['vm-000001', 'vm-000002'],
-  up: ['vm-000003'],
-  since: 4_999_999_999,
+  echoedSequence: 70_000,
+  echoedIncarnation: 'boot-1',
+  storeRevision: 5_000_000_000,
+  fencingToken: 412,
+  terminatedMachines: ['vm-000001', 'vm-000002'],
+  bootedMachines: ['vm-000003'],
+  cancelledSince: 4_999_999_999,
   cancelled: [
     ['req-000001', 40],
     ['req-123456789012345678', 5_000_000_001],
@@ -82,7 +94,17 @@
 
 /** The controller that says these things of itself, listening on one port and dialling its peer on the next. */
 function speaker(status: PeerStatus, port: number, onStatus: (status: PeerStatus) => void): PeerLinks {
-  const { from, boot, knows, contactAge, token, gone, up, since, cancelled } = status;
+  const {
+    from,
+    incarnation,
+    storeRevision,
+    storeContactAgeMs,
+    fencingToken,
+    terminatedMachines,
+    bootedMachines,
+    cancelledSince,
+    cancelled,
+  } = status;
   const settings = testSettings((file) => {
     const label = from === 'keel-0' ? 'keel-1' : 'keel-0';
     const others = [{ label, location: 'a', address: `127.0.0.1:${port + 1}` }];
@@ -92,11 +114,11 @@
     clock: steadyClock,
     log: silentLog,
     settings,
-    boot,
+    incarnation,
     onStatus,
-    revision: () => knows,
-    facts: () => ({ contactAge, token, gone, up }),
-    vouch: () => ({ since, cancelled }),
+    storeRevision: () => storeRevision,
+    localStatus: () => ({ storeContactAgeMs, fencingToken, terminatedMachines, bootedMachines }),
+    cancellationsSince: () => ({ cancelledSince: cancelledSince, cancelled }),
   });
 }
 
@@ -139,8 +161,14 @@
     const port = 24_910 + index * 10;
     const stop = new AbortController();
     const links = speaker(status, port, () => undefined);
-    const { echo, echoBoot } = status;
-    if (echo > 0) links.receive({ ...plainStatus, from: 'keel-1', boot: echoBoot, serial: echo });
+    const { echoedSequence, echoedIncarnation } = status;
+    if (echoedSequence > 0)
+      links.receive({
+        ...plainStatus,
+        from: 'keel-1',
+        incarnation: echoedIncarnation,
+        sequence: echoedSequence,
+      });
     const expected = samples.bytes(name);
     samples.assertRead(name, parsePeerStatus, status);
     const sent = firstBytes(port + 1, expected.length, stop.signal);
--- a/src/peers/links.ts
+++ b/src/peers/links.ts
@@ -6,112 +6,131 @@
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
-import type { Vouched } from '../intake/cancellations.js';
-import type { PeerWord } from '../leadership/answering.js';
+import type { AcknowledgedCancellations } from '../intake/cancellations.js';
+import type { LastPeerStatus } from '../leadership/answering.js';
 import type { Settings } from '../settings/settings.js';
 import { type PeerStatus, parsePeerStatus, peerStatusRecord } from '../wire/peer-status.js';
 
-interface Heard {
-  boot: string;
-  serial: number;
-  knows: number;
+interface LastReceived {
+  incarnation: string;
+  sequence: number;
+  storeRevision: number;
 }
 
-export interface PeerPorts {
+export interface PeerLinksPorts {
   clock: Clock;
   log: Log;
   settings: Settings;
-  boot: string;
+  incarnation: string;
   /** The revision that our copy of the store has reached. */
-  revision: () => number;
-  facts: () => Pick<PeerStatus, 'contactAge' | 'token' | 'gone' | 'up'>;
+  storeRevision: () => number;
+  localStatus: () => Pick<
+    PeerStatus,
+    'storeContactAgeMs' | 'fencingToken' | 'terminatedMachines' | 'bootedMachines'
+  >;
   /** What we can vouch for to a peer whose copy has reached this revision. */
-  vouch: (revision: number) => Vouched;
+  cancellationsSince: (revision: number) => AcknowledgedCancellations;
   onStatus: (status: PeerStatus) => void;
 }
 
 /** Statuses in a report interval: what they date decides on tens of seconds. */
-const statusesPerReport = 4;
-const leastStatusMs = 500;
-const remembered = 120;
+const statusesPerHeartbeat = 4;
+const minStatusIntervalMs = 500;
+const sentTimesKept = 120;
 /** A link that has been silent for so many statuses is dead; its sender dials again. */
-const silentStatuses = 20;
+const idleTimeoutStatuses = 20;
 /** Both ends must agree: a reader with the library's defaults gets a Map, of which no field can be read. */
-const packing = { useRecords: false };
+const messagePackOptions = { useRecords: false };
 
 /**
  * Links between controllers. Each status echoes the last serial number heard from its receiver, which dates it: a
  * status that a cut held back and delivered late proves nothing about now.
  */
 export class PeerLinks {
-  private serial = 0;
-  private readonly sentAt = new Map<number, number>();
-  private readonly heard = new Map<string, Heard>();
-  private readonly words = new Map<string, PeerWord>();
+  private lastSequence = 0;
+  private readonly sentAtBySequence = new Map<number, number>();
+  private readonly lastReceived = new Map<string, LastReceived>();
+  private readonly lastStatuses = new Map<string, LastPeerStatus>();
 
-  private readonly everyMs: number;
+  private readonly statusIntervalMs: number;
 
-  constructor(private readonly ports: PeerPorts) {
-    this.everyMs = Math.max(leastStatusMs, ports.settings.reportMs / statusesPerReport);
+  constructor(private readonly ports: PeerLinksPorts) {
+    this.statusIntervalMs = Math.max(
+      minStatusIntervalMs,
+      ports.settings.heartbeatIntervalMs / statusesPerHeartbeat,
+    );
   }
 
-  word(label: string): PeerWord | undefined {
-    return this.words.get(label);
+  lastStatus(label: string): LastPeerStatus | undefined {
+    return this.lastStatuses.get(label);
   }
 
   /** For the order of messages under test; the routines below call it for every status that arrives. */
   receive(status: PeerStatus): void {
     const { ports } = this;
     if (!ports.settings.peers.some((p) => p.label === status.from)) return;
-    const last = this.heard.get(status.from);
-    if (last?.boot === status.boot && last.serial >= status.serial) return;
-    this.heard.set(status.from, { boot: status.boot, serial: status.serial, knows: status.knows });
+    const last = this.lastReceived.get(status.from);
+    if (last?.incarnation === status.incarnation && last.sequence >= status.sequence) return;
+    this.lastReceived.set(status.from, {
+      incarnation: status.incarnation,
+      sequence: status.sequence,
+      storeRevision: status.storeRevision,
+    });
     ports.onStatus(status);
-    const notBefore = status.echoBoot === ports.boot ? this.sentAt.get(status.echo) : undefined;
+    const notBefore =
+      status.echoedIncarnation === ports.incarnation
+        ? this.sentAtBySequence.get(status.echoedSequence)
+        : undefined;
     if (notBefore === undefined) return;
     // What an earlier word vouched for stays so, also where a new life of the peer cannot say it again.
-    const complete = status.since <= ports.revision();
-    const vouchedUntil = complete ? notBefore : (this.words.get(status.from)?.vouchedUntil ?? -Infinity);
-    this.words.set(status.from, { notBefore, contactAge: status.contactAge, vouchedUntil });
+    const complete = status.cancelledSince <= ports.storeRevision();
+    const vouchedUntil = complete
+      ? notBefore
+      : (this.lastStatuses.get(status.from)?.cancellationsKnownUntil ?? -Infinity);
+    this.lastStatuses.set(status.from, {
+      notBefore,
+      storeContactAgeMs: status.storeContactAgeMs,
+      cancellationsKnownUntil: vouchedUntil,
+    });
   }
 
   compose(to: string): PeerStatus {
-    const { settings, boot, facts, revision, vouch, clock } = this.ports;
-    const heard = this.heard.get(to);
-    const serial = ++this.serial;
-    this.sentAt.set(serial, clock());
-    this.sentAt.delete(serial - remembered);
+    const { settings, incarnation, localStatus, storeRevision, cancellationsSince, clock } = this.ports;
+    const heard = this.lastReceived.get(to);
+    const serial = ++this.lastSequence;
+    this.sentAtBySequence.set(serial, clock());
+    this.sentAtBySequence.delete(serial - sentTimesKept);
     return {
       from: settings.label,
-      boot,
-      serial,
-      echo: heard?.serial ?? 0,
-      echoBoot: heard?.boot ?? '',
-      knows: revision(),
-      ...facts(),
-      ...vouch(heard?.knows ?? Infinity),
+      incarnation,
+      sequence: serial,
+      echoedSequence: heard?.sequence ?? 0,
+      echoedIncarnation: heard?.incarnation ?? '',
+      storeRevision: storeRevision(),
+      ...localStatus(),
+      ...cancellationsSince(heard?.storeRevision ?? Infinity),
     };
   }
 
   async run(signal: AbortSignal): Promise<void> {
     const { settings, log } = this.ports;
     await Promise.all([
-      runRoutine('peer-server', signal, log, (s) => this.serve(s)),
+      runRoutine('peer-server', signal, log, (s) => this.acceptConnections(s)),
       ...settings.peers.map((peer) =>
         runRoutine(
           `peer-${peer.label}`,
           signal,
           log,
-          (s) => this.dial(peer.label, peer.address, s),
-          this.everyMs,
+          (s) => this.sendStatuses(peer.label, peer.address, s),
+          this.statusIntervalMs,
         ),
       ),
     ]);
   }
 
-  private async serve(signal: AbortSignal): Promise<void> {
+  private async acceptConnections(signal: AbortSignal): Promise<void> {
     const { host, port } = splitAddress(this.ports.settings.peerOn);
-    const server = createServer((socket) => void this.listenTo(socket, signal));
+    const server = createServer((socket) => void this.receiveStatuses(socket, signal));
     server.maxConnections = this.ports.settings.controllers * 4;
     await new Promise<void>((resolve, reject) => {
       server.on('error', reject);
@@ -120,8 +139,8 @@
     });
   }
 
-  private async listenTo(socket: Socket, signal: AbortSignal): Promise<void> {
-    socket.setTimeout(this.everyMs * silentStatuses, () => socket.destroy());
+  private async receiveStatuses(socket: Socket, signal: AbortSignal): Promise<void> {
+    socket.setTimeout(this.statusIntervalMs * idleTimeoutStatuses, () => socket.destroy());
     const handle = new Writable({
       objectMode: true,
       write: (message: unknown, _encoding, done) => {
@@ -130,21 +149,22 @@
         done();
       },
     });
-    await pipeline(socket, new UnpackrStream(packing), handle, { signal }).catch((error: unknown) =>
-      this.ports.log.debug({ event: 'peer-link-lost', err: error }, 'incoming peer link ended'),
+    await pipeline(socket, new UnpackrStream(messagePackOptions), handle, { signal }).catch(
+      (error: unknown) =>
+        this.ports.log.debug({ event: 'peer-link-lost', err: error }, 'incoming peer link ended'),
     );
   }
 
-  private async dial(label: string, address: string, signal: AbortSignal): Promise<void> {
+  private async sendStatuses(label: string, address: string, signal: AbortSignal): Promise<void> {
     const { host, port } = splitAddress(address);
     const socket = createConnection({ host, port });
-    socket.setTimeout(this.everyMs * silentStatuses, () => socket.destroy());
+    socket.setTimeout(this.statusIntervalMs * idleTimeoutStatuses, () => socket.destroy());
     try {
-      const statuses = Readable.from(this.statuses(label, socket, signal), {
+      const statuses = Readable.from(this.statusStream(label, socket, signal), {
         objectMode: true,
         highWaterMark: 1,
       });
-      await pipeline(statuses, new PackrStream(packing), socket, { signal });
+      await pipeline(statuses, new PackrStream(messagePackOptions), socket, { signal });
     } catch (error) {
       this.ports.log.debug({ event: 'peer-link-lost', peer: label, err: error }, 'outgoing peer link ended');
     } finally {
@@ -152,11 +172,11 @@
     }
   }
 
-  private async *statuses(label: string, socket: Socket, signal: AbortSignal): AsyncGenerator<unknown> {
+  private async *statusStream(label: string, socket: Socket, signal: AbortSignal): AsyncGenerator<unknown> {
     while (!signal.aborted) {
       // Nothing new is queued behind a cut: the peer would get it late and in bulk.
       if (socket.writableLength < 4096) yield peerStatusRecord(this.compose(label));
-      await sleep(this.everyMs, signal);
+      await sleep(this.statusIntervalMs, signal);
     }
   }
 }
