--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -1,45 +1,45 @@
 import type { Clock } from '../base/clock.js';
 import { RecentNames } from '../base/recent-names.js';
-import { type JobSpec, type Report, taskKey } from '../model/types.js';
+import { type JobSpec, type Heartbeat, taskKey } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { Mirror } from '../store/mirror.js';
-import type { BlockRecord, Shares } from '../wire/block-records.js';
-import { parseEnd, parseJobRecord } from '../wire/job-records.js';
-import { endedJob } from '../wire/keys.js';
+import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
+import { parseOutcome, parseJobRecord } from '../wire/job-records.js';
+import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
 import { MachineState } from '../workers/machine-state.js';
 import { type Reconciliation, reconcile } from '../workers/reconcile.js';
-import { type JobPlace, JobState, type Task } from './job-state.js';
+import { type JobLedgerOptions, JobState, type Task } from './job-state.js';
 import { Ledger } from './ledger.js';
 import { chunkTasksOf } from './ledger-entries.js';
-import { type StoredPage, layoutFor, newestEntries, storedPages } from './stored-pages.js';
+import { type StoredPage, keepStoredChunkSize, newestEntries, storedPages } from './stored-pages.js';
 import type { LedgerLayout } from './ledger-layout.js';
-import { type ChainFacts, OrderOfWork, type Queued, unchained } from './order.js';
-import { Usage } from './placement-round.js';
+import { type DependencyFacts, QueueOrder, type QueuedJob, withoutDependencies } from './order.js';
+import { TeamUsage } from './placement-round.js';
 
 export interface BlockStateOptions {
   block: number;
   /** How the ledger is laid out; where it has smaller entries already, these keep their size. */
   layout: LedgerLayout;
-  reportMs: number;
+  heartbeatIntervalMs: number;
   clock: Clock;
   wallClock?: () => number;
-  order?: OrderOfWork;
+  queueOrder?: QueueOrder;
   /** What follows for a job from those that it needs and those that need it. */
-  chainOf?: (spec: JobSpec) => ChainFacts;
+  dependencyFactsOf?: (spec: JobSpec) => DependencyFacts;
   /** The teams of the settings: the block may use a share of the limits that they have. */
   teams: ReadonlyMap<string, Team>;
 }
 
 /** Causes that speak against the machine or the job, rather than being our own doing. */
-const failures = new Set(['error']);
-const longestPauseMs = 60_000;
-const faultyAfterJobs = 2;
+const failureCauses = new Set(['error']);
+const maxRetryPauseMs = 60_000;
+const faultyAfterFailedJobs = 2;
 /** The order of work is looked at again after this part of a report interval: it changes with time alone. */
-const sortedReports = 0.25;
+const resortAfterHeartbeats = 0.25;
 /** Machines that are gone are remembered for so many report intervals: the leader takes them out of the record meanwhile. */
-const goneReports = 60;
+const rememberTerminatedHeartbeats = 60;
 
 /** All that a block's owner knows of its jobs and machines, rebuilt from the store when the lease begins. */
 export class BlockState {
@@ -47,22 +47,25 @@
   readonly jobs = new Map<string, JobState>();
   readonly machines = new Map<string, MachineState>();
   /** Proven gone, however long the block's record or a late report still speaks of them. */
-  private readonly gone: RecentNames;
+  private readonly terminated: RecentNames;
   /** Machines with tasks that they should not have: their teams are charged for them all the same. */
-  private readonly withStrays = new Set<MachineState>();
-  private readonly completed = new Set<JobState>();
-  private waiting: JobState[] | undefined;
+  private readonly machinesWithOrphans = new Set<MachineState>();
+  private readonly completedJobs = new Set<JobState>();
+  private sortedWaitingJobs: JobState[] | undefined;
   private sortedAt = -Infinity;
-  private readonly order: OrderOfWork;
+  private readonly queueOrder: QueueOrder;
   private layout: LedgerLayout;
   readonly ledger: Ledger;
   private blockVersion = 0;
-  private shares: Shares = {};
+  private quotaShares: QuotaShares = {};
 
   constructor(private readonly options: BlockStateOptions) {
-    this.order = options.order ?? new OrderOfWork([]);
+    this.queueOrder = options.queueOrder ?? new QueueOrder([]);
     this.layout = options.layout;
-    this.gone = new RecentNames(options.clock, options.reportMs * goneReports);
+    this.terminated = new RecentNames(
+      options.clock,
+      options.heartbeatIntervalMs * rememberTerminatedHeartbeats,
+    );
     this.ledger = new Ledger(options.layout.pageBytes);
   }
 
@@ -76,43 +79,44 @@
 
   load(mirror: Mirror): void {
     const pages = storedPages(mirror, this.block);
-    this.layout = layoutFor(this.options.layout, pages);
-    for (const [key, entry] of mirror.entriesWithPrefix('job/')) this.setJob(key, entry.value, entry.version);
+    this.layout = keepStoredChunkSize(this.options.layout, pages);
+    for (const [key, entry] of mirror.entriesWithPrefix('job/'))
+      this.applyJobRecord(key, entry.value, entry.version);
     this.loadLedger(pages);
     for (const job of this.jobs.values()) {
       const end = mirror.outcomeOf(job.id);
-      if (end) this.endJob(job, end.end);
+      if (end) this.endJob(job, end.outcome);
     }
   }
 
   /** The leader's word on what belongs to the block. */
-  applyBlock(record: BlockRecord, version: number): void {
+  applyBlockRecord(record: BlockRecord, version: number): void {
     this.blockVersion = version;
-    this.shares = record.shares;
+    this.quotaShares = record.quotaShares;
     const listed = new Set(record.machines.map((m) => m.id));
     for (const leased of record.machines) {
-      if (this.gone.has(leased.id)) continue;
-      const machine = this.machine(leased.id);
-      machine.place = { id: leased.id, type: leased.type, zone: leased.zone, spot: leased.spot };
-      machine.since = leased.since;
-      machine.leaving = leased.leaving;
-      machine.setToken(leased.token);
+      if (this.terminated.has(leased.id)) continue;
+      const machine = this.ensureMachine(leased.id);
+      machine.info = { id: leased.id, type: leased.type, zone: leased.zone, spot: leased.spot };
+      machine.rentedAt = leased.rentedAt;
+      machine.draining = leased.draining;
+      machine.setFencingToken(leased.fencingToken);
     }
     for (const machine of this.machines.values()) {
       // A machine is taken out of a block only when it is empty. Should it not be, its tasks keep their place until
       // the cloud proves them gone.
       if (listed.has(machine.id)) continue;
-      if (machine.tasks.size === 0) this.forget(machine.id);
-      else machine.leaving = true;
+      if (machine.tasks.size === 0) this.forgetMachine(machine.id);
+      else machine.draining = true;
     }
-    this.withdrawDisallowed();
+    this.withdrawDisallowedIntents();
   }
 
   /**
    * Follows what the other controllers commit: new jobs, their parts, cancels. Pages are written by us only. True: it
    * concerns this block.
    */
-  apply(changes: Change[]): boolean {
+  applyChanges(changes: Change[]): boolean {
     let concerned = false;
     for (const change of changes) {
       let job: JobState | undefined;
@@ -122,11 +126,11 @@
         job = this.jobs.get(change.key.slice('job/'.length));
         if (job) this.endJob(job, 'cancelled');
       } else if (change.key.startsWith('job/')) {
-        job = this.setJob(change.key, change.value, change.version);
+        job = this.applyJobRecord(change.key, change.value, change.version);
       } else {
-        const end = parseEnd(change.value);
-        job = this.jobs.get(endedJob(change.key) ?? '');
-        if (job && end) this.endJob(job, end.end);
+        const end = parseOutcome(change.value);
+        job = this.jobs.get(jobOfOutcomeKey(change.key) ?? '');
+        if (job && end) this.endJob(job, end.outcome);
       }
       concerned ||= job !== undefined;
     }
@@ -135,109 +139,115 @@
 
   /** Open jobs with waiting tasks, in the order of work. Nearly every report asks, so it is kept for a while. */
   waitingJobs(): JobState[] {
-    const { clock, wallClock, reportMs } = this.options;
-    if (this.waiting && clock() - this.sortedAt < reportMs * sortedReports) return this.waiting;
+    const { clock, wallClock, heartbeatIntervalMs } = this.options;
+    if (this.sortedWaitingJobs && clock() - this.sortedAt < heartbeatIntervalMs * resortAfterHeartbeats)
+      return this.sortedWaitingJobs;
     const open = [...this.jobs.values()].flatMap((job) =>
-      job.waiting > 0 && job.spec ? [{ job, spec: job.spec }] : [],
+      job.waitingCount > 0 && job.spec ? [{ job, spec: job.spec }] : [],
     );
-    const chainOf = this.options.chainOf ?? unchained;
-    const queued = ({ job, spec }: { job: JobState; spec: JobSpec }): Queued => ({
+    const chainOf = this.options.dependencyFactsOf ?? withoutDependencies;
+    const queued = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
       spec,
-      chain: chainOf(spec),
-      waiting: job.waiting,
-      started: job.active + job.doneCount > 0,
+      dependencyFacts: chainOf(spec),
+      waiting: job.waitingCount,
+      started: job.activeCount + job.doneCount > 0,
     });
-    this.waiting = this.order.sorted(open, queued, (wallClock ?? Date.now)()).map(({ job }) => job);
+    this.sortedWaitingJobs = this.queueOrder
+      .sorted(open, queued, (wallClock ?? Date.now)())
+      .map(({ job }) => job);
     this.sortedAt = clock();
-    return this.waiting;
+    return this.sortedWaitingJobs;
   }
 
   /** Jobs of which the last task here has completed since this was last asked. */
-  takeCompleted(): JobState[] {
-    const completed = [...this.completed];
-    this.completed.clear();
+  takeCompletedJobs(): JobState[] {
+    const completed = [...this.completedJobs];
+    this.completedJobs.clear();
     return completed;
   }
 
   endJob(job: JobState, end: 'done' | 'cancelled'): void {
-    this.waiting = undefined;
-    job.ended ??= end;
-    this.withdraw(job);
-    for (const task of job.tasks.values()) this.machines.get(task.machine)?.wake?.();
+    this.sortedWaitingJobs = undefined;
+    job.outcome ??= end;
+    this.withdrawIntents(job);
+    for (const task of job.tasks.values()) this.machines.get(task.machine)?.sendHeldResponse?.();
   }
 
-  isGone(machine: string): boolean {
-    return this.gone.has(machine);
+  isTerminated(machine: string): boolean {
+    return this.terminated.has(machine);
   }
 
   /** What was proven gone since then, for the leader. */
-  goneSince(time: number): string[] {
-    return this.gone.since(time);
+  machinesTerminatedSince(time: number): string[] {
+    return this.terminated.since(time);
   }
 
   /** What was first heard of since then, for all who dispatch tasks to blocks. */
-  upSince(time: number): string[] {
-    return [...this.machines.values()].filter((m) => m.seen && m.seenAt >= time).map((m) => m.id);
+  machinesUpSince(time: number): string[] {
+    return [...this.machines.values()]
+      .filter((m) => m.hasSentHeartbeat && m.firstHeartbeatAt >= time)
+      .map((m) => m.id);
   }
 
-  report(machine: MachineState, report: Report, mayStart: boolean): Reconciliation {
+  applyHeartbeat(machine: MachineState, report: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
     const result = reconcile(machine, report, {
       now,
       mayStart,
       jobs: this.jobs,
     });
-    if (machine.strays.length > 0) this.withStrays.add(machine);
-    else this.withStrays.delete(machine);
+    if (machine.orphanedTasks.length > 0) this.machinesWithOrphans.add(machine);
+    else this.machinesWithOrphans.delete(machine);
     for (const finding of result.findings) {
       if (finding.kind === 'seen') {
         finding.task.phase = 'seen';
         finding.task.running = finding.running;
         if (finding.running) finding.task.runningSince ??= now;
-        if (finding.running && finding.task.job.spec) machine.images.add(finding.task.job.spec.image);
+        if (finding.running && finding.task.job.spec) machine.cachedImages.add(finding.task.job.spec.image);
       } else if (finding.kind === 'completed') {
         const task = finding.job.tasks.get(finding.index);
         // One that the leader has taken back meanwhile stays on its machine's books until it is ours again.
-        if (!finding.job.finish(finding.index, now)) continue;
-        if (finding.job.complete) this.completed.add(finding.job);
+        if (!finding.job.finishTask(finding.index, now)) continue;
+        if (finding.job.isComplete) this.completedJobs.add(finding.job);
         if (task && task.machine !== '') this.machines.get(task.machine)?.tasks.delete(taskKey(refOf(task)));
-      } else this.left(machine, finding.task, finding.cause, now);
+      } else this.applyTaskLeft(machine, finding.task, finding.cause, now);
     }
     return result;
   }
 
   /** Proven by the cloud: the machine and everything on it are gone. */
-  remove(id: string): Task[] {
-    this.gone.add(id);
+  removeTerminated(id: string): Task[] {
+    this.terminated.add(id);
     const lost = [...(this.machines.get(id)?.tasks.values() ?? [])];
-    for (const task of lost) this.takeOff(task);
-    this.forget(id);
+    for (const task of lost) this.unassign(task);
+    this.forgetMachine(id);
     return lost;
   }
 
-  put(task: Task, machine: MachineState): void {
+  addTask(task: Task, machine: MachineState): void {
     machine.tasks.set(taskKey(refOf(task)), task);
   }
 
-  takeOff(task: Task): void {
-    this.waiting = undefined;
+  unassign(task: Task): void {
+    this.sortedWaitingJobs = undefined;
     this.machines.get(task.machine)?.tasks.delete(taskKey(refOf(task)));
-    task.job.giveBack(task, this.options.clock());
+    task.job.unassignTask(task, this.options.clock());
   }
 
   /** Counts every task that is or may be on a machine, whether seen, unseen, saving or unreachable. */
-  usage(): Usage {
-    const usage = new Usage();
-    for (const job of this.jobs.values()) if (job.active > 0) usage.add(job.team, job.need, job.active);
-    for (const machine of this.withStrays) {
-      for (const stray of machine.strays) if (stray.team !== '') usage.add(stray.team, stray.need);
+  teamUsage(): TeamUsage {
+    const usage = new TeamUsage();
+    for (const job of this.jobs.values())
+      if (job.activeCount > 0) usage.add(job.team, job.need, job.activeCount);
+    for (const machine of this.machinesWithOrphans) {
+      for (const stray of machine.orphanedTasks) if (stray.team !== '') usage.add(stray.team, stray.need);
     }
     return usage;
   }
 
   /** Without a share of a limit, the block may use none of it. */
-  private limitsOf(team: Team): Team {
-    const [cpus, accelerators] = this.shares[team.name] ?? [0, 0];
+  private withinShares(team: Team): Team {
+    const [cpus, accelerators] = this.quotaShares[team.name] ?? [0, 0];
     // A limit of 0 means none; a share of 0 of a limit must not be mistaken for that.
     const part = (limit: number, share: number): number =>
       limit === 0 ? 0 : Math.max(share, Number.MIN_VALUE);
@@ -248,26 +258,27 @@
     };
   }
 
-  private forget(id: string): void {
+  private forgetMachine(id: string): void {
     const machine = this.machines.get(id);
-    if (machine) this.withStrays.delete(machine);
+    if (machine) this.machinesWithOrphans.delete(machine);
     this.machines.delete(id);
   }
 
-  private left(machine: MachineState, task: Task, cause: string, now: number): void {
+  private applyTaskLeft(machine: MachineState, task: Task, cause: string, now: number): void {
     const { job } = task;
-    this.takeOff(task);
-    if (job.ended) return;
-    if (failures.has(cause)) {
+    this.unassign(task);
+    if (job.outcome) return;
+    if (failureCauses.has(cause)) {
       machine.failedJobs.add(job.id);
       // One job's failure says little of a machine; several jobs failing on it do.
-      if (machine.failedJobs.size >= faultyAfterJobs) machine.faulty = true;
+      if (machine.failedJobs.size >= faultyAfterFailedJobs) machine.faulty = true;
     }
-    if (failures.has(cause) || cause === 'no_such') {
-      job.failures++;
+    if (failureCauses.has(cause) || cause === 'no_such') {
+      job.failureCount++;
       // A job that fails everywhere is retried with growing pauses and holds up nobody.
       job.retryAt =
-        now + Math.min(longestPauseMs, this.options.reportMs * 2 ** Math.min(job.failures - 1, 10));
+        now +
+        Math.min(maxRetryPauseMs, this.options.heartbeatIntervalMs * 2 ** Math.min(job.failureCount - 1, 10));
     }
   }
 
@@ -275,34 +286,34 @@
    * An intent was chosen under an earlier record of the block, and its next commit is conditioned on this one. What this
    * record no longer allows must not ride along: the leader may have given the room to another block already.
    */
-  private withdrawDisallowed(): void {
-    const placing = [...this.jobs.values()].flatMap((job) => (job.active > 0 ? job.placingTasks() : []));
+  private withdrawDisallowedIntents(): void {
+    const placing = [...this.jobs.values()].flatMap((job) => (job.activeCount > 0 ? job.placingTasks() : []));
     if (placing.length === 0) return;
-    const usage = this.usage();
+    const usage = this.teamUsage();
     for (const task of placing) {
       const { team, need } = task.job;
       const machine = this.machines.get(task.machine);
-      const mayBeUsed = machine !== undefined && !machine.leaving;
-      if (mayBeUsed && !usage.exceeds(this.shareOf(team))) continue;
+      const mayBeUsed = machine !== undefined && !machine.draining;
+      if (mayBeUsed && !usage.exceedsLimit(this.teamWithinShares(team))) continue;
       usage.add(team, need, -1);
-      this.takeOff(task);
+      this.unassign(task);
     }
   }
 
   /** The team with what this block may use of its limits; undefined where the settings do not know it. */
-  shareOf(name: string): Team | undefined {
+  teamWithinShares(name: string): Team | undefined {
     const team = this.options.teams.get(name);
-    return team && this.limitsOf(team);
+    return team && this.withinShares(team);
   }
 
   /** Drops intents that are not committed and now never will be; where that commit is under way, it decides. */
-  private withdraw(job: JobState): void {
+  private withdrawIntents(job: JobState): void {
     for (const task of [...job.tasks.values()]) {
-      if (task.phase === 'placing' && job.pageOf(task.index)?.busy !== true) this.takeOff(task);
+      if (task.phase === 'placing' && job.pageOf(task.index)?.isCommitting !== true) this.unassign(task);
     }
   }
 
-  private machine(id: string): MachineState {
+  private ensureMachine(id: string): MachineState {
     let machine = this.machines.get(id);
     if (!machine) {
       machine = new MachineState(id, this.options.clock());
@@ -311,22 +322,22 @@
     return machine;
   }
 
-  private setJob(key: string, value: unknown, version: number): JobState | undefined {
+  private applyJobRecord(key: string, value: unknown, version: number): JobState | undefined {
     const record = parseJobRecord(value);
     if (!record || key !== `job/${record.spec.id}`) return undefined;
-    const { spec, parts } = record;
+    const { spec, taskRanges } = record;
     const { block } = this;
     let job = this.jobs.get(spec.id);
     if (!job) {
-      if (!parts.some((part) => part.block === block)) return undefined;
-      job = JobState.of(spec, version, this.place);
+      if (!taskRanges.some((part) => part.block === block)) return undefined;
+      job = JobState.fromSpec(spec, version, this.ledgerOptions);
       this.jobs.set(spec.id, job);
     }
-    this.waiting = undefined;
-    job.assignRanges(parts, version);
+    this.sortedWaitingJobs = undefined;
+    job.assignRanges(taskRanges, version);
     // Ranges that the leader took back had not started; intents for them that are under way will fail.
     for (const task of [...job.tasks.values()]) {
-      if (task.phase === 'placing' && !job.holds(task.index)) this.takeOff(task);
+      if (task.phase === 'placing' && !job.holdsTask(task.index)) this.unassign(task);
     }
     return job;
   }
@@ -338,32 +349,33 @@
   }
 
   private addPage({ index, version, entries }: StoredPage): void {
-    if (entries.every((entry) => chunkTasksOf(entry) === this.entryTasks))
+    if (entries.every((entry) => chunkTasksOf(entry) === this.storedChunkTasks))
       this.ledger.page(index).version = version;
-    else this.ledger.retired.set(index, { index, version, unwritten: new Set(), busy: false });
+    else
+      this.ledger.retiredPages.set(index, { index, version, unwrittenChunks: new Set(), isDropping: false });
   }
 
   private loadEntry(entry: LedgerEntry, { index }: StoredPage): void {
     let job = this.jobs.get(entry.id);
     if (!job) {
-      job = JobState.leftover(entry, this.place);
+      job = JobState.fromLedgerEntry(entry, this.ledgerOptions);
       this.jobs.set(entry.id, job);
     }
-    const retired = this.ledger.retired.get(index);
-    const adopted = retired && job.adopt(entry, this.options.clock());
-    for (const chunk of adopted?.chunks ?? []) retired?.unwritten.add(chunk);
-    const active = adopted?.active ?? job.load(entry, this.ledger.page(index));
-    for (const task of active) this.put(task, this.machine(task.machine));
+    const retired = this.ledger.retiredPages.get(index);
+    const adopted = retired && job.adoptEntry(entry, this.options.clock());
+    for (const chunk of adopted?.chunks ?? []) retired?.unwrittenChunks.add(chunk);
+    const active = adopted?.active ?? job.loadEntry(entry, this.ledger.page(index));
+    for (const task of active) this.addTask(task, this.ensureMachine(task.machine));
   }
 
   /** The size that entries of this layout have in the ledger. */
-  private get entryTasks(): number {
-    return this.layout.inherited ? Infinity : this.layout.chunkTasks;
+  private get storedChunkTasks(): number {
+    return this.layout.isLegacy ? Infinity : this.layout.chunkTasks;
   }
 
-  private get place(): JobPlace {
+  private get ledgerOptions(): JobLedgerOptions {
     const { block, ledger, layout } = this;
-    return { block, ledger, perChunk: layout.chunkTasks, sizedEntries: !layout.inherited };
+    return { block, ledger, chunkTasks: layout.chunkTasks, sizedEntries: !layout.isLegacy };
   }
 }
 
--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -22,7 +22,7 @@
   const phases = [0, 1, 2, 3].map((index) => stage.task(index)?.phase);
   assert.equal(phases.filter((phase) => phase === 'placed').length, 2);
   assert.equal(phases.filter((phase) => phase === 'placing').length, 0);
-  assert.deepEqual(stage.blockState.usage().of('red'), twoTasks);
+  assert.deepEqual(stage.blockState.teamUsage().usedBy('red'), twoTasks);
   assert.equal(versions[1], 8);
 });
 
@@ -38,7 +38,7 @@
     { team: 'red', tasks: 4, shares: { red: [8, 0] } },
   );
   await stage.place('m1');
-  assert.deepEqual(stage.blockState.usage().of('red'), twoTasks);
+  assert.deepEqual(stage.blockState.teamUsage().usedBy('red'), twoTasks);
 });
 
 // Guards against a machine that is given back with a task on it: it was empty when its record said that it is leaving.
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -3,12 +3,12 @@
 import type { Mirror } from '../store/mirror.js';
 import { groupBy } from '../base/group-by.js';
 import { rangesSize } from '../base/ranges.js';
-import { type EndRecord, type JobRecord, parseEnd, parseJobRecord } from '../wire/job-records.js';
-import { endedJob, parseLedgerKey } from '../wire/keys.js';
+import { type OutcomeRecord, type JobRecord, parseOutcome, parseJobRecord } from '../wire/job-records.js';
+import { jobOfOutcomeKey, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
-import { withoutCovered } from './ledger-entries.js';
-import type { ChainFacts, OrderOfWork, Queued } from './order.js';
+import { withoutSuperseded } from './ledger-entries.js';
+import type { DependencyFacts, QueueOrder, QueuedJob } from './order.js';
 
 /** What a block has on record of a job. */
 export interface IndexedEntry extends LedgerEntry {
@@ -20,7 +20,7 @@
   id: string;
   version: number;
   /** When this controller first saw it ready to run, by its own clock. */
-  seenAt: number;
+  readySeenAt: number;
 }
 
 /** All open jobs and all tasks on machines, as the store has them: the same on every controller, a moment late. */
@@ -30,38 +30,40 @@
   /** Open jobs that wait for others to be done. */
   private readonly blocked = new Map<string, IndexedJob>();
   readonly dependencies: DependencyGraph;
-  private readonly pages = new Map<string, IndexedEntry[]>();
+  private readonly entriesByPage = new Map<string, IndexedEntry[]>();
   /** Entries by job; those of an ended job stay until its tasks have left their machines. */
-  private readonly byJob = new Map<string, Set<IndexedEntry>>();
-  private loadsNow: Map<string, Resources> | undefined;
+  private readonly entriesByJob = new Map<string, Set<IndexedEntry>>();
+  private cachedLoads: Map<string, Resources> | undefined;
   /** Pages that have changed since anybody asked: of several versions only the last has to be read. */
-  private readonly unread = new Map<string, unknown>();
+  private readonly changedPages = new Map<string, unknown>();
 
   /** `endOf`: ends of jobs that this controller knows already. */
   constructor(
     private readonly clock: () => number,
-    endOf?: (id: string) => EndRecord | undefined,
+    outcomeOf?: (id: string) => OutcomeRecord | undefined,
   ) {
-    this.dependencies = new DependencyGraph(clock, endOf);
+    this.dependencies = new DependencyGraph(clock, outcomeOf);
   }
 
   load(mirror: Mirror): void {
     this.jobs.clear();
     this.blocked.clear();
     this.dependencies.clear();
-    this.pages.clear();
-    this.byJob.clear();
-    this.unread.clear();
-    this.loadsNow = undefined;
-    for (const [key, entry] of mirror.entriesWithPrefix('job/')) this.set(key, entry.value, entry.version);
-    for (const [key, entry] of mirror.entriesWithPrefix('run/')) this.set(key, entry.value, entry.version);
+    this.entriesByPage.clear();
+    this.entriesByJob.clear();
+    this.changedPages.clear();
+    this.cachedLoads = undefined;
+    for (const [key, entry] of mirror.entriesWithPrefix('job/'))
+      this.applyValue(key, entry.value, entry.version);
+    for (const [key, entry] of mirror.entriesWithPrefix('run/'))
+      this.applyValue(key, entry.value, entry.version);
   }
 
-  apply(changes: Change[]): void {
+  applyChanges(changes: Change[]): void {
     for (const change of changes) {
-      if (!change.deleted) this.set(change.key, change.value, change.version);
+      if (!change.deleted) this.applyValue(change.key, change.value, change.version);
       else if (change.key.startsWith('job/')) this.remove(change.key.slice('job/'.length));
-      else if (change.key.startsWith('run/')) this.unread.set(change.key, undefined);
+      else if (change.key.startsWith('run/')) this.changedPages.set(change.key, undefined);
     }
   }
 
@@ -76,7 +78,7 @@
   }
 
   /** A job with these dependencies could run at once. */
-  isReadyWith(dependencies: Iterable<string>): boolean {
+  isReadyAfter(dependencies: Iterable<string>): boolean {
     return this.dependencies.areDone(dependencies);
   }
 
@@ -84,30 +86,30 @@
     return this.dependencies.stateOf(id, (other) => this.isOpen(other));
   }
 
-  chainOf(spec: JobSpec): ChainFacts {
+  dependencyFactsOf(spec: JobSpec): DependencyFacts {
     return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.demandOn(spec) };
   }
 
-  entries(id: string): Iterable<IndexedEntry> {
-    this.read();
-    const entries = this.byJob.get(id);
+  entriesOf(id: string): Iterable<IndexedEntry> {
+    this.parseChangedPages();
+    const entries = this.entriesByJob.get(id);
     if (!entries) return [];
-    return areOfOneSize(entries) ? entries : newestOfEachBlock(entries);
+    return haveOneChunkSize(entries) ? entries : newestOfEachBlock(entries);
   }
 
   *activeTasks(): Iterable<{ id: string; page: IndexedEntry; machine: string }> {
-    this.read();
-    for (const id of this.byJob.keys()) {
-      for (const page of this.entries(id)) {
+    this.parseChangedPages();
+    for (const id of this.entriesByJob.keys()) {
+      for (const page of this.entriesOf(id)) {
         for (const [, , machine] of page.active) yield { id, page, machine };
       }
     }
   }
 
   /** What the tasks on each machine take of it; machines without any are not in it. */
-  loads(): ReadonlyMap<string, Resources> {
-    this.read();
-    if (this.loadsNow) return this.loadsNow;
+  machineLoads(): ReadonlyMap<string, Resources> {
+    this.parseChangedPages();
+    if (this.cachedLoads) return this.cachedLoads;
     const loads = new Map<string, Resources>();
     for (const { page, machine } of this.activeTasks()) {
       const load = loads.get(machine);
@@ -118,7 +120,7 @@
         load.memoryGb += page.memoryGb;
       }
     }
-    this.loadsNow = loads;
+    this.cachedLoads = loads;
     return loads;
   }
 
@@ -126,7 +128,7 @@
   progress(id: string, block?: number): { done: number; active: number } {
     let done = 0;
     let active = 0;
-    for (const entry of this.entries(id)) {
+    for (const entry of this.entriesOf(id)) {
       if (block !== undefined && entry.block !== block) continue;
       done += entry.doneCount;
       active += entry.active.length;
@@ -135,21 +137,25 @@
   }
 
   /** Open jobs in the order of work, or those of them that are given. */
-  inOrder(order: OrderOfWork, now: number, jobs: Iterable<IndexedJob> = this.jobs.values()): IndexedJob[] {
-    return order.sorted(jobs, (job) => this.queued(job), now);
+  inQueueOrder(
+    queueOrder: QueueOrder,
+    now: number,
+    jobs: Iterable<IndexedJob> = this.jobs.values(),
+  ): IndexedJob[] {
+    return queueOrder.sorted(jobs, (job) => this.asQueuedJob(job), now);
   }
 
-  queued({ id, spec }: IndexedJob): Queued {
+  asQueuedJob({ id, spec }: IndexedJob): QueuedJob {
     const { done, active } = this.progress(id);
-    const chain = this.chainOf(spec);
-    return { spec, chain, waiting: spec.tasks - done - active, started: done + active > 0 };
+    const chain = this.dependencyFactsOf(spec);
+    return { spec, dependencyFacts: chain, waiting: spec.tasks - done - active, started: done + active > 0 };
   }
 
   /** Waiting tasks of the job by block; those that are not dispatched yet belong to none. */
-  waiting(job: IndexedJob): { block: number | undefined; count: number }[] {
+  waitingByBlock(job: IndexedJob): { block: number | undefined; count: number }[] {
     const dispatched = new Map<number, number>();
     let undispatched = job.spec.tasks;
-    for (const { block, count } of job.parts) {
+    for (const { block, count } of job.taskRanges) {
       dispatched.set(block, (dispatched.get(block) ?? 0) + count);
       undispatched -= count;
     }
@@ -162,34 +168,34 @@
     return waiting;
   }
 
-  private set(key: string, value: unknown, version: number): void {
+  private applyValue(key: string, value: unknown, version: number): void {
     if (key.startsWith('job/')) {
       const record = parseJobRecord(value);
       if (!record) return;
       this.setJob(record, version);
       return;
     }
-    const ended = endedJob(key);
-    const end = ended === undefined ? undefined : parseEnd(value);
-    if (ended !== undefined && end) this.noteEnd(ended, end);
-    if (key.startsWith('run/')) this.unread.set(key, value);
+    const ended = jobOfOutcomeKey(key);
+    const end = ended === undefined ? undefined : parseOutcome(value);
+    if (ended !== undefined && end) this.applyOutcome(ended, end);
+    if (key.startsWith('run/')) this.changedPages.set(key, value);
   }
 
   private setJob(record: JobRecord, version: number): void {
     const { id } = record.spec;
     this.dependencies.add(record.spec);
-    const seenAt = this.jobs.get(id)?.seenAt ?? this.clock();
-    const job = { ...record, id, version, seenAt };
+    const readySeenAt = this.jobs.get(id)?.readySeenAt ?? this.clock();
+    const job = { ...record, id, version, readySeenAt };
     if (this.dependencies.isReady(id)) this.jobs.set(id, job);
     else this.blocked.set(id, job);
   }
 
-  private noteEnd(id: string, end: EndRecord): void {
+  private applyOutcome(id: string, end: OutcomeRecord): void {
     for (const ready of this.dependencies.noteEnd(id, end)) {
       const job = this.blocked.get(ready);
       if (!job) continue;
       this.blocked.delete(ready);
-      this.jobs.set(ready, { ...job, seenAt: this.clock() });
+      this.jobs.set(ready, { ...job, readySeenAt: this.clock() });
     }
   }
 
@@ -199,36 +205,36 @@
     this.dependencies.remove(id);
   }
 
-  private read(): void {
-    for (const [key, value] of this.unread) {
+  private parseChangedPages(): void {
+    for (const [key, value] of this.changedPages) {
       const block = parseLedgerKey(key)?.block ?? -1;
       this.setPage(
         key,
         parseLedgerPage(value).map((e) => ({ ...e, block, doneCount: rangesSize(e.done) })),
       );
     }
-    this.unread.clear();
+    this.changedPages.clear();
   }
 
   private setPage(key: string, entries: IndexedEntry[]): void {
-    this.loadsNow = undefined;
-    for (const old of this.pages.get(key) ?? []) {
-      const ofJob = this.byJob.get(old.id);
+    this.cachedLoads = undefined;
+    for (const old of this.entriesByPage.get(key) ?? []) {
+      const ofJob = this.entriesByJob.get(old.id);
       ofJob?.delete(old);
-      if (ofJob?.size === 0) this.byJob.delete(old.id);
+      if (ofJob?.size === 0) this.entriesByJob.delete(old.id);
     }
-    if (entries.length > 0) this.pages.set(key, entries);
-    else this.pages.delete(key);
+    if (entries.length > 0) this.entriesByPage.set(key, entries);
+    else this.entriesByPage.delete(key);
     for (const entry of entries) {
-      const ofJob = this.byJob.get(entry.id);
+      const ofJob = this.entriesByJob.get(entry.id);
       if (ofJob) ofJob.add(entry);
-      else this.byJob.set(entry.id, new Set([entry]));
+      else this.entriesByJob.set(entry.id, new Set([entry]));
     }
   }
 }
 
 /** Asked for each job many times in a round, so nothing is allocated. */
-function areOfOneSize(entries: ReadonlySet<IndexedEntry>): boolean {
+function haveOneChunkSize(entries: ReadonlySet<IndexedEntry>): boolean {
   let first: IndexedEntry | undefined;
   for (const entry of entries) {
     first ??= entry;
@@ -239,7 +245,7 @@
 
 function newestOfEachBlock(entries: Iterable<IndexedEntry>): IndexedEntry[] {
   return [...groupBy(entries, ({ block }) => block).values()]
-    .flatMap((ofBlock) => withoutCovered(ofBlock))
+    .flatMap((ofBlock) => withoutSuperseded(ofBlock))
     .map((entry) => ({ ...entry, doneCount: rangesSize(entry.done) }));
 }
 
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -1,8 +1,8 @@
 import type { Objective } from '../settings/settings.js';
-import type { Queued } from './order.js';
+import type { QueuedJob } from './order.js';
 
 /** An objective that more of a class's open jobs have missed than it allows. */
-export interface Late {
+export interface LateClass {
   jobClass: string;
   objective: string;
   open: number;
@@ -10,24 +10,28 @@
 }
 
 /** Shares are decimals, so what they allow may differ in its last bits. */
-const slack = 1e-6;
+const shareTolerance = 1e-6;
 
 /** Which classes run late, by the objectives of the settings: the people on call are to hear of it before users do. */
-export function lateClasses(objectives: Iterable<Objective>, jobs: Iterable<Queued>, now: number): Late[] {
-  const byClass = new Map<string, Queued[]>();
+export function lateClasses(
+  objectives: Iterable<Objective>,
+  jobs: Iterable<QueuedJob>,
+  now: number,
+): LateClass[] {
+  const byClass = new Map<string, QueuedJob[]>();
   for (const job of jobs) {
     const known = byClass.get(job.spec.jobClass);
     if (known) known.push(job);
     else byClass.set(job.spec.jobClass, [job]);
   }
-  const slipping: Late[] = [];
+  const slipping: LateClass[] = [];
   for (const objective of objectives) {
     const open = byClass.get(objective.jobClass ?? '') ?? [];
-    const late = open.filter((job) => misses(objective, job, now)).length;
-    if (late === 0 || late <= open.length * (1 - (objective.share ?? 1)) + slack) continue;
+    const late = open.filter((job) => missesObjective(objective, job, now)).length;
+    if (late === 0 || late <= open.length * (1 - (objective.share ?? 1)) + shareTolerance) continue;
     slipping.push({
       jobClass: objective.jobClass ?? '',
-      objective: nameOf(objective),
+      objective: describeObjective(objective),
       open: open.length,
       late,
     });
@@ -35,14 +39,18 @@
   return slipping;
 }
 
-function misses({ kind, withinS, times }: Objective, { spec, chain, waiting }: Queued, now: number): boolean {
+function missesObjective(
+  { kind, withinS, times }: Objective,
+  { spec, dependencyFacts, waiting }: QueuedJob,
+  now: number,
+): boolean {
   const submittedS = (now - spec.acceptedAt) / 1000;
   if (kind === 'deadline') return spec.deadlineS !== null && submittedS > spec.deadlineS * (times ?? 1);
-  const ageS = (now - chain.readyAt) / 1000;
+  const ageS = (now - dependencyFacts.readyAt) / 1000;
   if (withinS === undefined) return false;
   return (kind === 'finished' || (kind === 'wait' && waiting > 0)) && ageS > withinS;
 }
 
-function nameOf({ kind, withinS, times }: Objective): string {
+function describeObjective({ kind, withinS, times }: Objective): string {
   return kind === 'deadline' ? `deadline ${times ?? 1}x` : `${kind} ${withinS ?? 0} s`;
 }
--- a/src/placement/ledger-entries.ts
+++ b/src/placement/ledger-entries.ts
@@ -2,7 +2,7 @@
 import { fromRanges, toRanges } from '../base/ranges.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 
-interface TaskRange {
+interface IndexInterval {
   first: number;
   end: number;
 }
@@ -16,21 +16,21 @@
  * The entries of one job in one block without what smaller ones cover: a block is moved to a smaller size entry by entry,
  * and each smaller entry says all there is to know of its tasks.
  */
-export function withoutCovered<E extends LedgerEntry>(entries: Iterable<E>): E[] {
+export function withoutSuperseded<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
   const sizes = [...new Set(all.map(chunkTasksOf))].sort((a, b) => a - b);
   if (sizes.length < 2) return all;
   const newest: E[] = [];
-  const covered: TaskRange[] = [];
+  const covered: IndexInterval[] = [];
   for (const size of sizes) {
     const ofSize = all.filter((entry) => chunkTasksOf(entry) === size);
-    newest.push(...ofSize.map((entry) => without(entry, covered)));
+    newest.push(...ofSize.map((entry) => withoutTasksIn(entry, covered)));
     covered.push(...ofSize.map(({ chunk }) => ({ first: chunk * size, end: (chunk + 1) * size })));
   }
   return newest;
 }
 
-function without<E extends LedgerEntry>(entry: E, covered: TaskRange[]): E {
+function withoutTasksIn<E extends LedgerEntry>(entry: E, covered: IndexInterval[]): E {
   const isLeft = (index: number): boolean => !covered.some(({ first, end }) => index >= first && index < end);
   return {
     ...entry,
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -11,7 +11,7 @@
 import { BlockState } from './block-state.js';
 import { JobIndex } from './job-index.js';
 import { type LedgerLayout, ledgerLayout } from './ledger-layout.js';
-import { snapshot } from './ledger.js';
+import { snapshotPage } from './ledger.js';
 
 const id = 'req-000398';
 const tasks = 300;
@@ -37,7 +37,7 @@
     'duty',
     [],
     [
-      { put: jobKey(id), value: jobRecord({ spec, parts: [{ block: 0, first: 0, count: tasks }] }) },
+      { put: jobKey(id), value: jobRecord({ spec, taskRanges: [{ block: 0, first: 0, count: tasks }] }) },
       { put: ledgerKey(0, 0), value: keptPage },
     ],
   );
@@ -48,7 +48,7 @@
   const blockState = new BlockState({
     block: 0,
     layout,
-    reportMs: 1000,
+    heartbeatIntervalMs: 1000,
     clock: () => 0,
     teams: settings.teams,
   });
@@ -63,7 +63,7 @@
   return {
     done: Array.from({ length: tasks }, (_, i) => i).filter((i) => job?.isDoneCommitted(i)),
     tasks: known.map((t) => `${t.index}.${t.attempt} ${t.phase} ${t.machine}`).sort(),
-    active: job?.active,
+    active: job?.activeCount,
   };
 }
 
@@ -75,9 +75,9 @@
 
 describe('a ledger that an earlier version has written', () => {
   test('keeps its layout until every controller reads the new one, and where no smaller value is to come', () => {
-    assert.equal(ledgerLayout(settings, false).inherited, true);
-    assert.equal(ledgerLayout(testSettings(), true).inherited, true);
-    assert.equal(small.inherited, false);
+    assert.equal(ledgerLayout(settings, false).isLegacy, true);
+    assert.equal(ledgerLayout(testSettings(), true).isLegacy, true);
+    assert.equal(small.isLegacy, false);
     assert.ok(small.pageBytes <= 1024);
   });
 
@@ -89,28 +89,28 @@
     const blockState = await blockStateOf(store, small);
     assert.deepEqual(contentOf(blockState), before);
     const { ledger } = blockState;
-    assert.deepEqual([...ledger.retired.keys()], [0]);
+    assert.deepEqual([...ledger.retiredPages.keys()], [0]);
     let writes = 0;
     for (const page of ledger.pages.values()) {
-      const shot = snapshot(page, Infinity, () => assert.fail('nothing is taken off'));
+      const shot = snapshotPage(page, Infinity, () => assert.fail('nothing is taken off'));
       const value = ledgerPage(shot.entries);
       assert.ok(sizeOf(value) <= 1024, `${sizeOf(value)} bytes`);
-      assert.equal(ledger.dispensable().length, 0);
+      assert.equal(ledger.removablePages().length, 0);
       await store.commit('duty', [], [{ put: ledgerKey(0, page.index), value }]);
-      ledger.noteWritten(shot.chunks);
+      ledger.markWritten(shot.chunks);
       writes++;
       assert.deepEqual(contentOf(await blockStateOf(store, small)), before);
       assert.deepEqual(await indexOf(store), { done: 143, active: 101, machines: 101 });
     }
     assert.ok(writes >= 5);
     assert.deepEqual(
-      ledger.dispensable().map(({ index }) => index),
+      ledger.removablePages().map(({ index }) => index),
       [0],
     );
     await store.commit('duty', [], [{ drop: ledgerKey(0, 0) }]);
     const after = await blockStateOf(store, small);
     assert.deepEqual(contentOf(after), before);
-    assert.equal(after.ledger.retired.size, 0);
+    assert.equal(after.ledger.retiredPages.size, 0);
     assert.deepEqual(await indexOf(store), { done: 143, active: 101, machines: 101 });
   });
 
@@ -119,10 +119,10 @@
     const blockState = await blockStateOf(store, small);
     const job = blockState.jobs.get(id);
     // The machine of task 150 is gone before anything is laid out anew.
-    for (const task of blockState.remove('vm-100')) assert.equal(task.phase, 'waiting');
-    assert.equal(job?.active, 91);
+    for (const task of blockState.removeTerminated('vm-100')) assert.equal(task.phase, 'waiting');
+    assert.equal(job?.activeCount, 91);
     for (const page of [...blockState.ledger.pages.values()].slice(0, 4)) {
-      const value = ledgerPage(snapshot(page, Infinity, () => undefined).entries);
+      const value = ledgerPage(snapshotPage(page, Infinity, () => undefined).entries);
       await store.commit('duty', [], [{ put: ledgerKey(0, page.index), value }]);
     }
     const next = await blockStateOf(store, small);
@@ -134,7 +134,7 @@
     const value = [[id, 0, 'red', 2, 0, 2, [3, 1], [], [], [0, 2], 10, ['vm-', 1]]];
     await store.commit('duty', [], [{ put: ledgerKey(0, 0), value }]);
     const blockState = await blockStateOf(store, ledgerLayout(settings, false));
-    assert.equal(blockState.ledger.retired.size, 0);
-    assert.deepEqual(blockState.jobs.get(id)?.entryOf(0).entry.chunkTasks, 10);
+    assert.equal(blockState.ledger.retiredPages.size, 0);
+    assert.deepEqual(blockState.jobs.get(id)?.buildEntry(0).entry.chunkTasks, 10);
   });
 });
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -2,17 +2,17 @@
 import type { JobState, Task } from './job-state.js';
 
 /** `soon`: what changed can also be learned from the workers again. `now`: something waits for the commit. */
-export type Dirt = 'clean' | 'soon' | 'now';
+export type WriteUrgency = 'clean' | 'soon' | 'now';
 
 /** Consecutive tasks of a job that share an entry of the ledger. */
 export interface Chunk {
   readonly job: JobState;
   readonly index: number;
   readonly page: LedgerPage;
-  readonly bytes: number;
+  readonly reservedBytes: number;
   /** Its entry as last built, while nothing of it has changed since, with what it takes. */
   entry: LedgerEntry | undefined;
-  bytesWritten: number;
+  entryBytes: number;
   /** Tasks that the entry names and that are being placed, or are done and not known to be committed. */
   placing: Task[];
   done: number[];
@@ -20,23 +20,23 @@
 
 export class LedgerPage {
   version = 0;
-  dirt: Dirt = 'clean';
+  writeUrgency: WriteUrgency = 'clean';
   dirtySince = 0;
-  busy = false;
+  isCommitting = false;
   /** Settles with the commit that is under way. */
   commit: Promise<void> = Promise.resolve();
-  bytes = 0;
+  reservedBytes = 0;
   readonly chunks = new Set<Chunk>();
 
   constructor(readonly index: number) {}
 
-  soil(dirt: Exclude<Dirt, 'clean'>, now: number): void {
-    if (this.dirt === 'clean') this.dirtySince = now;
-    if (this.dirt !== 'now') this.dirt = dirt;
+  markDirty(urgency: Exclude<WriteUrgency, 'clean'>, now: number): void {
+    if (this.writeUrgency === 'clean') this.dirtySince = now;
+    if (this.writeUrgency !== 'now') this.writeUrgency = urgency;
   }
 
-  drop(chunk: Chunk): void {
-    if (this.chunks.delete(chunk)) this.bytes -= chunk.bytes;
+  removeChunk(chunk: Chunk): void {
+    if (this.chunks.delete(chunk)) this.reservedBytes -= chunk.reservedBytes;
   }
 }
 
@@ -45,8 +45,8 @@
   readonly index: number;
   version: number;
   /** Chunks that have yet to be written. */
-  readonly unwritten: Set<Chunk>;
-  busy: boolean;
+  readonly unwrittenChunks: Set<Chunk>;
+  isDropping: boolean;
 }
 
 export interface PageSnapshot {
@@ -64,19 +64,20 @@
  */
 export class Ledger {
   readonly pages = new Map<number, LedgerPage>();
-  readonly retired = new Map<number, RetiredPage>();
+  readonly retiredPages = new Map<number, RetiredPage>();
 
   constructor(readonly pageBytes: number) {}
 
   /** Something waits for its commit. */
-  get presses(): boolean {
-    for (const page of this.pages.values()) if (page.dirt === 'now' && !page.busy) return true;
+  get hasUrgentWrites(): boolean {
+    for (const page of this.pages.values())
+      if (page.writeUrgency === 'now' && !page.isCommitting) return true;
     return false;
   }
 
   /** Something is to be written down. */
-  get isSoiled(): boolean {
-    for (const page of this.pages.values()) if (page.dirt !== 'clean') return true;
+  get hasUnwrittenChanges(): boolean {
+    for (const page of this.pages.values()) if (page.writeUrgency !== 'clean') return true;
     return false;
   }
 
@@ -93,41 +94,43 @@
   }
 
   /** `bytes`: what its entry needs room for; `at`: where the store has it. */
-  add(job: JobState, index: number, bytes: number, at?: LedgerPage): Chunk {
-    const page = at ?? this.withRoom(bytes);
+  addChunk(job: JobState, index: number, bytes: number, storedPage?: LedgerPage): Chunk {
+    const page = storedPage ?? this.pageWithRoom(bytes);
     const chunk: Chunk = {
       job,
       index,
       page,
-      bytes,
+      reservedBytes: bytes,
       entry: undefined,
-      bytesWritten: 0,
+      entryBytes: 0,
       placing: [],
       done: [],
     };
     page.chunks.add(chunk);
-    page.bytes += bytes;
+    page.reservedBytes += bytes;
     return chunk;
   }
 
-  private withRoom(bytes: number): LedgerPage {
-    for (const page of this.pages.values()) if (page.bytes + bytes <= this.pageBytes) return page;
+  private pageWithRoom(bytes: number): LedgerPage {
+    for (const page of this.pages.values()) if (page.reservedBytes + bytes <= this.pageBytes) return page;
     let index = 0;
-    while (this.pages.has(index) || this.retired.has(index)) index++;
+    while (this.pages.has(index) || this.retiredPages.has(index)) index++;
     return this.page(index);
   }
 
   /** The chunks stand in the store, or need no record any more. */
-  noteWritten(chunks: Iterable<Chunk>): void {
-    if (this.retired.size === 0) return;
+  markWritten(chunks: Iterable<Chunk>): void {
+    if (this.retiredPages.size === 0) return;
     for (const chunk of chunks) {
-      for (const { unwritten } of this.retired.values()) unwritten.delete(chunk);
+      for (const { unwrittenChunks } of this.retiredPages.values()) unwrittenChunks.delete(chunk);
     }
   }
 
   /** Retired pages that say nothing which is not recorded elsewhere. */
-  dispensable(): RetiredPage[] {
-    return [...this.retired.values()].filter(({ unwritten, busy }) => unwritten.size === 0 && !busy);
+  removablePages(): RetiredPage[] {
+    return [...this.retiredPages.values()].filter(
+      ({ unwrittenChunks, isDropping }) => unwrittenChunks.size === 0 && !isDropping,
+    );
   }
 }
 
@@ -137,53 +140,53 @@
  * again. Without tasks that are being placed a page may be too large for a while: what is on machines takes more room than
  * what is done.
  */
-export function snapshot(
+export function snapshotPage(
   page: LedgerPage,
-  mostJobs: number,
-  takeOff: (task: Task) => void,
-  mostBytes = Infinity,
+  maxJobs: number,
+  unassign: (task: Task) => void,
+  maxBytes = Infinity,
 ): PageSnapshot {
   const jobs = new Set<JobState>();
   for (const chunk of page.chunks) {
-    refresh(chunk);
+    rebuildEntry(chunk);
     if (chunk.placing.length === 0) continue;
-    if (jobs.has(chunk.job) || jobs.size < mostJobs) jobs.add(chunk.job);
-    else takeOffPlacing(chunk, takeOff);
+    if (jobs.has(chunk.job) || jobs.size < maxJobs) jobs.add(chunk.job);
+    else unassignPlacingTasks(chunk, unassign);
   }
   let bytes = 0;
-  for (const { bytesWritten } of page.chunks) bytes += bytesWritten;
+  for (const { entryBytes } of page.chunks) bytes += entryBytes;
   for (const chunk of [...page.chunks].reverse()) {
-    if (bytes <= mostBytes) break;
-    bytes -= chunk.bytesWritten;
-    takeOffPlacing(chunk, takeOff);
-    bytes += chunk.bytesWritten;
+    if (bytes <= maxBytes) break;
+    bytes -= chunk.entryBytes;
+    unassignPlacingTasks(chunk, unassign);
+    bytes += chunk.entryBytes;
   }
-  return assemble(page, bytes);
+  return assembleSnapshot(page, bytes);
 }
 
 /** Builds the entry anew where anything of its tasks has changed. */
-function refresh(chunk: Chunk): void {
+function rebuildEntry(chunk: Chunk): void {
   if (chunk.entry) return;
-  const { entry, done } = chunk.job.entryOf(chunk.index);
+  const { entry, done } = chunk.job.buildEntry(chunk.index);
   chunk.entry = entry;
   chunk.done = done;
   chunk.placing = [...chunk.job.tasksOf(chunk.index)].filter((task) => task.phase === 'placing');
-  chunk.bytesWritten = writtenBytes(entry);
+  chunk.entryBytes = writtenBytes(entry);
 }
 
-function takeOffPlacing(chunk: Chunk, takeOff: (task: Task) => void): void {
-  for (const task of chunk.placing) takeOff(task);
-  refresh(chunk);
+function unassignPlacingTasks(chunk: Chunk, unassign: (task: Task) => void): void {
+  for (const task of chunk.placing) unassign(task);
+  rebuildEntry(chunk);
 }
 
-function assemble(page: LedgerPage, bytes: number): PageSnapshot {
-  const shot: PageSnapshot = { chunks: [...page.chunks], entries: [], bytes, placing: [], done: [] };
+function assembleSnapshot(page: LedgerPage, bytes: number): PageSnapshot {
+  const snapshot: PageSnapshot = { chunks: [...page.chunks], entries: [], bytes, placing: [], done: [] };
   for (const chunk of page.chunks) {
-    if (chunk.entry) shot.entries.push(chunk.entry);
-    shot.placing.push(...chunk.placing);
-    if (chunk.done.length > 0) shot.done.push({ job: chunk.job, indices: chunk.done });
+    if (chunk.entry) snapshot.entries.push(chunk.entry);
+    snapshot.placing.push(...chunk.placing);
+    if (chunk.done.length > 0) snapshot.done.push({ job: chunk.job, indices: chunk.done });
     chunk.placing = [];
     chunk.done = [];
   }
-  return shot;
+  return snapshot;
 }
--- a/src/placement/order.test.ts
+++ b/src/placement/order.test.ts
@@ -2,35 +2,35 @@
 import { test } from 'node:test';
 import type { JobSpec } from '../model/types.js';
 import { lateClasses } from './lateness.js';
-import { OrderOfWork, type Queued, unchained } from './order.js';
+import { QueueOrder, type QueuedJob, withoutDependencies } from './order.js';
 
 const objectives = [
   { kind: 'wait', jobClass: 'quick', share: 0.9, withinS: 60, times: undefined },
   { kind: 'deadline', jobClass: 'due', share: 0.9, withinS: undefined, times: 1 },
 ];
 
-function queued(id: string, waiting: number, acceptedS: number, change: Partial<JobSpec> = {}): Queued {
+function queued(id: string, waiting: number, acceptedS: number, change: Partial<JobSpec> = {}): QueuedJob {
   const spec = {
     id,
     jobClass: 'quick',
     urgency: 'high',
     tasks: waiting,
-    estimateS: 10,
+    estimatedRunS: 10,
     deadlineS: null,
     acceptedAt: acceptedS * 1000,
     ...change,
   } as JobSpec;
-  return { spec, chain: unchained(spec), waiting, started: false };
+  return { spec, dependencyFacts: withoutDependencies(spec), waiting, started: false };
 }
 
-function ids(jobs: Queued[], nowS: number): string[] {
-  return new OrderOfWork(objectives).sorted(jobs, (job) => job, nowS * 1000).map(({ spec }) => spec.id);
+function ids(jobs: QueuedJob[], nowS: number): string[] {
+  return new QueueOrder(objectives).sorted(jobs, (job) => job, nowS * 1000).map(({ spec }) => spec.id);
 }
 
 // Guards against a burst that makes every job late: in the order of arrival all of them wait for the backlog.
 test('small jobs come before large ones, and a large one has its turn before its objective has passed', () => {
   const large = queued('req-1', 90, 0);
-  const small = (acceptedS: number): Queued => queued('req-2', 10, acceptedS);
+  const small = (acceptedS: number): QueuedJob => queued('req-2', 10, acceptedS);
   assert.deepEqual(ids([large, small(1)], 2), ['req-2', 'req-1']);
   assert.deepEqual(ids([large, small(50)], 50), ['req-1', 'req-2']);
 });
@@ -55,7 +55,7 @@
     { ...objectives[0], kind: 'wait', jobClass: 'quick', withinS: 4 } as (typeof objectives)[number],
   ];
   const jobs = [queued('req-1', 20, 0), queued('req-2', 20, 8)];
-  const sorted = new OrderOfWork([...quick, ...objectives], 16_000).sorted(jobs, (job) => job, 9000);
+  const sorted = new QueueOrder([...quick, ...objectives], 16_000).sorted(jobs, (job) => job, 9000);
   assert.deepEqual(
     sorted.map(({ spec }) => spec.id),
     ['req-1', 'req-2'],
@@ -63,7 +63,7 @@
 });
 
 test('a class is named as late once more of its open jobs miss an objective than that allows', () => {
-  const waiting = (id: string, acceptedS: number): Queued => queued(id, 3, acceptedS);
+  const waiting = (id: string, acceptedS: number): QueuedJob => queued(id, 3, acceptedS);
   const jobs = [...Array(9).keys()].map((i) => waiting(`req-${i}`, 50));
   const allowed = [...jobs, waiting('req-9', 0)];
   assert.deepEqual(lateClasses(objectives, allowed, 61_000), []);
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -3,52 +3,52 @@
 import type { MachineState } from '../workers/machine-state.js';
 import type { JobState, Task } from './job-state.js';
 
-export interface PlacementFacts {
+export interface PlacementRound {
   now: number;
   /** With waiting tasks, in the order of work. */
   jobs: JobState[];
   machines: Iterable<MachineState>;
   /** Types of which the block has cheap machines, with room or without. */
-  cheap: ReadonlySet<string>;
+  spotTypes: ReadonlySet<string>;
   /** A round for some of the block's machines only: jobs whose tasks depend on each other's zones wait for a whole one. */
-  partial: boolean;
-  types: ReadonlyMap<string, MachineType>;
+  isPartial: boolean;
+  machineTypes: ReadonlyMap<string, MachineType>;
   /** The team with what this block may use of its limits. */
-  team: (name: string) => Team | undefined;
-  usage: () => Usage;
+  teamOf: (name: string) => Team | undefined;
+  teamUsage: () => TeamUsage;
   /** How many tasks may be placed at most: what one round of commits can carry. */
-  most: number;
-  usable: (machine: MachineState) => boolean;
+  maxTasks: number;
+  isUsable: (machine: MachineState) => boolean;
 }
 
-export interface Choice {
+export interface Placement {
   task: Task;
   machine: MachineState;
 }
 
 /** What the tasks of each team take at the moment, in every state in which they may be on a machine. */
-export class Usage {
-  private readonly used = new Map<string, { cpus: number; accelerators: number }>();
+export class TeamUsage {
+  private readonly usageByTeam = new Map<string, { cpus: number; accelerators: number }>();
 
-  of(team: string): { cpus: number; accelerators: number } {
-    let entry = this.used.get(team);
+  usedBy(team: string): { cpus: number; accelerators: number } {
+    let entry = this.usageByTeam.get(team);
     if (!entry) {
       entry = { cpus: 0, accelerators: 0 };
-      this.used.set(team, entry);
+      this.usageByTeam.set(team, entry);
     }
     return entry;
   }
 
-  add(team: string, need: Resources, times = 1): void {
-    const entry = this.of(team);
-    entry.cpus += need.cpus * times;
-    entry.accelerators += need.accelerators * times;
+  add(team: string, need: Resources, count = 1): void {
+    const entry = this.usedBy(team);
+    entry.cpus += need.cpus * count;
+    entry.accelerators += need.accelerators * count;
   }
 
   /** The team uses more than its limit. */
-  exceeds(team: Team | undefined): boolean {
+  exceedsLimit(team: Team | undefined): boolean {
     if (!team) return false;
-    const used = this.of(team.name);
+    const used = this.usedBy(team.name);
     return (
       !withinLimit(used.cpus, 0, team.cpusMax) || !withinLimit(used.accelerators, 0, team.acceleratorsMax)
     );
@@ -56,7 +56,7 @@
 
   admits(team: Team | undefined, need: Resources): boolean {
     if (!team) return false;
-    const used = this.of(team.name);
+    const used = this.usedBy(team.name);
     return (
       withinLimit(used.cpus, need.cpus, team.cpusMax) &&
       withinLimit(used.accelerators, need.accelerators, team.acceleratorsMax)
@@ -64,79 +64,81 @@
   }
 }
 
-interface MachineRoom {
+interface Candidate {
   machine: MachineState;
   free: Resources;
 }
 
 /** First-fit: each waiting task, in the order of work, goes to the first machine that has room for it. */
-export function placeTasks(facts: PlacementFacts): Choice[] {
-  const choices: Choice[] = [];
-  const waiting = facts.jobs
+export function placeTasks(round: PlacementRound): Placement[] {
+  const choices: Placement[] = [];
+  const waiting = round.jobs
     .filter(
       (job) =>
-        job.waiting > 0 &&
-        !job.ending &&
-        !(facts.partial && isBound(job)) &&
-        job.retryAt <= facts.now &&
-        job.version !== job.rejected,
+        job.waitingCount > 0 &&
+        !job.isCommittingOutcome &&
+        !(round.isPartial && isZoneConstrained(job)) &&
+        job.retryAt <= round.now &&
+        job.version !== job.rejectedVersion,
     )
     .map((job) => ({ job, spec: job.spec }))
     .filter((entry): entry is { job: JobState; spec: JobSpec } => entry.spec !== undefined);
   // Most rounds have nothing to place, and there is one for nearly every report.
   if (waiting.length === 0) return choices;
-  const least = leastOf(waiting.map(({ job }) => job.need));
+  const least = smallestNeed(waiting.map(({ job }) => job.need));
   // They are walked more than once, and an iterator is spent after the first time.
-  const machines = [...facts.machines];
+  const machines = [...round.machines];
   const usable = machines
-    .filter(facts.usable)
-    .map((machine) => ({ machine, type: facts.types.get(machine.place.type) }))
+    .filter(round.isUsable)
+    .map((machine) => ({ machine, type: round.machineTypes.get(machine.info.type) }))
     .filter((m): m is { machine: MachineState; type: MachineType } => m.type !== undefined);
   let rooms = usable
-    .map((m) => ({ ...m, free: m.machine.free(m.type) }))
+    .map((m) => ({ ...m, free: m.machine.freeResources(m.type) }))
     .filter(({ free }) => fits(least, free))
     .sort((a, b) => (a.machine.id < b.machine.id ? -1 : 1));
   if (rooms.length === 0) return choices;
-  const usage = facts.usage();
+  const usage = round.teamUsage();
   for (const { job, spec } of waiting) {
-    const team = facts.team(job.team);
+    const team = round.teamOf(job.team);
     if (!usage.admits(team, job.need)) continue;
-    const zones = zonesInUse(job, machines);
+    const zones = countTasksByZone(job, machines);
     const half = Math.ceil(spec.tasks / 2);
     let candidates = rooms.filter(
       ({ machine }) =>
-        (spec.types === null || spec.types.includes(machine.place.type)) &&
-        (spec.zone === null || spec.zone === machine.place.zone) &&
-        (spec.spot || !machine.place.spot),
+        (spec.machineTypes === null || spec.machineTypes.includes(machine.info.type)) &&
+        (spec.zone === null || spec.zone === machine.info.zone) &&
+        (spec.spot || !machine.info.spot),
     );
     // Work that may use cheap machines leaves ordinary ones to work that may not, as long as there are cheap ones, even
     // if all of them are full.
-    const cheap = [...facts.cheap].some((type) => spec.types === null || spec.types.includes(type));
-    if (spec.spot && cheap) candidates = candidates.filter(({ machine }) => machine.place.spot);
-    candidates = quickestFirst(candidates, spec.image);
+    const cheap = [...round.spotTypes].some(
+      (type) => spec.machineTypes === null || spec.machineTypes.includes(type),
+    );
+    if (spec.spot && cheap) candidates = candidates.filter(({ machine }) => machine.info.spot);
+    candidates = fastestStartFirst(candidates, spec.image);
     const placedBefore = choices.length;
-    let left = job.waiting;
+    let left = job.waitingCount;
     let at = 0;
-    while (left > 0 && choices.length < facts.most && usage.admits(team, job.need)) {
-      const suits = ({ machine, free }: MachineRoom): boolean =>
+    while (left > 0 && choices.length < round.maxTasks && usage.admits(team, job.need)) {
+      const suits = ({ machine, free }: Candidate): boolean =>
         fits(job.need, free) &&
-        (!spec.spread || inZone(zones, machine.place.zone) < half) &&
-        (!spec.oneZone || zones.size === 0 || zones.has(machine.place.zone));
+        (!spec.spread || countInZone(zones, machine.info.zone) < half) &&
+        (!spec.colocated || zones.size === 0 || zones.has(machine.info.zone));
       // What does not suit one task of the job does not suit its next: nothing frees up within a round.
-      while (at < candidates.length && !suits(candidates[at] as MachineRoom)) at++;
+      while (at < candidates.length && !suits(candidates[at] as Candidate)) at++;
       const room = candidates[at];
-      const task = room && job.next();
+      const task = room && job.nextWaitingTask();
       if (!room || !task) break;
-      job.place(task, room.machine.id, facts.now);
+      job.placeTask(task, room.machine.id, round.now);
       room.free.cpus -= job.need.cpus;
       room.free.accelerators -= job.need.accelerators;
       room.free.memoryGb -= job.need.memoryGb;
       usage.add(job.team, job.need);
-      zones.set(room.machine.place.zone, (zones.get(room.machine.place.zone) ?? 0) + 1);
+      zones.set(room.machine.info.zone, (zones.get(room.machine.info.zone) ?? 0) + 1);
       choices.push({ task, machine: room.machine });
       left--;
     }
-    if (choices.length >= facts.most) break;
+    if (choices.length >= round.maxTasks) break;
     // With what is full left out, a long queue beside little room is soon gone through.
     if (choices.length > placedBefore) rooms = rooms.filter(({ free }) => fits(least, free));
     if (rooms.length === 0) break;
@@ -145,21 +147,21 @@
 }
 
 /** A machine that has the image need not fetch it; one whose answer is held hears of the task at once. */
-function quickestFirst<R extends MachineRoom>(rooms: R[], image: string): R[] {
+function fastestStartFirst<R extends Candidate>(rooms: R[], image: string): R[] {
   const ranked: R[][] = [[], [], [], []];
   for (const room of rooms) {
-    const { images, wake } = room.machine;
-    ranked[(images.has(image) ? 0 : 2) + (wake ? 0 : 1)]?.push(room);
+    const { cachedImages, sendHeldResponse } = room.machine;
+    ranked[(cachedImages.has(image) ? 0 : 2) + (sendHeldResponse ? 0 : 1)]?.push(room);
   }
   return ranked.flat();
 }
 
-function isBound(job: JobState): boolean {
-  return job.spec !== undefined && (job.spec.oneZone || job.spec.spread);
+function isZoneConstrained(job: JobState): boolean {
+  return job.spec !== undefined && (job.spec.colocated || job.spec.spread);
 }
 
 /** What has no room for this has none for any of them. */
-function leastOf(needs: Resources[]): Resources {
+function smallestNeed(needs: Resources[]): Resources {
   return {
     cpus: Math.min(...needs.map((need) => need.cpus)),
     accelerators: Math.min(...needs.map((need) => need.accelerators)),
@@ -171,17 +173,17 @@
 const unknownZone = '';
 
 /** Tasks of the job that are or may be on machines, by zone. */
-function zonesInUse(job: JobState, machines: MachineState[]): Map<string, number> {
+function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
   const zones = new Map<string, number>();
-  if (!isBound(job)) return zones;
-  for (const { place, tasks, strays } of machines) {
-    let here = strays.filter(({ task }) => task.job === job.id).length;
+  if (!isZoneConstrained(job)) return zones;
+  for (const { info, tasks, orphanedTasks } of machines) {
+    let here = orphanedTasks.filter(({ task }) => task.job === job.id).length;
     for (const task of tasks.values()) if (task.job === job) here++;
-    if (here > 0) zones.set(place.zone, (zones.get(place.zone) ?? 0) + here);
+    if (here > 0) zones.set(info.zone, (zones.get(info.zone) ?? 0) + here);
   }
   return zones;
 }
 
-function inZone(zones: ReadonlyMap<string, number>, zone: string): number {
+function countInZone(zones: ReadonlyMap<string, number>, zone: string): number {
   return (zones.get(zone) ?? 0) + (zones.get(unknownZone) ?? 0);
 }
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -3,7 +3,7 @@
 import type { Mirror } from '../store/mirror.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
-import { chunkTasksOf, withoutCovered } from './ledger-entries.js';
+import { chunkTasksOf, withoutSuperseded } from './ledger-entries.js';
 import type { LedgerLayout } from './ledger-layout.js';
 
 export interface StoredPage {
@@ -30,22 +30,22 @@
 export function* newestEntries(pages: StoredPage[]): Iterable<StoredEntry> {
   const stored = pages.flatMap((page) => page.entries.map((entry) => ({ entry, page })));
   for (const ofJob of groupBy(stored, ({ entry }) => entry.id).values()) {
-    const pageOf = new Map(ofJob.map(({ entry, page }) => [placeOf(entry), page]));
-    for (const entry of withoutCovered(ofJob.map((one) => one.entry))) {
-      const page = pageOf.get(placeOf(entry));
+    const pageOf = new Map(ofJob.map(({ entry, page }) => [chunkKey(entry), page]));
+    for (const entry of withoutSuperseded(ofJob.map((one) => one.entry))) {
+      const page = pageOf.get(chunkKey(entry));
       if (page) yield { entry, page };
     }
   }
 }
 
-function placeOf(entry: LedgerEntry): string {
+function chunkKey(entry: LedgerEntry): string {
   return `${chunkTasksOf(entry)}/${entry.chunk}`;
 }
 
 /** Entries are never made larger: a larger one would count for less than the smaller ones that it replaces. */
-export function layoutFor(layout: LedgerLayout, pages: StoredPage[]): LedgerLayout {
+export function keepStoredChunkSize(layout: LedgerLayout, pages: StoredPage[]): LedgerLayout {
   const sizes = pages.flatMap(({ entries }) => entries.map(chunkTasksOf));
   const smallest = sizes.reduce((least, size) => Math.min(least, size), Infinity);
-  const wanted = layout.inherited ? Infinity : layout.chunkTasks;
-  return smallest < wanted ? { ...layout, chunkTasks: smallest, inherited: false } : layout;
+  const wanted = layout.isLegacy ? Infinity : layout.chunkTasks;
+  return smallest < wanted ? { ...layout, chunkTasks: smallest, isLegacy: false } : layout;
 }
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -33,9 +33,9 @@
     /** Where thresholds start, as a share of the room of the machines before. */
     start: number;
     /** The same for spot machines. */
-    cheapStart: number;
+    spotStart: number;
     /** Share of tasks that may wait or be displaced. */
-    target: number;
+    targetFailureRatio: number;
     /** A slot, as a share of a machine's dominant resource. */
     slotShare: number;
     /** Between two moves of a threshold. */
@@ -45,17 +45,17 @@
   };
   blocks: {
     /** For how long shares of teams' limits are leased. */
-    periodS: number;
+    quotaSharePeriodS: number;
     /** How much more than fits now a block is given, as a share of its size. */
     lookahead: number;
   };
   leadership: {
     /** Life of a controller's grant, in report intervals. */
-    grantReports: number;
+    leaseHeartbeats: number;
   };
   workers: {
     /** Report intervals after which a silent machine is released. */
-    silentReports: number;
+    missedHeartbeats: number;
     /** Multiple of its type's boot time after which a machine counts as never coming. */
     bootTimes: number;
   };
@@ -67,15 +67,15 @@
   return {
     ladder: {
       start: ladder.start,
-      cheapStart: ladder.cheapStart,
-      target: ladder.target,
+      spotStart: ladder.cheapStart,
+      targetFailureRatio: ladder.target,
       slotShare: ladder.slotShare,
       periodS: ladder.periodS,
       windowS: ladder.windowS,
     },
-    blocks: { periodS: blocks.periodS, lookahead: blocks.lookahead },
-    leadership: { grantReports: leadership.grantReports },
-    workers: { silentReports: workers.silentReports, bootTimes: workers.bootTimes },
+    blocks: { quotaSharePeriodS: blocks.periodS, lookahead: blocks.lookahead },
+    leadership: { leaseHeartbeats: leadership.grantReports },
+    workers: { missedHeartbeats: workers.silentReports, bootTimes: workers.bootTimes },
   };
 }
 
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -7,7 +7,7 @@
 test('the platform file is read, unknown fields are ignored', () => {
   const settings = parseSettings(settingsJson((file) => (file['novelty'] = { a: 1 })));
   assert.equal(settings.label, 'keel-0');
-  assert.equal(settings.leaseMs, 14_000);
+  assert.equal(settings.workerLeaseMs, 14_000);
   assert.equal(settings.teams.get('red')?.cpusMax, 32);
 });
 
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,5 +1,5 @@
 import * as v from 'valibot';
-import { leastPageBytes } from '../wire/ledger-records.js';
+import { minPageBytes } from '../wire/ledger-records.js';
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
@@ -90,9 +90,9 @@
   zones: string[];
   teams: Map<string, Team>;
   objectives: Objective[];
-  reportMs: number;
-  leaseMs: number;
-  cancelMs: number;
+  heartbeatIntervalMs: number;
+  workerLeaseMs: number;
+  cancelDeadlineMs: number;
   state: StateLimits;
   cloud: { rps: number; listLagMs: number };
   quota: { cores: number; memoryMb: number; sockets: number };
@@ -131,7 +131,7 @@
   if (s.quota.mem_mb < leastMemoryMb) {
     throw new SettingsError(`field settings.quota.mem_mb: must be at least ${leastMemoryMb}`);
   }
-  const leastKb = Math.ceil(leastPageBytes / 1024);
+  const leastKb = Math.ceil(minPageBytes / 1024);
   const valueKb = Math.min(s.state.value_kb, s.state.next?.value_kb ?? Infinity);
   if (valueKb < leastKb) {
     throw new SettingsError(`field settings.state.value_kb: must be at least ${leastKb}`);
@@ -165,9 +165,9 @@
       withinS: o.within_s,
       times: o.times,
     })),
-    reportMs: s.workers.report_s * 1000,
-    leaseMs: s.workers.lease_s * 1000,
-    cancelMs: s.workers.cancel_s * 1000,
+    heartbeatIntervalMs: s.workers.report_s * 1000,
+    workerLeaseMs: s.workers.lease_s * 1000,
+    cancelDeadlineMs: s.workers.cancel_s * 1000,
     state: {
       rps: s.state.rps,
       writeRps: s.state.write_rps,
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -13,13 +13,13 @@
   type ListPage,
   type Write,
   commitBody,
-  grantBody,
-  grantPath,
+  createLeaseBody,
+  leasePath,
   keyPath,
   listPath,
   parseChanges,
   parseCommit,
-  parseGrant,
+  parseLeaseId,
   parseList,
   parseRead,
   revisionOf,
@@ -115,7 +115,7 @@
     // All controllers may start at once: none begins with more than the duties can use.
     this.writes = new Pacer(1, this.writeBurst * intakeBurstReserve, clock);
     this.intakeWrites = new Pacer(1, this.writeBurst * intakeBurstReserve, clock);
-    this.lastServedAt = clock() - settings.cancelMs;
+    this.lastServedAt = clock() - settings.cancelDeadlineMs;
     const { controllers } = settings;
     this.setRole({ leading: false, alive: controllers, machines: 1 / controllers });
   }
@@ -147,7 +147,7 @@
   get watchGapMs(): number {
     const { state, controllers } = this.settings;
     const share = (controllers * 1000) / (state.rps * watchRequestShare);
-    return Math.max(minWatchGapMs, this.settings.reportMs * watchGapHeartbeats, share);
+    return Math.max(minWatchGapMs, this.settings.heartbeatIntervalMs * watchGapHeartbeats, share);
   }
 
   /** Every change committed before this moment of our clock is in a copy that has reached `revision`. */
@@ -191,7 +191,7 @@
       revision ??= page.revision;
       items.push(...page.items);
       const last = page.items.at(-1);
-      if (!page.more || !last) return { items, revision };
+      if (!page.hasMore || !last) return { items, revision };
       after = last.key;
     }
   }
@@ -279,16 +279,16 @@
   }
 
   async createLease(ttlMs: number): Promise<number> {
-    const answer = await this.sendPaced('POST', '/grants', grantBody(ttlMs));
+    const answer = await this.sendPaced('POST', '/grants', createLeaseBody(ttlMs));
     if (answer.status !== 200) throw new StoreUnavailable(`grant answered ${answer.status}`);
-    return parseGrant(answer.body);
+    return parseLeaseId(answer.body);
   }
 
   /** True: renewed. False: the grant has ended. Throws where nothing is known. */
   async renewLease(id: number): Promise<boolean> {
     // Renewals jump the queues, also that for a connection: a leader busy with commits must not lose its grant over it.
     this.requests.duty.reserve(1);
-    const answer = await this.send('POST', `${grantPath(id)}/touch`, {}, this.renewalPeer);
+    const answer = await this.send('POST', `${leasePath(id)}/touch`, {}, this.renewalPeer);
     if (answer.status === 404) return false;
     if (answer.status !== 200) throw new StoreUnavailable(`touch answered ${answer.status}`);
     return true;
@@ -297,7 +297,7 @@
   /** Whatever hangs on it goes at once. */
   async revokeLease(id: number): Promise<void> {
     this.requests.duty.reserve(1);
-    await this.send('DELETE', grantPath(id), undefined);
+    await this.send('DELETE', leasePath(id), undefined);
   }
 
   /** Only what was carried out, or turned down for its conditions, says which revision it found. */
--- a/src/store/commit-stage.ts
+++ b/src/store/commit-stage.ts
@@ -2,7 +2,7 @@
 import { sleep } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import { sizeOf } from '../wire/codec.js';
-import { type Condition, type Write, transactionBytes, writtenKey } from '../wire/state.js';
+import { type Condition, type Write, maxTransactionBytes, writtenKey } from '../wire/state.js';
 import type { CommitOutcome, TrafficClass, StoreClient } from './client.js';
 
 interface Operation {
@@ -121,7 +121,7 @@
     const fits =
       writes + operation.writes.length <= txnOps &&
       versions.size + newKeys <= txnOps * conditionsPerOperation &&
-      bytes + operation.bytes <= transactionBytes;
+      bytes + operation.bytes <= maxTransactionBytes;
     // An operation too large for any transaction still goes out, alone, and is refused by the service.
     if (batch.length > 0 && (conflicts || !fits || rest.length > 0)) {
       rest.push(operation);
--- a/src/store/mirror.ts
+++ b/src/store/mirror.ts
@@ -1,8 +1,8 @@
 import { Readable, Writable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 import { sleep } from '../base/clock.js';
-import { type EndRecord, parseEnd } from '../wire/job-records.js';
-import { type StoredValue, endKey } from '../wire/keys.js';
+import { type OutcomeRecord, parseOutcome } from '../wire/job-records.js';
+import { type StoredValue, outcomeKey } from '../wire/keys.js';
 import type { Change, Item } from '../wire/state.js';
 import type { StoreClient } from './client.js';
 
@@ -53,8 +53,8 @@
   }
 
   /** The end of the job, where this copy knows it. */
-  outcomeOf(id: string): EndRecord | undefined {
-    return parseEnd(this.get(endKey(id))?.value);
+  outcomeOf(id: string): OutcomeRecord | undefined {
+    return parseOutcome(this.get(outcomeKey(id))?.value);
   }
 
   version(key: string): number {
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -1,7 +1,7 @@
 /** One block under test: the state of a block and a scheduler whose commits are answered by the test. */
 import { nextTurn } from '../base/turns.js';
 import { silentLog } from '../base/log.js';
-import type { JobSpec, Report } from '../model/types.js';
+import type { JobSpec, Heartbeat } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
 import { JobIndex } from '../placement/job-index.js';
 import type { Task } from '../placement/job-state.js';
@@ -10,7 +10,7 @@
 import type { CommitOutcome, StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-stage.js';
 import { parseMachineTypes } from '../wire/cloud.js';
-import type { LeasedMachine, Shares } from '../wire/block-records.js';
+import type { LeasedMachine, QuotaShares } from '../wire/block-records.js';
 import { tasksPerChunk } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
 import type { MachineState } from '../workers/machine-state.js';
@@ -23,7 +23,7 @@
 export const valueLayout: LedgerLayout = {
   pageBytes: valueBytes,
   chunkTasks: tasksPerChunk(valueBytes),
-  inherited: true,
+  isLegacy: true,
 };
 const jobId = 'req-1';
 const firstBlockVersion = 7;
@@ -42,23 +42,23 @@
     memoryGb: 2,
     image: 'i',
     imageGb: 1,
-    types: null,
+    machineTypes: null,
     zone: null,
-    oneZone: false,
+    colocated: false,
     spread: false,
     spot: false,
-    estimateS: 10,
-    checkpointS: 0,
-    saveS: 0,
+    estimatedRunS: 10,
+    checkpointIntervalS: 0,
+    checkpointSaveS: 0,
     deadlineS: null,
     acceptedAt: 0,
   };
 }
 
 /** A report of a machine without tasks. */
-export function emptyReport(machine: string, seq: number): Omit<Report, 'token'> {
-  const place = { address: 'x', type: 'c8', zone: 'a', spot: false, noticeS: null };
-  return { machine, ...place, session: 1, seq, tasks: [] };
+export function emptyReport(machine: string, seq: number): Omit<Heartbeat, 'fencingToken'> {
+  const place = { address: 'x', type: 'c8', zone: 'a', spot: false, preemptionNoticeS: null };
+  return { machine, ...place, agentEpoch: 1, sequence: seq, tasks: [] };
 }
 
 export interface BlockStage {
@@ -67,7 +67,7 @@
   /** Writes the job's record with this version. */
   putJob: (version: number) => void;
   /** Writes the block's record with this version, leaving the machines as they are unless others are given. */
-  putBlock: (version: number, change: { shares?: Shares; leaving?: string[] }) => void;
+  putBlock: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
   /** Has the machine report, so that it may be used, and places tasks on it. */
   place: (machine: string) => Promise<void>;
   stop: AbortController;
@@ -78,7 +78,7 @@
   /** `blue` has no limit, `red` has one. */
   team?: string;
   tasks?: number;
-  shares?: Shares;
+  shares?: QuotaShares;
 }
 
 /** A block with the machines m1 and m2 and one job. */
@@ -90,7 +90,7 @@
   const blockState = new BlockState({
     block: 0,
     layout: valueLayout,
-    reportMs: 1000,
+    heartbeatIntervalMs: 1000,
     clock: () => 0,
     teams: settings.teams,
   });
@@ -109,7 +109,7 @@
     commits,
     blockState,
     jobIndex: new JobIndex(() => 0),
-    types: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t])),
+    machineTypes: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t])),
   });
   const record = { spec: { ...jobSpec(jobId, tasks), team }, parts: [[0, 0, tasks]] };
   const stage: BlockStage = {
@@ -117,21 +117,25 @@
     scheduler,
     stop,
     putJob: (version) =>
-      void blockState.apply([{ key: `job/${jobId}`, value: record, version, deleted: false }]),
+      void blockState.applyChanges([{ key: `job/${jobId}`, value: record, version, deleted: false }]),
     putBlock: (version, change) =>
-      blockState.applyBlock(
+      blockState.applyBlockRecord(
         {
           owner: 'k',
-          boot: 'b',
-          shares: change.shares ?? shares,
+          incarnation: 'b',
+          quotaShares: change.shares ?? shares,
           machines: machinesOf(change.leaving ?? []),
         },
         version,
       ),
     place: async (id) => {
       const machine = blockState.machines.get(id) as MachineState;
-      blockState.report(machine, { ...emptyReport(id, machine.seq + 1), token: machineToken }, true);
-      scheduler.placeNow(machine);
+      blockState.applyHeartbeat(
+        machine,
+        { ...emptyReport(id, machine.sequence + 1), fencingToken: machineToken },
+        true,
+      );
+      scheduler.placeOn(machine);
       await nextTurn();
     },
     task: (index = 0) => blockState.jobs.get(jobId)?.tasks.get(index),
@@ -141,14 +145,14 @@
   return stage;
 }
 
-function machinesOf(leaving: string[]): LeasedMachine[] {
+function machinesOf(draining: string[]): LeasedMachine[] {
   return ['m1', 'm2'].map((id) => ({
     id,
-    token: machineToken,
+    fencingToken: machineToken,
     type: 'c8',
     zone: 'a',
     spot: false,
-    since: 0,
-    leaving: leaving.includes(id),
+    rentedAt: 0,
+    draining: draining.includes(id),
   }));
 }
--- a/src/testing/checker.test.ts
+++ b/src/testing/checker.test.ts
@@ -16,7 +16,7 @@
 };
 const facts: CheckFacts = {
   limits: new Map([['red', 8]]),
-  cancelMs: 5000,
+  cancelDeadlineMs: 5000,
   startGraceMs: 500,
   forgottenMs: 7500,
   waitsMs: 9000,
--- a/src/testing/checker.ts
+++ b/src/testing/checker.ts
@@ -3,7 +3,7 @@
 export interface CheckFacts {
   /** CPUs that each team may use at most; none is no limit. */
   limits: ReadonlyMap<string, number>;
-  cancelMs: number;
+  cancelDeadlineMs: number;
   /** How long after a cancel was confirmed a start that was under way may still take effect. */
   startGraceMs: number;
   /** A job about which no question is answered for so long, while others are, is forgotten. */
@@ -147,7 +147,7 @@
     if (places.length > 0) this.report('ran_twice', task);
     if (job.cancelledAt !== undefined) {
       const late = this.at - job.cancelledAt;
-      if (late > this.facts.cancelMs) this.report('ran_cancelled', task);
+      if (late > this.facts.cancelDeadlineMs) this.report('ran_cancelled', task);
       else if (late > this.facts.startGraceMs) this.report('started_cancelled', task);
     }
     const unmet = (job.facts?.dependencies ?? []).some((dependency) => !this.isComplete(dependency));
@@ -182,7 +182,7 @@
   /** The job is still called open, by an answer whose request was sent long after a job before it was told as cancelled. */
   private judgeOrphan(id: string, sentAt: number): void {
     const isLate = ({ cancelledAt }: Job): boolean =>
-      cancelledAt !== undefined && sentAt - cancelledAt > this.facts.cancelMs;
+      cancelledAt !== undefined && sentAt - cancelledAt > this.facts.cancelDeadlineMs;
     if (this.ancestors(id).some(isLate)) this.report('orphaned', id);
   }
 
@@ -201,8 +201,8 @@
 
   private judgeStay(task: string, since: number): void {
     const cancelledAt = this.jobs.get(task.split('/')[0] ?? '')?.cancelledAt;
-    if (cancelledAt === undefined || since - cancelledAt > this.facts.cancelMs) return;
-    if (this.at - cancelledAt > this.facts.cancelMs) this.report('ran_cancelled', task);
+    if (cancelledAt === undefined || since - cancelledAt > this.facts.cancelDeadlineMs) return;
+    if (this.at - cancelledAt > this.facts.cancelDeadlineMs) this.report('ran_cancelled', task);
   }
 
   private maySit(id: string, { facts }: Job, machine: string): boolean {
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -28,9 +28,9 @@
 
 /** The deployment's times, scaled: everything that a test waits for is a multiple of them. */
 const usualTimes: WorkerTimes = { report_s: 0.2, lease_s: 2, cancel_s: 5 };
-export const reportMs = usualTimes.report_s * 1000;
-export const leaseMs = usualTimes.lease_s * 1000;
-export const cancelMs = usualTimes.cancel_s * 1000;
+export const heartbeatIntervalMs = usualTimes.report_s * 1000;
+export const workerLeaseMs = usualTimes.lease_s * 1000;
+export const cancelDeadlineMs = usualTimes.cancel_s * 1000;
 /** What the protocol allows for a job about which nothing is answered, as a multiple of the time for a cancellation. */
 const forgottenCancels = 1.5;
 /** What a user waits for an answer. */
@@ -316,14 +316,14 @@
 
   /** Every broken rule so far. */
   violations(): string[] {
-    const cancelMs = this.times.cancel_s * 1000;
+    const cancelDeadlineMs = this.times.cancel_s * 1000;
     const startGraceMs = (this.times.lease_s * 1000) / 2;
     const found = check(this.history.happenings, {
       limits,
-      cancelMs,
+      cancelDeadlineMs,
       startGraceMs,
-      forgottenMs: forgottenCancels * cancelMs,
-      waitsMs: 2 * cancelMs,
+      forgottenMs: forgottenCancels * cancelDeadlineMs,
+      waitsMs: 2 * cancelDeadlineMs,
       calmAt: this.calmAt,
       endsAt: Date.now(),
     });
@@ -384,13 +384,13 @@
   private boot(machine: RentedMachine): void {
     const { taskMs, fetchMs } = this.options;
     const { id, type, zone, spot } = machine;
-    const reportMs = this.times.report_s * 1000;
-    const leaseMs = this.times.lease_s * 1000;
+    const heartbeatIntervalMs = this.times.report_s * 1000;
+    const workerLeaseMs = this.times.lease_s * 1000;
     this.history.add({ kind: 'machine', machine: id, type, zone, spot });
     const worker = new WorkerStandIn(machine, {
-      reportMs,
-      leaseMs,
-      answerMs: leaseMs / 2,
+      heartbeatIntervalMs,
+      workerLeaseMs,
+      answerMs: workerLeaseMs / 2,
       fetchMs: fetchMs ?? 0,
       saveMs: 0,
       taskMs: typeof taskMs === 'number' ? () => taskMs : taskMs,
--- a/src/testing/held-store.ts
+++ b/src/testing/held-store.ts
@@ -2,8 +2,8 @@
 import { nextTurn } from '../base/turns.js';
 import { type CommitOutcome, StoreUnavailable } from '../store/client.js';
 import { sizeOf } from '../wire/codec.js';
-import { type End, endRecord } from '../wire/job-records.js';
-import { type StoredValue, endKey, jobKey } from '../wire/keys.js';
+import { type Outcome, outcomeRecord } from '../wire/job-records.js';
+import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
 import { type Condition, type Item, type ListPage, type Write, writtenKey } from '../wire/state.js';
 
 /**
@@ -53,7 +53,7 @@
       .filter(([key]) => key.startsWith(prefix) && key > after)
       .sort(([a], [b]) => (a < b ? -1 : 1));
     const items = found.slice(0, most).map(([key, stored]) => ({ key, ...stored }));
-    return this.answer({ items, more: found.length > most, revision: this.revision });
+    return this.answer({ items, hasMore: found.length > most, revision: this.revision });
   }
 
   /** The job ends by the hand of nobody whom the test plays. */
@@ -78,8 +78,8 @@
     return this.keys.has(key);
   }
 
-  private end(id: string, end: End): Promise<CommitOutcome> {
-    const put = { put: endKey(id), value: endRecord({ end, tasks: 1, at: 0 }) };
+  private end(id: string, end: Outcome): Promise<CommitOutcome> {
+    const put = { put: outcomeKey(id), value: outcomeRecord({ outcome: end, tasks: 1, endedAt: 0 }) };
     return Promise.resolve(this.execute([], [put, { drop: jobKey(id) }]));
   }
 
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -20,8 +20,8 @@
 import { WorkerStandIn } from './worker-standin.js';
 
 const firstPort = 27_000;
-const reportMs = 4000;
-const leaseMs = 20_000;
+const heartbeatIntervalMs = 4000;
+const workerLeaseMs = 20_000;
 const taskMs = 30_000;
 const tasksPerJob = 8;
 const pollMs = 5000;
@@ -51,7 +51,7 @@
     });
     const inner = file['settings'] as Record<string, unknown>;
     inner['teams'] = [{ name: 'red', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
-    inner['workers'] = { report_s: reportMs / 1000, lease_s: leaseMs / 1000, cancel_s: 50 };
+    inner['workers'] = { report_s: heartbeatIntervalMs / 1000, lease_s: workerLeaseMs / 1000, cancel_s: 50 };
     inner['state'] = { rps: 250, write_rps: 100, value_kb: 32, txn_ops: 32 };
     inner['cloud'] = { rps: 50, list_lag_s: 1 };
     inner['quota'] = { cores: 0.043, mem_mb: 165, max_sockets: 1500 };
@@ -134,8 +134,8 @@
   cloud.capacity = Math.ceil(Number(values.machines) / 2);
   cloud.onRent = (machine: RentedMachine) => {
     const worker = new WorkerStandIn(machine, {
-      reportMs,
-      leaseMs,
+      heartbeatIntervalMs,
+      workerLeaseMs,
       answerMs: 4000,
       fetchMs: 500,
       saveMs: 0,
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -2,7 +2,7 @@
 import { valueLayout } from './block-stage.js';
 import type { JobSpec, ReportedTask } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
-import type { Part } from '../wire/job-records.js';
+import type { TaskRange } from '../wire/job-records.js';
 
 /**
  * Runs a kept trace against a block. A line is an event; a line that starts with `=` is what must come of the
@@ -20,32 +20,36 @@
   const blockState = new BlockState({
     block: 0,
     layout: valueLayout,
-    reportMs: 1000,
+    heartbeatIntervalMs: 1000,
     clock: () => now,
     teams: new Map(),
   });
   let now = 0;
   const expected: string[] = [];
   const actual: string[] = [];
-  for (const raw of readFileSync(path, 'utf8').split('\n')) {
-    const line = raw.replace(/#.*/, '').trim();
+  for (const rawLine of readFileSync(path, 'utf8').split('\n')) {
+    const line = rawLine.replace(/#.*/, '').trim();
     if (line === '') continue;
     if (line.startsWith('=')) {
       expected.push(line.slice(1).trim());
       continue;
     }
     now += 100;
-    actual.push(...play(blockState, line.split(/\s+/), now));
+    actual.push(...applyEvent(blockState, line.split(/\s+/), now));
   }
   return { expected, actual };
 }
 
-function play(blockState: BlockState, [event = '', subject = '', ...rest]: string[], now: number): string[] {
+function applyEvent(
+  blockState: BlockState,
+  [event = '', subject = '', ...rest]: string[],
+  now: number,
+): string[] {
   switch (event) {
     case 'block':
-      return block(blockState, Number(subject), rest);
+      return applyBlockEvent(blockState, Number(subject), rest);
     case 'job':
-      return job(blockState, subject, Number(rest[0]?.slice(1)), rest.slice(1));
+      return applyJobEvent(blockState, subject, Number(rest[0]?.slice(1)), rest.slice(1));
     case 'end': {
       const change = {
         key: `end/${subject}`,
@@ -53,59 +57,59 @@
         version: now,
         deleted: false,
       };
-      blockState.apply([change]);
+      blockState.applyChanges([change]);
       return [];
     }
     case 'place':
-      return place(blockState, subject, rest[0] ?? '', now);
+      return applyPlaceEvent(blockState, subject, rest[0] ?? '', now);
     case 'commit':
       for (const task of blockState.jobs.get(subject)?.tasks.values() ?? []) {
         if (task.phase === 'placing') task.phase = 'placed';
       }
       return [];
     case 'gone':
-      return blockState.remove(subject).map((task) => `waits ${task.job.id}/${task.index}`);
+      return blockState.removeTerminated(subject).map((task) => `waits ${task.job.id}/${task.index}`);
     case 'report':
-      return report(blockState, subject, rest);
+      return applyHeartbeatEvent(blockState, subject, rest);
     default:
       throw new Error(`no such event: ${event}`);
   }
 }
 
-function block(blockState: BlockState, version: number, machines: string[]): string[] {
+function applyBlockEvent(blockState: BlockState, version: number, machines: string[]): string[] {
   const leased = machines.map((word) => {
     const [id = '', token] = word.replace('!', '').split(':');
-    const place = { type: 'c8', zone: 'a', spot: false, since: 0 };
-    return { id, token: Number(token), leaving: word.endsWith('!'), ...place };
+    const place = { type: 'c8', zone: 'a', spot: false, rentedAt: 0 };
+    return { id, fencingToken: Number(token), draining: word.endsWith('!'), ...place };
   });
-  blockState.applyBlock({ owner: 'k', boot: 'b', shares: {}, machines: leased }, version);
+  blockState.applyBlockRecord({ owner: 'k', incarnation: 'b', quotaShares: {}, machines: leased }, version);
   return [];
 }
 
-function job(blockState: BlockState, id: string, version: number, ranges: string[]): string[] {
-  const parts: Part[] = ranges.map((range) => {
+function applyJobEvent(blockState: BlockState, id: string, version: number, ranges: string[]): string[] {
+  const parts: TaskRange[] = ranges.map((range) => {
     const [first = 0, last = 0] = range.split('..').map(Number);
     return { block: 0, first, count: last - first + 1 };
   });
   const spec = { id, team: 'red', tasks: 10, cpus: 1, accelerators: 0, memoryGb: 1, image: 'i' } as JobSpec;
   const value = { spec, parts: parts.map((p) => [p.block, p.first, p.count]) };
-  blockState.apply([{ key: `job/${id}`, value, version, deleted: false }]);
+  blockState.applyChanges([{ key: `job/${id}`, value, version, deleted: false }]);
   return [];
 }
 
-function place(blockState: BlockState, task: string, machine: string, now: number): string[] {
+function applyPlaceEvent(blockState: BlockState, task: string, machine: string, now: number): string[] {
   const [id = '', index] = task.split('/');
   const state = blockState.jobs.get(id);
   const on = blockState.machines.get(machine);
-  const next = state?.next();
+  const next = state?.nextWaitingTask();
   if (!state || !on || !next) return ['nothing to place'];
   if (next.index !== Number(index)) return [`next is ${id}/${next.index}`];
-  state.place(next, machine, now);
-  blockState.put(next, on);
+  state.placeTask(next, machine, now);
+  blockState.addTask(next, on);
   return [];
 }
 
-function report(blockState: BlockState, machine: string, words: string[]): string[] {
+function applyHeartbeatEvent(blockState: BlockState, machine: string, words: string[]): string[] {
   const numberOf = (letter: string): number =>
     Number(words.find((w) => w.startsWith(letter) && !w.includes('/'))?.slice(1));
   const tasks: ReportedTask[] = words
@@ -118,14 +122,14 @@
     });
   const found = blockState.machines.get(machine);
   if (!found) return ['not ours'];
-  const facts = { machine, address: 'x', type: 'c8', zone: 'a', spot: false, noticeS: null, tasks };
-  const numbers = { session: numberOf('s'), seq: numberOf('n'), token: numberOf('t') };
-  const result = blockState.report(found, { ...facts, ...numbers }, true);
+  const facts = { machine, address: 'x', type: 'c8', zone: 'a', spot: false, preemptionNoticeS: null, tasks };
+  const numbers = { agentEpoch: numberOf('s'), sequence: numberOf('n'), fencingToken: numberOf('t') };
+  const result = blockState.applyHeartbeat(found, { ...facts, ...numbers }, true);
   const findings = result.findings.map((f) =>
     f.kind === 'completed'
       ? `completed ${f.job.id}/${f.index}`
       : `${f.kind} ${f.task.job.id}/${f.task.index}${f.kind === 'left' ? ` ${f.cause}` : ''}`,
   );
-  const orders = result.orders.map((o) => `${o.kind} ${o.job}/${o.index}.${o.attempt}`);
+  const orders = result.commands.map((o) => `${o.kind} ${o.job}/${o.index}.${o.attempt}`);
   return [result.verdict, ...findings, ...orders];
 }
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -63,7 +63,7 @@
       () => 0,
       (id) => mirror.outcomeOf(id),
     );
-    mirror.listen((changes) => jobIndex.apply(changes));
+    mirror.listen((changes) => jobIndex.applyChanges(changes));
     void mirror.follow(signal);
     await settled();
     const types = new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type]));
@@ -91,7 +91,7 @@
       wallClock: () => 0,
       settings,
       mirror,
-      types: () => types,
+      machineTypes: () => types,
       store: client,
       writes: stage('intake'),
       confirms: stage('confirm'),
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -16,8 +16,8 @@
 }
 
 export interface WorkerOptions {
-  reportMs: number;
-  leaseMs: number;
+  heartbeatIntervalMs: number;
+  workerLeaseMs: number;
   /** How long the worker waits for an answer. */
   answerMs: number;
   fetchMs: number;
@@ -67,7 +67,7 @@
   }
 
   private get tickMs(): number {
-    return this.options.reportMs / ticksPerReport;
+    return this.options.heartbeatIntervalMs / ticksPerReport;
   }
 
   get running(): string[] {
@@ -78,7 +78,7 @@
     const { signal } = this.stop;
     while (!signal.aborted) {
       if (this.hungSince === undefined) await this.reportOnce(signal);
-      await sleep(this.options.reportMs * (0.75 + this.options.random() / 2), signal);
+      await sleep(this.options.heartbeatIntervalMs * (0.75 + this.options.random() / 2), signal);
     }
   }
 
@@ -115,7 +115,7 @@
   private advance(): void {
     if (this.hungSince !== undefined || this.stop.signal.aborted) return;
     const now = Date.now();
-    if (now - this.leaseFrom > this.options.leaseMs) {
+    if (now - this.leaseFrom > this.options.workerLeaseMs) {
       this.dropAll();
       this.session++;
       this.seq = 0;
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -6,44 +6,49 @@
 export interface LeasedMachine {
   id: string;
   /** The revision of the commit that leased it to its present owner. */
-  token: number;
+  fencingToken: number;
   type: string;
   zone: string;
   spot: boolean;
   /** Nothing more may be placed on it: it is about to be given back or leased to another. */
-  leaving: boolean;
+  draining: boolean;
   /** Time of day of its rental in ms, as far as known. */
-  since: number;
+  rentedAt: number;
   /** The page of the block's machines that names it; none yet, or the block's record names it itself. */
   page?: number;
 }
 
 /** What a team's tasks in one block may use; a missing entry means that the team has no limit. */
-export type Shares = Record<string, [cpus: number, accelerators: number]>;
+export type QuotaShares = Record<string, [cpus: number, accelerators: number]>;
 
 export interface BlockRecord {
   owner: string;
   /** The life of the owner's process that it is leased to: a later life renews the lease, and with it the tokens. */
-  boot: string;
+  incarnation: string;
   machines: LeasedMachine[];
-  shares: Shares;
+  quotaShares: QuotaShares;
   /** The least token of the machines that pages name: the revision of the lease to the present owner. */
-  leaseToken?: number;
+  leaseFencingToken?: number;
 }
 
 /** Machines grouped by kind, with the names left once and times of day in seconds. */
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
   for (const m of machines) {
-    const key = kindOfMachine(m);
+    const key = machineKind(m);
     let group = groups.get(key);
     if (!group) groups.set(key, (group = [m.type, m.zone, m.spot, []]));
-    (group[3] as unknown[]).push([m.id, m.token, Math.round(m.since / 1000), ...(m.leaving ? [1] : [])]);
+    (group[3] as unknown[]).push([
+      m.id,
+      m.fencingToken,
+      Math.round(m.rentedAt / 1000),
+      ...(m.draining ? [1] : []),
+    ]);
   }
   return [...groups.values()];
 }
 
-export function kindOfMachine({ type, zone, spot }: LeasedMachine): string {
+export function machineKind({ type, zone, spot }: LeasedMachine): string {
   return `${type}/${zone}/${spot}`;
 }
 
@@ -54,21 +59,21 @@
 
 /** The record of a block whose machines are named by pages of their own. */
 export function pagedBlockRecord(record: BlockRecord): unknown {
-  return { ...leaseFields(record), leaseToken: record.leaseToken ?? leastToken };
+  return { ...leaseFields(record), leaseToken: record.leaseFencingToken ?? minFencingToken };
 }
 
 function leaseFields(record: BlockRecord): Fields {
-  return { owner: record.owner, boot: record.boot, shares: record.shares };
+  return { owner: record.owner, boot: record.incarnation, shares: record.quotaShares };
 }
 
 /** A lease that raises no token. */
-const leastToken = 1;
+const minFencingToken = 1;
 
 /** In the store, a token of 0 stands for the revision of the record itself: nobody knows it before the commit. */
-export const tokenOfThisCommit = 0;
+export const tokenOfOwnCommit = 0;
 
 /** True where the record names the machines itself; pages that are there as well mean nothing. */
-export function namesItsMachines(value: unknown): boolean {
+export function hasInlineMachines(value: unknown): boolean {
   return isFields(value) && Array.isArray(value['machines']);
 }
 
@@ -89,46 +94,46 @@
   pages: Iterable<[number, StoredValue]> = [],
 ): BlockRecord | undefined {
   if (!isFields(value)) return undefined;
-  const shares: Shares = {};
+  const shares: QuotaShares = {};
   if (isFields(value['shares'])) {
     for (const [team, share] of Object.entries(value['shares'])) {
       const [cpus, accelerators] = list(share);
       shares[team] = [number(cpus), number(accelerators)];
     }
   }
-  const lease: Pick<BlockRecord, 'owner' | 'boot' | 'shares'> = {
+  const lease: Pick<BlockRecord, 'owner' | 'incarnation' | 'quotaShares'> = {
     owner: text(value['owner']),
-    boot: text(value['boot']),
-    shares,
+    incarnation: text(value['boot']),
+    quotaShares: shares,
   };
-  if (namesItsMachines(value)) return { ...lease, machines: parseMachines(value['machines'], version) };
-  const leaseToken = tokenOr(value['leaseToken'], version);
+  if (hasInlineMachines(value)) return { ...lease, machines: parseMachines(value['machines'], version) };
+  const leaseToken = resolveToken(value['leaseToken'], version);
   const machines: LeasedMachine[] = [];
   for (const [page, stored] of pages) {
     for (const machine of parseMachines(stored.value, stored.version)) {
-      machines.push({ ...machine, token: Math.max(machine.token, leaseToken), page });
+      machines.push({ ...machine, fencingToken: Math.max(machine.fencingToken, leaseToken), page });
     }
   }
-  return { ...lease, machines, leaseToken };
+  return { ...lease, machines, leaseFencingToken: leaseToken };
 }
 
-function tokenOr(value: unknown, version: number): number {
-  return number(value) === tokenOfThisCommit ? version : number(value);
+function resolveToken(value: unknown, version: number): number {
+  return number(value) === tokenOfOwnCommit ? version : number(value);
 }
 
 function parseMachines(groups: unknown, version: number): LeasedMachine[] {
   return list(groups).flatMap((group) => {
     const [type, zone, spot, machines] = list(group);
     return list(machines).map((machine) => {
-      const [id, token, since, leaving] = list(machine);
+      const [id, token, rentedAt, draining] = list(machine);
       return {
         id: text(id),
-        token: tokenOr(token, version),
+        fencingToken: resolveToken(token, version),
         type: text(type),
         zone: text(zone),
         spot: spot === true,
-        leaving: leaving === 1,
-        since: number(since) * 1000,
+        draining: draining === 1,
+        rentedAt: number(rentedAt) * 1000,
       };
     });
   });
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -25,7 +25,7 @@
 
 export interface MachineListPage {
   machines: CloudMachine[];
-  more: boolean;
+  hasMore: boolean;
 }
 
 export function parseMachineList(body: unknown): MachineListPage {
@@ -42,7 +42,7 @@
         state: machineStates[text(h['status'])] ?? 'running',
         ageS: number(h['heldS']),
       })),
-    more: fields['hasNext'] === true,
+    hasMore: fields['hasNext'] === true,
   };
 }
 
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -13,7 +13,7 @@
   tasksPerChunk,
   writtenBytes,
 } from './ledger-records.js';
-import { parseReport } from './workers.js';
+import { parseHeartbeat } from './workers.js';
 
 const packr = new Packr({ useRecords: false });
 
@@ -30,7 +30,7 @@
 });
 
 test('a report keeps what identifies it, drops tasks without a proper name, and ignores unknown fields', () => {
-  const report = parseReport({
+  const report = parseHeartbeat({
     host: 'vm-1',
     endpoint: 'e',
     hull: 'c8',
@@ -45,38 +45,40 @@
       { piece: 'nonsense', try: 1, status: 'running' },
     ],
   });
-  assert.equal(report?.noticeS, null);
+  assert.equal(report?.preemptionNoticeS, null);
   assert.deepEqual(report?.tasks, [
     { job: 'req-000412', index: 3, attempt: 2, state: 'ended', cause: 'done' },
   ]);
-  assert.equal(parseReport({ host: 'vm-1', watch: 1 }), undefined);
+  assert.equal(parseHeartbeat({ host: 'vm-1', watch: 1 }), undefined);
 });
 
 test('a token of 0 in a block stands for the revision of the record', () => {
-  const machine = { type: 'c8', zone: 'a', spot: false, since: 1000 };
+  const machine = { type: 'c8', zone: 'a', spot: false, rentedAt: 1000 };
   const machines = [
-    { ...machine, id: 'vm-1', token: 0, leaving: false },
-    { ...machine, id: 'vm-2', token: 5, leaving: true },
+    { ...machine, id: 'vm-1', fencingToken: 0, draining: false },
+    { ...machine, id: 'vm-2', fencingToken: 5, draining: true },
   ];
-  const record = parseBlock(blockRecord({ owner: 'k', boot: 'b', shares: {}, machines }), 77);
-  assert.deepEqual(record?.machines, [{ ...machines[0], token: 77 }, machines[1]]);
+  const record = parseBlock(blockRecord({ owner: 'k', incarnation: 'b', quotaShares: {}, machines }), 77);
+  assert.deepEqual(record?.machines, [{ ...machines[0], fencingToken: 77 }, machines[1]]);
 });
 
 // Guards against a fleet that outgrows a value, after which no lease could be written any more.
 test('a block that has every machine of a large deployment is still a value of the store', () => {
   const machines = Array.from({ length: 700 }, (_, i) => ({
     id: `vm-${String(i).padStart(6, '0')}`,
-    token: 400_000 + i,
+    fencingToken: 400_000 + i,
     type: `type-${i % 3}`,
     zone: `zone-${i % 3}`,
     spot: i % 2 === 0,
-    leaving: i % 5 === 0,
-    since: 1_790_000_000_000,
+    draining: i % 5 === 0,
+    rentedAt: 1_790_000_000_000,
   }));
   const shares = Object.fromEntries(
     ['red', 'blue', 'green'].map((team) => [team, [12_345.5, 0] as [number, number]]),
   );
-  const bytes = sizeOf(blockRecord({ owner: 'keelhand-0', boot: 'b'.repeat(36), shares, machines }));
+  const bytes = sizeOf(
+    blockRecord({ owner: 'keelhand-0', incarnation: 'b'.repeat(36), quotaShares: shares, machines }),
+  );
   assert.ok(bytes <= 32 * 1024, `${bytes} bytes`);
 });
 
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -1,33 +1,37 @@
 /** What the state service keeps of the controllers: who leads, who is alive, which format each of them reads. */
 import { isFields, number, text } from './codec.js';
 
-export interface LeadRecord {
+export interface LeaderRecord {
   label: string;
-  boot: string;
-  serial: number;
+  incarnation: string;
+  candidacy: number;
 }
 
-export function leadRecord(lead: LeadRecord): unknown {
-  return { label: lead.label, boot: lead.boot, serial: lead.serial };
+export function leaderRecord(lead: LeaderRecord): unknown {
+  return { label: lead.label, boot: lead.incarnation, serial: lead.candidacy };
 }
 
-export function parseLead(value: unknown): LeadRecord | undefined {
+export function parseLeader(value: unknown): LeaderRecord | undefined {
   if (!isFields(value)) return undefined;
-  return { label: text(value['label']), boot: text(value['boot']), serial: number(value['serial']) };
+  return {
+    label: text(value['label']),
+    incarnation: text(value['boot']),
+    candidacy: number(value['serial']),
+  };
 }
 
 export interface AliveRecord {
-  boot: string;
+  incarnation: string;
   zone: string;
 }
 
 export function aliveRecord(alive: AliveRecord): unknown {
-  return { boot: alive.boot, zone: alive.zone };
+  return { boot: alive.incarnation, zone: alive.zone };
 }
 
 export function parseAlive(value: unknown): AliveRecord | undefined {
   if (!isFields(value)) return undefined;
-  return { boot: text(value['boot']), zone: text(value['zone']) };
+  return { incarnation: text(value['boot']), zone: text(value['zone']) };
 }
 
 /** Whether the version of a controller heeds dependencies, pages of machines and entries of other sizes. */
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -3,58 +3,58 @@
 import { type Fields, isFields, list, number, sizeOf } from './codec.js';
 import { jobSpecRecord, parseJobSpec } from './job-spec-record.js';
 
-export type End = 'done' | 'cancelled';
+export type Outcome = 'done' | 'cancelled';
 
-export interface EndRecord {
-  end: End;
+export interface OutcomeRecord {
+  outcome: Outcome;
   /** Kept for answers about a job whose record has gone. */
   tasks: number;
   /** Time of day of the end in ms: the times of dependent jobs count from it. Unknown for ends of earlier versions. */
-  at?: number;
+  endedAt?: number;
 }
 
-export function endRecord(record: EndRecord): unknown {
-  const fields: Fields = { end: record.end, tasks: record.tasks };
-  if (record.at !== undefined) fields['at'] = record.at;
+export function outcomeRecord(record: OutcomeRecord): unknown {
+  const fields: Fields = { end: record.outcome, tasks: record.tasks };
+  if (record.endedAt !== undefined) fields['at'] = record.endedAt;
   return fields;
 }
 
-export function parseEnd(value: unknown): EndRecord | undefined {
+export function parseOutcome(value: unknown): OutcomeRecord | undefined {
   if (!isFields(value)) return undefined;
   const end = value['end'];
   if (end !== 'done' && end !== 'cancelled') return undefined;
-  const record: EndRecord = { end: end, tasks: number(value['tasks']) };
-  if (value['at'] !== undefined) record.at = number(value['at']);
+  const record: OutcomeRecord = { outcome: end, tasks: number(value['tasks']) };
+  if (value['at'] !== undefined) record.endedAt = number(value['at']);
   return record;
 }
 
 /** Consecutive tasks of a job that are dispatched to a block, which places them. */
-export interface Part {
+export interface TaskRange {
   block: number;
   first: number;
   count: number;
 }
 
 /** Room that a job's record keeps for the ranges of its tasks, in the JSON form that limits are measured in. */
-export const leastPartsBytes = 256;
+export const minTaskRangesBytes = 256;
 
 /** Worst case of one range in that form. */
-const bytesPerPart = 24;
+const bytesPerTaskRange = 24;
 
 /** How many ranges the record of a job may have as a value of the state service. */
-export function mostParts(spec: JobSpec, valueBytes: number): number {
-  const bytes = valueBytes - sizeOf(jobRecord({ spec, parts: [] }));
-  return Math.max(1, Math.floor(bytes / bytesPerPart));
+export function maxTaskRanges(spec: JobSpec, valueBytes: number): number {
+  const bytes = valueBytes - sizeOf(jobRecord({ spec, taskRanges: [] }));
+  return Math.max(1, Math.floor(bytes / bytesPerTaskRange));
 }
 
 export interface JobRecord {
   spec: JobSpec;
   /** What no range covers has yet to be dispatched by the leader: no block had room for it so far. */
-  parts: Part[];
+  taskRanges: TaskRange[];
 }
 
 export function jobRecord(job: JobRecord): unknown {
-  return { spec: jobSpecRecord(job.spec), parts: job.parts.map((p) => [p.block, p.first, p.count]) };
+  return { spec: jobSpecRecord(job.spec), parts: job.taskRanges.map((p) => [p.block, p.first, p.count]) };
 }
 
 export function parseJobRecord(value: unknown): JobRecord | undefined {
@@ -62,7 +62,7 @@
     return undefined;
   return {
     spec: parseJobSpec(value['spec']),
-    parts: list(value['parts']).map((part) => {
+    taskRanges: list(value['parts']).map((part) => {
       const [block, first, count] = list(part);
       return { block: number(block), first: number(first), count: number(count) };
     }),
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,6 +1,6 @@
 /** Where our values are in the state service. */
 
-export const leadKey = 'lead';
+export const leaderKey = 'lead';
 export const aliveKey = (label: string): string => `alive/${label}`;
 export const blockKey = (block: number): string => `block/${block}`;
 export const machinesPrefix = (block: number): string => `machines/${block}/`;
@@ -9,12 +9,12 @@
 export const formatKey = (label: string): string => `formats/${label}`;
 export const ladderKey = (pool: string): string => `ladder/${pool}`;
 export const jobKey = (id: string): string => `job/${id}`;
-export const endPrefix = 'end/';
-export const endKey = (id: string): string => `${endPrefix}${id}`;
+export const outcomePrefix = 'end/';
+export const outcomeKey = (id: string): string => `${outcomePrefix}${id}`;
 
 /** The job whose end the key holds, if it is such a key. */
-export const endedJob = (key: string): string | undefined =>
-  key.startsWith(endPrefix) ? key.slice(endPrefix.length) : undefined;
+export const jobOfOutcomeKey = (key: string): string | undefined =>
+  key.startsWith(outcomePrefix) ? key.slice(outcomePrefix.length) : undefined;
 
 export const ledgerPrefix = (block: number): string => `run/${block}/`;
 export const ledgerKey = (block: number, page: number): string => `${ledgerPrefix(block)}${page}`;
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -130,13 +130,13 @@
 const bytesPerEntry = 120;
 
 /** An entry takes this part of a page at most, so that pages fill well. */
-const chunkShare = 1 / 4;
+const chunkShareOfPage = 1 / 4;
 
 /** A page has to hold an entry with a task of its own. */
-export const leastPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / chunkShare);
+export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / chunkShareOfPage);
 
 export function tasksPerChunk(valueBytes: number): number {
-  return Math.max(1, Math.floor((valueBytes * chunkShare - bytesPerEntry) / bytesPerTask));
+  return Math.max(1, Math.floor((valueBytes * chunkShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
 export function entryBytes(tasks: number): number {
@@ -157,7 +157,7 @@
 const bytesPerCompactEntry = 80;
 
 export function compactTasksPerChunk(pageBytes: number): number {
-  return Math.max(1, Math.floor((pageBytes * chunkShare - bytesPerCompactEntry) / bytesPerIdleTask));
+  return Math.max(1, Math.floor((pageBytes * chunkShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
 /** What an entry with so many tasks takes once none of them is on a machine. */
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -4,7 +4,14 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CloudMachine, JobSpec, MachineType, Order, Report, ReportedTask } from '../model/types.js';
+import type {
+  CloudMachine,
+  JobSpec,
+  MachineType,
+  WorkerCommand,
+  Heartbeat,
+  ReportedTask,
+} from '../model/types.js';
 import {
   type OperatorSettings,
   defaultOperatorSettings,
@@ -29,19 +36,19 @@
   type ListPage,
   type Write,
   commitBody,
-  grantBody,
-  grantPath,
+  createLeaseBody,
+  leasePath,
   keyPath,
   listPath,
   parseChanges,
   parseCommit,
-  parseGrant,
+  parseLeaseId,
   parseList,
   parseRead,
   revisionOf,
   watchPath,
 } from './state.js';
-import { parseReport, redirectAnswer, reportAnswer } from './workers.js';
+import { parseHeartbeat, redirectResponse, heartbeatResponse } from './workers.js';
 
 const sent = new Samples('sent.json');
 const received = new Samples('received.json');
@@ -58,13 +65,13 @@
   ];
   sent.assertWritten('state, commit', commitBody(conditions, writes));
   sent.assertWritten('state, comparison', commitBody(conditions, []));
-  sent.assertWritten('state, lease', grantBody(6000.4));
+  sent.assertWritten('state, lease', createLeaseBody(6000.4));
   const paths = {
     read: keyPath('job/req-000017'),
     list: listPath('job/', '', 500),
     listOn: listPath('job/', 'job/req-000017', 500),
     watch: watchPath(4321, 10_000),
-    lease: grantPath(7),
+    lease: leasePath(7),
   };
   sent.assertPlain('state, paths', paths);
 });
@@ -75,7 +82,7 @@
   assert.equal(revisionOf(received.plain('state, read')), 40);
   const page: ListPage = {
     items: [item, { key: 'job/req-000018', value: [2], version: 13 }],
-    more: true,
+    hasMore: true,
     revision: 41,
   };
   assert.deepEqual(parseList(received.plain('state, list')), page);
@@ -87,7 +94,7 @@
   assert.deepEqual(parseCommit(received.plain('state, commit')), { revision: 44, failed: [] });
   const conflict = { revision: 45, failed: ['job/req-000017', 'lead'] };
   assert.deepEqual(parseCommit(received.plain('state, conflict')), conflict);
-  assert.equal(parseGrant(received.plain('state, lease')), 7);
+  assert.equal(parseLeaseId(received.plain('state, lease')), 7);
 });
 
 test('the cloud is asked as ever', () => {
@@ -149,37 +156,37 @@
     state: 'failed',
     ageS: 91,
   };
-  const page: MachineListPage = { machines: [booting, running, failed], more: true };
+  const page: MachineListPage = { machines: [booting, running, failed], hasMore: true };
   assert.deepEqual(parseMachineList(received.plain('cloud, machines')), page);
   assert.deepEqual(parseMachineNames(received.plain('cloud, rented')), ['vm-000001', 'vm-000002']);
 });
 
 test('workers are answered as ever', () => {
-  const task: Pick<Order, 'job' | 'index' | 'attempt'> = { job: 'req-000017', index: 3, attempt: 2 };
-  const orders: Order[] = [
+  const task: Pick<WorkerCommand, 'job' | 'index' | 'attempt'> = { job: 'req-000017', index: 3, attempt: 2 };
+  const orders: WorkerCommand[] = [
     { kind: 'forget', ...task },
     { kind: 'start', ...task, attempt: 300 },
     { kind: 'stop', ...task, graceS: 12.5 },
     { kind: 'stop', ...task },
   ];
-  sent.assertWritten('worker, orders', reportAnswer(4321, orders));
-  sent.assertWritten('worker, no orders', reportAnswer(0, []));
-  sent.assertWritten('worker, redirect', redirectAnswer('keel-2'));
-  sent.assertWritten('worker, nowhere else', redirectAnswer(undefined));
+  sent.assertWritten('worker, orders', heartbeatResponse(4321, orders));
+  sent.assertWritten('worker, no orders', heartbeatResponse(0, []));
+  sent.assertWritten('worker, redirect', redirectResponse('keel-2'));
+  sent.assertWritten('worker, nowhere else', redirectResponse(undefined));
 });
 
 test('workers are understood as ever', () => {
   const task: Pick<ReportedTask, 'job' | 'cause'> = { job: 'req-000017', cause: '' };
-  const report: Report = {
+  const report: Heartbeat = {
     machine: 'vm-000001',
     address: '10.0.0.1:7000',
     type: 'c8',
     zone: 'zone-a',
     spot: true,
-    session: 2,
-    seq: 7,
-    token: 370,
-    noticeS: 28.5,
+    agentEpoch: 2,
+    sequence: 7,
+    fencingToken: 370,
+    preemptionNoticeS: 28.5,
     tasks: [
       { ...task, index: 0, attempt: 1, state: 'fetching' },
       { ...task, index: 1, attempt: 2, state: 'running' },
@@ -188,7 +195,7 @@
       { ...task, index: 4, attempt: 1, state: 'other' },
     ],
   };
-  assert.deepEqual(parseReport(received.plain('worker, report')), report);
+  assert.deepEqual(parseHeartbeat(received.plain('worker, report')), report);
 });
 
 test('users are answered as ever', () => {
@@ -210,14 +217,14 @@
     memoryGb: 3.2,
     image: 'render:7',
     imageGb: 1.25,
-    types: null,
+    machineTypes: null,
     zone: null,
-    oneZone: false,
+    colocated: false,
     spread: false,
     spot: true,
-    estimateS: 95.5,
-    checkpointS: 0,
-    saveS: 0,
+    estimatedRunS: 95.5,
+    checkpointIntervalS: 0,
+    checkpointSaveS: 0,
     deadlineS: null,
     acceptedAt: 1234,
   };
@@ -233,14 +240,14 @@
     memoryGb: 123.75,
     image: 'train:8',
     imageGb: 20,
-    types: ['c8', 'g4'],
+    machineTypes: ['c8', 'g4'],
     zone: 'zone-b',
-    oneZone: true,
+    colocated: true,
     spread: true,
     spot: false,
-    estimateS: 3600,
-    checkpointS: 600,
-    saveS: 12.5,
+    estimatedRunS: 3600,
+    checkpointIntervalS: 600,
+    checkpointSaveS: 12.5,
     deadlineS: 7200,
     acceptedAt: 1235,
     dependencies: ['req-000017', 'req-000018'],
@@ -250,17 +257,31 @@
 
 test("the operators' file is understood as ever", async () => {
   const settings: OperatorSettings = {
-    ladder: { start: 0.7, cheapStart: 0.9, target: 0.02, slotShare: 0.25, periodS: 45, windowS: 450 },
-    blocks: { periodS: 20, lookahead: 0.5 },
-    leadership: { grantReports: 2.8 },
-    workers: { silentReports: 4, bootTimes: 5 },
+    ladder: {
+      start: 0.7,
+      spotStart: 0.9,
+      targetFailureRatio: 0.02,
+      slotShare: 0.25,
+      periodS: 45,
+      windowS: 450,
+    },
+    blocks: { quotaSharePeriodS: 20, lookahead: 0.5 },
+    leadership: { leaseHeartbeats: 2.8 },
+    workers: { missedHeartbeats: 4, bootTimes: 5 },
   };
   assert.deepEqual(await parseOperatorSettings(readSampleFile('operator.xml')), settings);
   const defaults: OperatorSettings = {
-    ladder: { start: 0.8, cheapStart: 0.92, target: 0.01, slotShare: 0.125, periodS: 30, windowS: 300 },
-    blocks: { periodS: 30, lookahead: 0.25 },
-    leadership: { grantReports: 2.4 },
-    workers: { silentReports: 3, bootTimes: 3 },
+    ladder: {
+      start: 0.8,
+      spotStart: 0.92,
+      targetFailureRatio: 0.01,
+      slotShare: 0.125,
+      periodS: 30,
+      windowS: 300,
+    },
+    blocks: { quotaSharePeriodS: 30, lookahead: 0.25 },
+    leadership: { leaseHeartbeats: 2.4 },
+    workers: { missedHeartbeats: 3, bootTimes: 3 },
   };
   assert.deepEqual(defaultOperatorSettings, defaults);
   assert.deepEqual(await parseOperatorSettings('<shalekeel/>'), defaults);
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -2,44 +2,44 @@
 import { type Fields, isFields, number, text } from './codec.js';
 
 /** A job that has ended as cancelled, and the revision of its end. */
-export type Cancelled = [id: string, version: number];
+export type CancelledJob = [id: string, version: number];
 
 /** What a controller tells the others of itself, several times in a report interval. */
 export interface PeerStatus {
   from: string;
-  boot: string;
-  serial: number;
+  incarnation: string;
+  sequence: number;
   /** How long it has been without the state service, in ms. */
-  contactAge: number;
+  storeContactAgeMs: number;
   /** Its token while it leads, else 0. */
-  token: number;
+  fencingToken: number;
   /** The last serial it has from the receiver in this life of the receiver, else 0. */
-  echo: number;
-  echoBoot: string;
+  echoedSequence: number;
+  echoedIncarnation: string;
   /** The revision that its copy of the store has reached. */
-  knows: number;
+  storeRevision: number;
   /** The cancelled jobs that it has learned of with a version above `since`: all that it can have told users of. */
-  cancelled: Cancelled[];
-  since: number;
+  cancelled: CancelledJob[];
+  cancelledSince: number;
   /** Machines that it has lately proven gone. */
-  gone: string[];
+  terminatedMachines: string[];
   /** Machines that it has lately heard of for the first time. */
-  up: string[];
+  bootedMachines: string[];
 }
 
 export function peerStatusRecord(status: PeerStatus): Fields {
   return {
     from: status.from,
-    boot: status.boot,
-    serial: status.serial,
-    echo: status.echo,
-    echoBoot: status.echoBoot,
-    knows: status.knows,
-    contactAge: status.contactAge,
-    token: status.token,
-    gone: status.gone,
-    up: status.up,
-    since: status.since,
+    boot: status.incarnation,
+    serial: status.sequence,
+    echo: status.echoedSequence,
+    echoBoot: status.echoedIncarnation,
+    knows: status.storeRevision,
+    contactAge: status.storeContactAgeMs,
+    token: status.fencingToken,
+    gone: status.terminatedMachines,
+    up: status.bootedMachines,
+    since: status.cancelledSince,
     cancelled: status.cancelled,
   };
 }
@@ -52,16 +52,16 @@
   if (typeof sender !== 'string' || !lists.every(Array.isArray)) return undefined;
   return {
     from: sender,
-    boot: text(message['boot']),
-    serial: number(message['serial']),
-    echo: number(message['echo']),
-    echoBoot: text(message['echoBoot']),
-    knows: number(message['knows']),
-    contactAge: number(message['contactAge']),
-    token: number(message['token']),
-    gone: message['gone'] as string[],
-    up: message['up'] as string[],
-    since: number(message['since']),
-    cancelled: message['cancelled'] as Cancelled[],
+    incarnation: text(message['boot']),
+    sequence: number(message['serial']),
+    echoedSequence: number(message['echo']),
+    echoedIncarnation: text(message['echoBoot']),
+    storeRevision: number(message['knows']),
+    storeContactAgeMs: number(message['contactAge']),
+    fencingToken: number(message['token']),
+    terminatedMachines: message['gone'] as string[],
+    bootedMachines: message['up'] as string[],
+    cancelledSince: number(message['since']),
+    cancelled: message['cancelled'] as CancelledJob[],
   };
 }
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -13,7 +13,7 @@
 }
 
 /** What a transaction is limited to in the JSON form that limits are measured in, less room for its own framing. */
-export const transactionBytes = 60 * 1024;
+export const maxTransactionBytes = 60 * 1024;
 
 export interface Item {
   key: string;
@@ -30,27 +30,27 @@
 }
 
 // One root for all our keys, so that a single watch sees them all.
-const root = 'sk/';
+const keyRoot = 'sk/';
 
 export function keyPath(key: string): string {
-  return `/keys/${root}${key}`;
+  return `/keys/${keyRoot}${key}`;
 }
 
 export function listPath(prefix: string, after: string, limit: number): string {
-  const since = after === '' ? '' : `&since=${encodeURIComponent(root + after)}`;
-  return `/keys?prefix=${encodeURIComponent(root + prefix)}${since}&most=${limit}`;
+  const since = after === '' ? '' : `&since=${encodeURIComponent(keyRoot + after)}`;
+  return `/keys?prefix=${encodeURIComponent(keyRoot + prefix)}${since}&most=${limit}`;
 }
 
 export function watchPath(since: number, waitMs: number): string {
-  return `/changes?prefix=${encodeURIComponent(root)}&since=${since}&holdMs=${waitMs}`;
+  return `/changes?prefix=${encodeURIComponent(keyRoot)}&since=${since}&holdMs=${waitMs}`;
 }
 
 export function commitBody(conditions: Condition[], writes: Write[]): unknown {
-  const body: Fields = { when: conditions.map((c) => ({ path: root + c.key, stamp: c.version })) };
+  const body: Fields = { when: conditions.map((c) => ({ path: keyRoot + c.key, stamp: c.version })) };
   if (writes.length > 0) {
     body['writes'] = writes.map((w) => {
-      if ('drop' in w) return { drop: root + w.drop };
-      const put: Fields = { set: root + w.put, value: w.value };
+      if ('drop' in w) return { drop: keyRoot + w.drop };
+      const put: Fields = { set: keyRoot + w.put, value: w.value };
       if (w.lease !== undefined) put['tenure'] = w.lease;
       return put;
     });
@@ -62,7 +62,7 @@
   const fields = isFields(body) ? body : {};
   return {
     revision: number(fields['logline']),
-    failed: list(fields['failed']).map((key) => text(key).slice(root.length)),
+    failed: list(fields['failed']).map((key) => text(key).slice(keyRoot.length)),
   };
 }
 
@@ -75,7 +75,7 @@
 function parseItem(value: unknown): Item | undefined {
   if (!isFields(value)) return undefined;
   return {
-    key: text(value['path']).slice(root.length),
+    key: text(value['path']).slice(keyRoot.length),
     value: value['value'],
     version: number(value['stamp']),
   };
@@ -88,7 +88,7 @@
 export interface ListPage {
   items: Item[];
   /** There are further items after the last of these. */
-  more: boolean;
+  hasMore: boolean;
   revision: number;
 }
 
@@ -98,7 +98,7 @@
     items: list(fields['items'])
       .map(parseItem)
       .filter((i) => i !== undefined),
-    more: fields['hasNext'] === true,
+    hasMore: fields['hasNext'] === true,
     revision: number(fields['logline']),
   };
 }
@@ -111,7 +111,7 @@
       .map((n) => {
         const deleted = typeof n['drop'] === 'string';
         return {
-          key: text(deleted ? n['drop'] : n['set']).slice(root.length),
+          key: text(deleted ? n['drop'] : n['set']).slice(keyRoot.length),
           value: n['value'],
           version: number(n['stamp']),
           deleted,
@@ -121,14 +121,14 @@
   };
 }
 
-export function grantBody(ttlMs: number): unknown {
+export function createLeaseBody(ttlMs: number): unknown {
   return { lifeMs: Math.round(ttlMs) };
 }
 
-export function parseGrant(body: unknown): number {
+export function parseLeaseId(body: unknown): number {
   return number(isFields(body) ? body['tenure'] : undefined, -1);
 }
 
-export function grantPath(id: number): string {
+export function leasePath(id: number): string {
   return `/grants/${id}`;
 }
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -13,33 +13,33 @@
 } from './block-records.js';
 import {
   type AliveRecord,
-  type LeadRecord,
+  type LeaderRecord,
   aliveRecord,
   currentFormat,
   formatRecord,
-  leadRecord,
+  leaderRecord,
   parseAlive,
   parseFormat,
-  parseLead,
+  parseLeader,
 } from './controller-records.js';
-import { endTransaction } from './end-transaction.js';
+import { outcomeTransaction } from './end-transaction.js';
 import {
-  type EndRecord,
+  type OutcomeRecord,
   type JobRecord,
-  type Part,
-  endRecord,
+  type TaskRange,
+  outcomeRecord,
   jobRecord,
-  parseEnd,
+  parseOutcome,
   parseJobRecord,
 } from './job-records.js';
 import {
   aliveKey,
   blockKey,
-  endKey,
+  outcomeKey,
   formatKey,
   jobKey,
   ladderKey,
-  leadKey,
+  leaderKey,
   ledgerKey,
   ledgerPrefix,
   machinesKey,
@@ -54,8 +54,8 @@
 
 const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
 
-const lead: LeadRecord = { label: 'keel-1', boot, serial: 3 };
-const alive: AliveRecord = { boot, zone: 'zone-b' };
+const lead: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
+const alive: AliveRecord = { incarnation: boot, zone: 'zone-b' };
 
 const modestSpec: JobSpec = {
   id: 'req-000017',
@@ -68,14 +68,14 @@
   memoryGb: 3.2,
   image: 'render:7',
   imageGb: 1.25,
-  types: null,
+  machineTypes: null,
   zone: null,
-  oneZone: false,
+  colocated: false,
   spread: false,
   spot: true,
-  estimateS: 95.5,
-  checkpointS: 0,
-  saveS: 0,
+  estimatedRunS: 95.5,
+  checkpointIntervalS: 0,
+  checkpointSaveS: 0,
   deadlineS: null,
   acceptedAt: 1_790_000_123_456,
 };
@@ -91,61 +91,61 @@
   memoryGb: 123.75,
   image: 'train:größer',
   imageGb: 20,
-  types: ['c8', 'g4'],
+  machineTypes: ['c8', 'g4'],
   zone: 'zone-b',
-  oneZone: true,
+  colocated: true,
   spread: true,
   spot: false,
-  estimateS: 3600,
-  checkpointS: 600,
-  saveS: 12.5,
+  estimatedRunS: 3600,
+  checkpointIntervalS: 600,
+  checkpointSaveS: 12.5,
   deadlineS: 7200,
   acceptedAt: 1_790_000_123_457,
   dependencies: ['req-000017', 'req-000018'],
 };
 
-const parts: Part[] = [
+const parts: TaskRange[] = [
   { block: 0, first: 0, count: 12 },
   { block: 2, first: 12, count: 28 },
 ];
 
 const jobs: Record<string, JobRecord> = {
-  'job, no ranges': { spec: modestSpec, parts: [] },
-  'job, ranges': { spec: modestSpec, parts },
-  'job, dependencies': { spec: demandingSpec, parts: [] },
-  'job, dependencies and ranges': { spec: demandingSpec, parts },
+  'job, no ranges': { spec: modestSpec, taskRanges: [] },
+  'job, ranges': { spec: modestSpec, taskRanges: parts },
+  'job, dependencies': { spec: demandingSpec, taskRanges: [] },
+  'job, dependencies and ranges': { spec: demandingSpec, taskRanges: parts },
 };
 
-const ends: Record<string, EndRecord> = {
-  'end, done': { end: 'done', tasks: 40, at: 1_790_000_223_456 },
-  'end, cancelled': { end: 'cancelled', tasks: 100_000, at: 1_790_000_223_457 },
-  'end, without time': { end: 'cancelled', tasks: 0 },
+const ends: Record<string, OutcomeRecord> = {
+  'end, done': { outcome: 'done', tasks: 40, endedAt: 1_790_000_223_456 },
+  'end, cancelled': { outcome: 'cancelled', tasks: 100_000, endedAt: 1_790_000_223_457 },
+  'end, without time': { outcome: 'cancelled', tasks: 0 },
 };
 
 function machine(id: string, token: number, change: Partial<LeasedMachine> = {}): LeasedMachine {
   return {
     id,
-    token,
+    fencingToken: token,
     type: 'c8',
     zone: 'zone-a',
     spot: false,
-    leaving: false,
-    since: 1_790_000_100_000,
+    draining: false,
+    rentedAt: 1_790_000_100_000,
     ...change,
   };
 }
 
 const firstPage = [
   machine('vm-000001', 370),
-  machine('vm-000002', 371, { leaving: true }),
+  machine('vm-000002', 371, { draining: true }),
   machine('vm-000003', 372, { type: 'g4', zone: 'zone-b', spot: true }),
 ];
-const secondPage = [machine('vm-000009', 401, { since: 1_790_000_200_000 })];
+const secondPage = [machine('vm-000009', 401, { rentedAt: 1_790_000_200_000 })];
 
 const block: BlockRecord = {
   owner: 'keel-2',
-  boot,
-  shares: { red: [12.5, 0], blue: [1234.25, 3] },
+  incarnation: boot,
+  quotaShares: { red: [12.5, 0], blue: [1234.25, 3] },
   machines: [...firstPage, ...secondPage],
 };
 
@@ -189,8 +189,8 @@
 ];
 
 test('who leads, who is alive and who reads which format are stored as ever', () => {
-  samples.assertWritten('lead', leadRecord(lead));
-  samples.assertRead('lead', parseLead, lead);
+  samples.assertWritten('lead', leaderRecord(lead));
+  samples.assertRead('lead', parseLeader, lead);
   samples.assertWritten('alive', aliveRecord(alive));
   samples.assertRead('alive', parseAlive, alive);
   samples.assertWritten('formats', formatRecord());
@@ -206,9 +206,9 @@
 
 test('ends of jobs are stored as ever', () => {
   for (const [name, end] of Object.entries(ends)) {
-    samples.assertWritten(name, endRecord(end));
-    samples.assertRead(name, parseEnd, end);
-    assert.deepEqual(endTransaction('req-000017', 9, end).writes[0].value, endRecord(end));
+    samples.assertWritten(name, outcomeRecord(end));
+    samples.assertRead(name, parseOutcome, end);
+    assert.deepEqual(outcomeTransaction('req-000017', 9, end).writes[0].value, outcomeRecord(end));
   }
 });
 
@@ -222,11 +222,11 @@
 
 test('a token of 0 is stored for that of the revision as ever', () => {
   const [first] = firstPage;
-  const fresh = { ...block, machines: [{ ...first, token: 0 } as LeasedMachine] };
+  const fresh = { ...block, machines: [{ ...first, fencingToken: 0 } as LeasedMachine] };
   samples.assertWritten('block, fresh machine', blockRecord(fresh));
   samples.assertRead('block, fresh machine', (value) => parseBlock(value, version), {
     ...block,
-    machines: [{ ...first, token: version }],
+    machines: [{ ...first, fencingToken: version }],
   });
 });
 
@@ -242,16 +242,16 @@
   });
   const machinesFrom = (token: number): LeasedMachine[] =>
     pages.flatMap(([page, machines]) =>
-      machines.map((each) => ({ ...each, token: Math.max(each.token, token), page })),
+      machines.map((each) => ({ ...each, fencingToken: Math.max(each.fencingToken, token), page })),
     );
   const read = (value: unknown): unknown => parseBlock(value, version, stored);
   samples.assertWritten('block, pages', pagedBlockRecord(block));
-  samples.assertRead('block, pages', read, { ...block, machines: machinesFrom(1), leaseToken: 1 });
-  samples.assertWritten('block, pages and token', pagedBlockRecord({ ...block, leaseToken: 400 }));
-  const raised = { ...block, machines: machinesFrom(400), leaseToken: 400 };
+  samples.assertRead('block, pages', read, { ...block, machines: machinesFrom(1), leaseFencingToken: 1 });
+  samples.assertWritten('block, pages and token', pagedBlockRecord({ ...block, leaseFencingToken: 400 }));
+  const raised = { ...block, machines: machinesFrom(400), leaseFencingToken: 400 };
   samples.assertRead('block, pages and token', read, raised);
-  samples.assertWritten('block, pages and fresh token', pagedBlockRecord({ ...block, leaseToken: 0 }));
-  const renewed = { ...block, machines: machinesFrom(version), leaseToken: version };
+  samples.assertWritten('block, pages and fresh token', pagedBlockRecord({ ...block, leaseFencingToken: 0 }));
+  const renewed = { ...block, machines: machinesFrom(version), leaseFencingToken: version };
   samples.assertRead('block, pages and fresh token', read, renewed);
 });
 
@@ -280,11 +280,11 @@
 
 test('everything is stored where it always was', () => {
   const keys = {
-    lead: leadKey,
+    lead: leaderKey,
     alive: aliveKey('keel-1'),
     formats: formatKey('keel-1'),
     job: jobKey('req-000017'),
-    end: endKey('req-000017'),
+    end: outcomeKey('req-000017'),
     block: blockKey(2),
     machines: machinesKey(2, 3),
     ledger: ledgerKey(2, 11),
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,4 @@
-import type { Order, Report, ReportedTask, TaskRef, TaskState } from '../model/types.js';
+import type { WorkerCommand, Heartbeat, ReportedTask, TaskRef, TaskState } from '../model/types.js';
 import { type Fields, isFields, list, number, text } from './codec.js';
 
 const taskStates: Record<string, TaskState> = {
@@ -8,7 +8,7 @@
   ended: 'ended',
 };
 
-const verbs: Record<Order['kind'], string> = { start: 'run', stop: 'halt', forget: 'reap' };
+const verbs: Record<WorkerCommand['kind'], string> = { start: 'run', stop: 'halt', forget: 'reap' };
 
 function parseTaskRef(name: string): TaskRef | undefined {
   const slash = name.lastIndexOf('/');
@@ -30,7 +30,7 @@
 }
 
 /** A worker's report, or undefined where it lacks what identifies it. */
-export function parseReport(body: unknown): Report | undefined {
+export function parseHeartbeat(body: unknown): Heartbeat | undefined {
   if (!isFields(body)) return undefined;
   const machine = text(body['host']);
   const session = number(body['watch'], -1);
@@ -43,30 +43,30 @@
     type: text(body['hull']),
     zone: text(body['berth']),
     spot: body['loaners'] === true,
-    session,
-    seq,
-    token: number(body['helm']),
-    noticeS: recall === null || recall === undefined ? null : number(recall),
+    agentEpoch: session,
+    sequence: seq,
+    fencingToken: number(body['helm']),
+    preemptionNoticeS: recall === null || recall === undefined ? null : number(recall),
     tasks: list(body['pieces'])
       .map(parseTask)
       .filter((t) => t !== undefined),
   };
 }
 
-function encodeOrder(order: Order): Fields {
+function encodeCommand(command: WorkerCommand): Fields {
   const fields: Fields = {
-    verb: verbs[order.kind],
-    piece: `${order.job}/${order.index}`,
-    try: order.attempt,
+    verb: verbs[command.kind],
+    piece: `${command.job}/${command.index}`,
+    try: command.attempt,
   };
-  if (order.kind === 'stop') fields['leewayS'] = order.graceS ?? 0;
+  if (command.kind === 'stop') fields['leewayS'] = command.graceS ?? 0;
   return fields;
 }
 
-export function reportAnswer(token: number, orders: Order[]): unknown {
-  return { helm: token, orders: orders.map(encodeOrder) };
+export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): unknown {
+  return { helm: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-export function redirectAnswer(label: string | undefined): unknown {
+export function redirectResponse(label: string | undefined): unknown {
   return label === undefined ? {} : { skipper: label };
 }
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -9,8 +9,8 @@
 import type { BlockState } from '../placement/block-state.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
-import { excusedMs, nobodyIsHeard, silentMachines } from './failure-detection.js';
-import { stragglers } from './slowness.js';
+import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
+import { findStragglers } from './slowness.js';
 
 export interface HealthMonitorPorts {
   clock: Clock;
@@ -20,19 +20,19 @@
   cloud: CloudClient;
   blockState: BlockState;
   signal: AbortSignal;
-  types: () => ReadonlyMap<string, MachineType>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The store has lately answered us. */
-  inTouch: () => boolean;
+  isStoreReachable: () => boolean;
   /** None of the machines is heard of. */
-  onUnheard: () => void;
+  onNoHeartbeats: () => void;
   /** Machines were proven gone, so their tasks wait again. */
-  onFreed: () => void;
+  onTasksRequeued: () => void;
 }
 
 /** Machines are judged so often in a report interval. */
-const looksPerReport = 3;
+const checksPerHeartbeatInterval = 3;
 /** The store must have answered for so many report intervals before silence is taken for our own. */
-const settledReports = 2;
+const settlingHeartbeatIntervals = 2;
 
 /**
  * The owner's care for the machines of its block: it lets go of those that are silent, never came up, or fail the
@@ -42,42 +42,62 @@
   constructor(private readonly ports: HealthMonitorPorts) {}
 
   async run(): Promise<void> {
-    const { blockState, cloud, signal, log, onFreed, settings, clock, inTouch, onUnheard } = this.ports;
-    const pauseMs = settings.reportMs / looksPerReport;
+    const {
+      blockState,
+      cloud,
+      signal,
+      log,
+      onTasksRequeued,
+      settings,
+      clock,
+      isStoreReachable,
+      onNoHeartbeats,
+    } = this.ports;
+    const pauseMs = settings.heartbeatIntervalMs / checksPerHeartbeatInterval;
     const processPause = new ProcessPause(clock, pauseMs);
     const saturation = new Saturation();
-    let lookedAt = clock();
-    let inTouchSince = clock();
+    let checkedAt = clock();
+    let storeReachableSince = clock();
     while (!signal.aborted) {
-      const passedMs = clock() - lookedAt;
-      lookedAt += passedMs;
-      const excuseMs = excusedMs({ passedMs, heldUpMs: processPause.look(), saturated: saturation.look() });
-      if (excuseMs > 0) for (const machine of blockState.machines.values()) machine.excuse(excuseMs);
+      const passedMs = clock() - checkedAt;
+      checkedAt += passedMs;
+      const graceMs = ownDelayGraceMs({
+        passedMs,
+        heldUpMs: processPause.look(),
+        saturated: saturation.look(),
+      });
+      if (graceMs > 0) for (const machine of blockState.machines.values()) machine.addGrace(graceMs);
       // Without the store the block may be another's by now, and nothing that a release frees could start again.
-      if (!inTouch()) {
-        inTouchSince = clock();
+      if (!isStoreReachable()) {
+        storeReachableSince = clock();
         await sleep(pauseMs, signal);
         continue;
       }
       // Who is back from a cut may still take for its own what has long been leased to another.
-      const settled = clock() - inTouchSince > settings.reportMs * settledReports;
-      if (settled && nobodyIsHeard(blockState.machines.values(), clock(), settings.reportMs)) {
-        onUnheard();
+      const isSettled =
+        clock() - storeReachableSince > settings.heartbeatIntervalMs * settlingHeartbeatIntervals;
+      if (
+        isSettled &&
+        noHeartbeatsReceived(blockState.machines.values(), clock(), settings.heartbeatIntervalMs)
+      ) {
+        onNoHeartbeats();
         await sleep(pauseMs, signal);
         continue;
       }
-      this.judge();
-      const due = [...blockState.machines.values()].filter((m) => m.releasing !== '').slice(0, releaseLimit);
+      this.markForRelease();
+      const due = [...blockState.machines.values()]
+        .filter((m) => m.releaseReason !== '')
+        .slice(0, releaseLimit);
       if (due.length > 0 && (await cloud.release(due.map((m) => m.id)))) {
         for (const machine of due) {
-          const lost = blockState.remove(machine.id);
-          const { id, place, releasing } = machine;
+          const requeued = blockState.removeTerminated(machine.id);
+          const { id, info, releaseReason } = machine;
           log.info(
-            { event: 'let-go', machine: id, type: place.type, why: releasing, tasks: lost.length },
+            { event: 'let-go', machine: id, type: info.type, why: releaseReason, tasks: requeued.length },
             'let go',
           );
         }
-        onFreed();
+        onTasksRequeued();
       }
       // A release takes its time without anybody being held up.
       if (due.length > 0) processPause.look();
@@ -85,30 +105,33 @@
     }
   }
 
-  private judge(): void {
-    const { blockState, clock, settings, operator, types, log } = this.ports;
+  private markForRelease(): void {
+    const { blockState, clock, settings, operator, machineTypes, log } = this.ports;
     const now = clock();
-    const machines = [...blockState.machines.values()].filter((m) => m.releasing === '');
+    const machines = [...blockState.machines.values()].filter((m) => m.releaseReason === '');
     for (const machine of machines) {
-      const bootMs = (types().get(machine.place.type)?.bootS ?? 0) * 1000 * operator.workers.bootTimes;
-      const patience = Math.max(bootMs, settings.leaseMs * 2);
-      if (!machine.seen && machine.tasks.size === 0 && now - machine.leasedAt > patience) {
-        machine.releasing = 'never came up';
+      const bootMs = (machineTypes().get(machine.info.type)?.bootS ?? 0) * 1000 * operator.workers.bootTimes;
+      const startupLimitMs = Math.max(bootMs, settings.workerLeaseMs * 2);
+      if (!machine.hasSentHeartbeat && machine.tasks.size === 0 && now - machine.leasedAt > startupLimitMs) {
+        machine.releaseReason = 'never came up';
       }
-      const deafSince = machine.deafSince();
-      if (deafSince !== undefined && now - deafSince > settings.reportMs * operator.workers.silentReports) {
-        machine.releasing = 'deaf';
+      const deafSince = machine.oneWayPartitionSince();
+      if (
+        deafSince !== undefined &&
+        now - deafSince > settings.heartbeatIntervalMs * operator.workers.missedHeartbeats
+      ) {
+        machine.releaseReason = 'deaf';
       }
-      for (const task of stragglers(machine, now)) {
+      for (const task of findStragglers(machine, now)) {
         task.stopping = true;
         machine.faulty = true;
         log.info({ event: 'slow', machine: machine.id, job: task.job.id, task: task.index }, 'far too slow');
       }
-      if (machine.faulty && machine.tasks.size === 0 && machine.strays.length === 0)
-        machine.releasing = 'faulty';
+      if (machine.faulty && machine.tasks.size === 0 && machine.orphanedTasks.length === 0)
+        machine.releaseReason = 'faulty';
     }
-    for (const machine of silentMachines(machines, now, settings, operator.workers.silentReports)) {
-      machine.releasing = 'silent';
+    for (const machine of silentMachines(machines, now, settings, operator.workers.missedHeartbeats)) {
+      machine.releaseReason = 'silent';
     }
   }
 }
--- a/src/workers/long-polls.ts
+++ b/src/workers/long-polls.ts
@@ -3,10 +3,10 @@
 import type { Clock } from '../base/clock.js';
 import type { MachineState } from './machine-state.js';
 
-interface Held {
-  until: number;
+interface HeldResponse {
+  dueAt: number;
   machine: MachineState;
-  release: () => void;
+  send: () => void;
 }
 
 /**
@@ -14,39 +14,39 @@
  * timer for each would wake the process as often again as the reports do.
  */
 export class LongPolls {
-  private readonly held = new Set<Held>();
-  private ticking = false;
+  private readonly heldResponses = new Set<HeldResponse>();
+  private isRunning = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly tickMs: number,
+    private readonly checkIntervalMs: number,
   ) {}
 
   /** Calls back when the time is up or somebody wakes the machine, whichever is first. */
-  add(machine: MachineState, ms: number, then: () => void): void {
+  hold(machine: MachineState, maxHoldMs: number, send: () => void): void {
     // A worker has one report under way at a time, so an answer that is still held is one that nobody waits for.
-    machine.wake?.();
-    const entry: Held = {
-      until: this.clock() + ms,
+    machine.sendHeldResponse?.();
+    const entry: HeldResponse = {
+      dueAt: this.clock() + maxHoldMs,
       machine,
-      release: () => {
-        this.held.delete(entry);
-        machine.wake = undefined;
-        then();
+      send: () => {
+        this.heldResponses.delete(entry);
+        machine.sendHeldResponse = undefined;
+        send();
       },
     };
-    machine.wake = entry.release;
-    this.held.add(entry);
-    if (!this.ticking) void this.tick();
+    machine.sendHeldResponse = entry.send;
+    this.heldResponses.add(entry);
+    if (!this.isRunning) void this.sendDueResponses();
   }
 
-  private async tick(): Promise<void> {
-    this.ticking = true;
-    while (this.held.size > 0) {
-      await timer(this.tickMs).over;
+  private async sendDueResponses(): Promise<void> {
+    this.isRunning = true;
+    while (this.heldResponses.size > 0) {
+      await timer(this.checkIntervalMs).over;
       const now = this.clock();
-      for (const entry of [...this.held]) if (entry.until <= now) entry.release();
+      for (const entry of [...this.heldResponses]) if (entry.dueAt <= now) entry.send();
     }
-    this.ticking = false;
+    this.isRunning = false;
   }
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,4 +1,10 @@
-import { type Order, type Report, type ReportedTask, type Resources, taskKey } from '../model/types.js';
+import {
+  type WorkerCommand,
+  type Heartbeat,
+  type ReportedTask,
+  type Resources,
+  taskKey,
+} from '../model/types.js';
 import type { JobState, Task } from '../placement/job-state.js';
 import type { MachineState } from './machine-state.js';
 
@@ -12,100 +18,107 @@
   /** `stale`: a newer report is known. `outranked`: somebody has a higher token than ours. */
   verdict: 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
   findings: Finding[];
-  orders: Order[];
+  commands: WorkerCommand[];
 }
 
-export interface ReconcileFacts {
+export interface ReconciliationInputs {
   now: number;
   jobs: ReadonlyMap<string, JobState>;
   /** False while nothing may be started, for instance without the state service. */
   mayStart: boolean;
 }
 
-const nothing: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
+const noResources: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
 
 /** Brings a machine's record in line with its report and says what to answer. */
-export function reconcile(machine: MachineState, report: Report, facts: ReconcileFacts): Reconciliation {
+export function reconcile(
+  machine: MachineState,
+  heartbeat: Heartbeat,
+  inputs: ReconciliationInputs,
+): Reconciliation {
   const findings: Finding[] = [];
-  const orders: Order[] = [];
-  if (report.token > machine.token) return { verdict: 'outranked', findings, orders };
-  const newer =
-    report.session > machine.session || (report.session === machine.session && report.seq > machine.seq);
+  const commands: WorkerCommand[] = [];
+  if (heartbeat.fencingToken > machine.fencingToken) return { verdict: 'outranked', findings, commands };
+  const isNewer =
+    heartbeat.agentEpoch > machine.agentEpoch ||
+    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence);
   // Held back by a cut and overtaken by a later report: its task list is history.
-  if (!newer) return { verdict: 'stale', findings, orders };
-  machine.session = report.session;
-  machine.seq = report.seq;
-  machine.lastSeen = facts.now;
-  if (!machine.seen) machine.seenAt = facts.now;
-  machine.seen = true;
-  machine.address = report.address;
-  machine.notice = report.noticeS;
+  if (!isNewer) return { verdict: 'stale', findings, commands };
+  machine.agentEpoch = heartbeat.agentEpoch;
+  machine.sequence = heartbeat.sequence;
+  machine.lastHeartbeatAt = inputs.now;
+  if (!machine.hasSentHeartbeat) machine.firstHeartbeatAt = inputs.now;
+  machine.hasSentHeartbeat = true;
+  machine.address = heartbeat.address;
+  machine.preemptionNoticeS = heartbeat.preemptionNoticeS;
   // Until it has seen our token, a command of an earlier owner may still reach it.
-  machine.reconciled = report.token === machine.token;
-  if (!machine.reconciled) return { verdict: 'unreconciled', findings, orders };
+  machine.reconciled = heartbeat.fencingToken === machine.fencingToken;
+  if (!machine.reconciled) return { verdict: 'unreconciled', findings, commands };
 
-  const reported = new Map<string, ReportedTask[]>();
-  for (const task of report.tasks) {
+  const reportedByTask = new Map<string, ReportedTask[]>();
+  for (const task of heartbeat.tasks) {
     const key = taskKey(task);
-    reported.set(key, [...(reported.get(key) ?? []), task]);
+    reportedByTask.set(key, [...(reportedByTask.get(key) ?? []), task]);
   }
   for (const [key, task] of machine.tasks) {
-    if (task.phase !== 'placing') checkIntent(task, reported.get(key) ?? [], facts, findings, orders);
+    if (task.phase !== 'placing')
+      reconcileIntent(task, reportedByTask.get(key) ?? [], inputs, findings, commands);
   }
-  machine.strays = [];
-  for (const task of report.tasks) checkReported(machine, task, facts, findings, orders);
-  return { verdict: 'reconciled', findings, orders };
+  machine.orphanedTasks = [];
+  for (const task of heartbeat.tasks) reconcileReportedTask(machine, task, inputs, findings, commands);
+  return { verdict: 'reconciled', findings, commands };
 }
 
-function checkIntent(
+function reconcileIntent(
   task: Task,
   reported: ReportedTask[],
-  facts: ReconcileFacts,
+  inputs: ReconciliationInputs,
   findings: Finding[],
-  orders: Order[],
+  commands: WorkerCommand[],
 ): void {
   const ref = { job: task.job.id, index: task.index };
-  const own = reported.find((r) => r.attempt === task.attempt);
-  if (own) {
-    if (own.state !== 'ended') {
-      findings.push({ kind: 'seen', task, running: own.state === 'running' });
-      const graceS = task.job.ended ? 0 : (task.job.spec?.saveS ?? 0);
-      if (task.job.ended || task.stopping)
-        orders.push({ kind: 'stop', ...ref, attempt: task.attempt, graceS });
-    } else if (own.cause !== 'done') findings.push({ kind: 'left', task, cause: own.cause });
+  const reportedAttempt = reported.find((r) => r.attempt === task.attempt);
+  if (reportedAttempt) {
+    if (reportedAttempt.state !== 'ended') {
+      findings.push({ kind: 'seen', task, running: reportedAttempt.state === 'running' });
+      const graceS = task.job.outcome ? 0 : (task.job.spec?.checkpointSaveS ?? 0);
+      if (task.job.outcome || task.stopping)
+        commands.push({ kind: 'stop', ...ref, attempt: task.attempt, graceS });
+    } else if (reportedAttempt.cause !== 'done')
+      findings.push({ kind: 'left', task, cause: reportedAttempt.cause });
     return;
   }
   // A reconciled report without the task proves that it is not there: a start travels only in the answer to a
   // report, and the worker has settled that answer before it sends the next one.
-  if (task.phase === 'seen' || task.job.ended) findings.push({ kind: 'left', task, cause: 'absent' });
+  if (task.phase === 'seen' || task.job.outcome) findings.push({ kind: 'left', task, cause: 'absent' });
   else if (reported.some((r) => r.state !== 'ended'))
     return; // an older attempt has to go first
-  else if (facts.mayStart) orders.push({ kind: 'start', ...ref, attempt: task.attempt });
+  else if (inputs.mayStart) commands.push({ kind: 'start', ...ref, attempt: task.attempt });
 }
 
-function checkReported(
+function reconcileReportedTask(
   machine: MachineState,
   reported: ReportedTask,
-  facts: ReconcileFacts,
+  inputs: ReconciliationInputs,
   findings: Finding[],
-  orders: Order[],
+  commands: WorkerCommand[],
 ): void {
-  const job = facts.jobs.get(reported.job);
+  const job = inputs.jobs.get(reported.job);
   const { job: id, index, attempt } = reported;
   const intent = machine.tasks.get(taskKey(reported));
-  const isIntent = intent !== undefined && intent.phase !== 'placing' && intent.attempt === attempt;
+  const isIntended = intent !== undefined && intent.phase !== 'placing' && intent.attempt === attempt;
   if (reported.state === 'ended') {
-    const open = job !== undefined && job.ended === undefined;
-    if (open && reported.cause === 'done' && !job.isDoneCommitted(index)) {
+    const isOpen = job !== undefined && job.outcome === undefined;
+    if (isOpen && reported.cause === 'done' && !job.isDoneCommitted(index)) {
       // Whichever attempt completed it, the task is complete; it is forgotten once that is committed.
       if (!job.isDone(index)) findings.push({ kind: 'completed', job, index });
       return;
     }
-    if (!isIntent || reported.cause !== 'done' || !open)
-      orders.push({ kind: 'forget', job: id, index, attempt });
+    if (!isIntended || reported.cause !== 'done' || !isOpen)
+      commands.push({ kind: 'forget', job: id, index, attempt });
     return;
   }
-  if (isIntent) return;
-  machine.strays.push({ task: reported, need: job?.need ?? nothing, team: job?.team ?? '' });
-  orders.push({ kind: 'stop', job: id, index, attempt, graceS: 0 });
+  if (isIntended) return;
+  machine.orphanedTasks.push({ task: reported, need: job?.need ?? noResources, team: job?.team ?? '' });
+  commands.push({ kind: 'stop', job: id, index, attempt, graceS: 0 });
 }
--- a/src/workers/report-handler.ts
+++ b/src/workers/report-handler.ts
@@ -1,96 +1,107 @@
 import type { Clock } from '../base/clock.js';
 import type { LeanRoute, Reply } from '../base/replies.js';
-import type { Registry } from '../blocks/registry.js';
-import type { BlockLeases } from '../blocks/block-leases.js';
-import { type Order, taskKey } from '../model/types.js';
+import type { BlockRegistry } from '../blocks/registry.js';
+import type { OwnedBlocks } from '../blocks/block-leases.js';
+import { type WorkerCommand, taskKey } from '../model/types.js';
 import type { Task } from '../placement/job-state.js';
 import type { Scheduler } from '../placement/scheduler.js';
-import { parseReport, redirectAnswer, reportAnswer } from '../wire/workers.js';
+import { parseHeartbeat, redirectResponse, heartbeatResponse } from '../wire/workers.js';
 import { LongPolls } from './long-polls.js';
 import type { MachineState } from './machine-state.js';
 
 /** One report on its way to its answer. */
-interface PendingReport {
+interface PendingHeartbeat {
   machine: MachineState;
-  answer: Answer;
-  now: number;
-  token: number;
-  seq: number;
-  orders: Order[];
+  respond: Respond;
+  receivedAt: number;
+  fencingToken: number;
+  sequence: number;
+  commands: WorkerCommand[];
   /** Tasks that the machine had, or may have had, when the report was read. */
-  before: Task[];
+  tasksBefore: Task[];
 }
 
-export interface ReportHandlerPorts {
+export interface HeartbeatHandlerPorts {
   clock: Clock;
   label: string;
-  leases: BlockLeases;
-  registry: Registry;
+  leases: OwnedBlocks;
+  registry: BlockRegistry;
   leader: () => string | undefined;
   /** The store serves us and what we know of it is recent. */
-  mayStart: () => boolean;
+  mayStartTasks: () => boolean;
   /** Workers may be answered: we know, or our peers do, whom users were told is cancelled. */
-  mayAnswer: () => boolean;
+  mayRespondToWorkers: () => boolean;
   /** Connections are scarce: no answer is held, since it would keep its connection. */
-  isCrowded: () => boolean;
-  reportMs: number;
+  areConnectionsScarce: () => boolean;
+  heartbeatIntervalMs: number;
   /** How long an answer may wait for the commit of what it is to start. */
-  settleMs: number;
+  maxCommitWaitMs: number;
 }
 
 /** How long an answer is held where there is room, in report intervals: well below the 4 s that workers wait. */
-const holdShares = { empty: 0.5, busy: 0.25 };
+const holdHeartbeatIntervals = { empty: 0.5, busy: 0.25 };
 /** Held answers are looked at so many times in the shortest time that one is held. */
-const looksPerHold = 4;
+const checksPerHold = 4;
 /** Finished tasks are left in a worker's reports for so many report intervals if nothing else is to be said. */
-const tidyReports = 2;
+const forgetDelayHeartbeatIntervals = 2;
 
 /** The protocol's time for an answer to a report. */
-const workerWaitsMs = 4000;
+const workerTimeoutMs = 4000;
 
-type Answer = (reply: Reply) => void;
+type Respond = (reply: Reply) => void;
 
 /** Answers workers' reports: whoever is not entitled to command a machine sends its worker on. */
-export class ReportHandler {
+export class HeartbeatHandler {
   private readonly longPolls: LongPolls;
 
-  constructor(private readonly ports: ReportHandlerPorts) {
-    this.longPolls = new LongPolls(ports.clock, (ports.reportMs * holdShares.busy) / looksPerHold);
+  constructor(private readonly ports: HeartbeatHandlerPorts) {
+    this.longPolls = new LongPolls(
+      ports.clock,
+      (ports.heartbeatIntervalMs * holdHeartbeatIntervals.busy) / checksPerHold,
+    );
   }
 
   readonly route: LeanRoute = {
     method: 'POST',
     path: '/hello',
     queued: true,
-    handle: (body, answer) => this.receive(body, answer),
+    handle: (body, answer) => this.handle(body, answer),
   };
 
   /** The usual report has nothing new and nothing to start: it is answered at once, or held, and costs little else. */
-  receive(body: unknown, answer: Answer): void {
-    const { leases, mayStart, mayAnswer, clock, settleMs } = this.ports;
-    const report = parseReport(body);
-    if (!report) return answer({ status: 400, body: { error: 'not a report' } });
-    const heldBlock = leases.find(report.machine);
-    if (!heldBlock) return answer(this.sendOn(report.machine));
-    if (!mayAnswer()) return answer({ status: 421, body: redirectAnswer(undefined) });
+  handle(body: unknown, respond: Respond): void {
+    const { leases, mayStartTasks, mayRespondToWorkers, clock, maxCommitWaitMs } = this.ports;
+    const heartbeat = parseHeartbeat(body);
+    if (!heartbeat) return respond({ status: 400, body: { error: 'not a report' } });
+    const heldBlock = leases.findMachine(heartbeat.machine);
+    if (!heldBlock) return respond(this.redirect(heartbeat.machine));
+    if (!mayRespondToWorkers()) return respond({ status: 421, body: redirectResponse(undefined) });
     const { blockState, scheduler, machine } = heldBlock;
-    const result = blockState.report(machine, report, mayStart());
+    const result = blockState.applyHeartbeat(machine, heartbeat, mayStartTasks());
     // Somebody has leased the machine after us, and the watch has yet to tell us.
-    if (result.verdict === 'outranked') return answer({ status: 421, body: redirectAnswer(undefined) });
+    if (result.verdict === 'outranked') return respond({ status: 421, body: redirectResponse(undefined) });
     const now = clock();
-    if (result.verdict === 'unreconciled') machine.introducedAt ??= now;
+    if (result.verdict === 'unreconciled') machine.fencingTokenOfferedAt ??= now;
     if (result.verdict !== 'reconciled')
-      return answer({ status: 200, body: reportAnswer(machine.token, result.orders) });
-    machine.introducedAt = undefined;
-    const { token, seq } = machine;
+      return respond({ status: 200, body: heartbeatResponse(machine.fencingToken, result.commands) });
+    machine.fencingTokenOfferedAt = undefined;
+    const { fencingToken, sequence } = machine;
     // What is placed from here on is not among the orders yet.
-    const before = [...machine.tasks.values()].filter((task) => task.phase !== 'placing');
-    const pending: PendingReport = { machine, answer, now, token, seq, orders: result.orders, before };
-    scheduler.placeNow(machine);
-    if (machine.tasks.size === before.length) return this.holdOrAnswer(pending, scheduler);
+    const tasksBefore = [...machine.tasks.values()].filter((task) => task.phase !== 'placing');
+    const pending: PendingHeartbeat = {
+      machine,
+      respond,
+      receivedAt: now,
+      fencingToken,
+      sequence,
+      commands: result.commands,
+      tasksBefore,
+    };
+    scheduler.placeOn(machine);
+    if (machine.tasks.size === tasksBefore.length) return this.holdOrRespond(pending, scheduler);
     void scheduler
-      .decided(() => machine.tasks.values(), settleMs)
-      .then(() => this.holdOrAnswer(pending, scheduler));
+      .waitForCommits(() => machine.tasks.values(), maxCommitWaitMs)
+      .then(() => this.holdOrRespond(pending, scheduler));
   }
 
   /**
@@ -98,72 +109,87 @@
    * with room left it is held a while longer: what comes meanwhile starts at once instead of with the next report. A
    * worker with tasks has news of its own soon, so its answer is held for less.
    */
-  private holdOrAnswer(pending: PendingReport, scheduler: Scheduler): void {
-    const { reportMs, mayStart, isCrowded } = this.ports;
-    const { machine, orders } = pending;
-    const quiet = orders.every((order) => order.kind === 'forget') && this.newOrders(pending).length === 0;
-    if (!quiet || isCrowded() || !mayStart() || !scheduler.hasRoom(machine)) return this.finish(pending);
-    const share = machine.tasks.size === 0 ? holdShares.empty : holdShares.busy;
-    this.longPolls.add(machine, reportMs * share, () => this.finish(pending));
+  private holdOrRespond(pending: PendingHeartbeat, scheduler: Scheduler): void {
+    const { heartbeatIntervalMs, mayStartTasks, areConnectionsScarce } = this.ports;
+    const { machine, commands } = pending;
+    const hasNothingToSay =
+      commands.every((order) => order.kind === 'forget') && this.newCommands(pending).length === 0;
+    if (!hasNothingToSay || areConnectionsScarce() || !mayStartTasks() || !scheduler.hasRoom(machine))
+      return this.respondTo(pending);
+    const share = machine.tasks.size === 0 ? holdHeartbeatIntervals.empty : holdHeartbeatIntervals.busy;
+    this.longPolls.hold(machine, heartbeatIntervalMs * share, () => this.respondTo(pending));
   }
 
-  private finish(pending: PendingReport): void {
-    const { machine, token, seq, answer } = pending;
+  private respondTo(pending: PendingHeartbeat): void {
+    const { machine, fencingToken, sequence, respond } = pending;
     const now = this.ports.clock();
     // We were held up ourselves: the worker has long asked another, and drops what is said now.
-    const late = now - pending.now > workerWaitsMs;
+    const hasTimedOut = now - pending.receivedAt > workerTimeoutMs;
     // Whatever came in between, a start goes out only under the token that its intent was committed with.
-    const valid =
-      machine.token === token &&
-      machine.seq === seq &&
-      machine.releasing === '' &&
-      !late &&
-      this.ports.mayStart();
-    const orders: Order[] = [];
-    for (const order of valid ? [...pending.orders, ...this.newOrders(pending)] : pending.orders) {
-      if (order.kind === 'start') {
+    const mayStillStart =
+      machine.fencingToken === fencingToken &&
+      machine.sequence === sequence &&
+      machine.releaseReason === '' &&
+      !hasTimedOut &&
+      this.ports.mayStartTasks();
+    const commands: WorkerCommand[] = [];
+    for (const command of mayStillStart
+      ? [...pending.commands, ...this.newCommands(pending)]
+      : pending.commands) {
+      if (command.kind === 'start') {
         // While the answer was held its job may have ended, and what may be told to start now was said then.
-        const task = machine.tasks.get(taskKey(order));
-        if (!valid || task?.phase !== 'placed' || task.attempt !== order.attempt || task.job.ended) continue;
-        task.orderedAt ??= now;
+        const task = machine.tasks.get(taskKey(command));
+        if (
+          !mayStillStart ||
+          task?.phase !== 'placed' ||
+          task.attempt !== command.attempt ||
+          task.job.outcome
+        )
+          continue;
+        task.startSentAt ??= now;
       }
-      orders.push(order);
+      commands.push(command);
     }
-    answer({ status: 200, body: reportAnswer(token, this.gather(machine, orders, now)) });
+    respond({
+      status: 200,
+      body: heartbeatResponse(fencingToken, this.batchCommands(machine, commands, now)),
+    });
   }
 
   /** What has been committed for the machine since its report came, and what has ended since. */
-  private newOrders({ machine, before }: PendingReport): Order[] {
-    const orders: Order[] = [];
+  private newCommands({ machine, tasksBefore }: PendingHeartbeat): WorkerCommand[] {
+    const commands: WorkerCommand[] = [];
     for (const task of machine.tasks.values()) {
       const { index, attempt, phase, job } = task;
       const ref = { job: job.id, index, attempt };
-      if (phase === 'placed' && !before.includes(task) && !job.ended) orders.push({ kind: 'start', ...ref });
-      else if (phase === 'seen' && job.ended) orders.push({ kind: 'stop', ...ref, graceS: 0 });
+      if (phase === 'placed' && !tasksBefore.includes(task) && !job.outcome)
+        commands.push({ kind: 'start', ...ref });
+      else if (phase === 'seen' && job.outcome) commands.push({ kind: 'stop', ...ref, graceS: 0 });
     }
-    return orders;
+    return commands;
   }
 
   /**
    * What a worker forgets is a change of its tasks, and every change makes it report again. So mere tidying waits for
    * other orders to go with, for two reports at the most.
    */
-  private gather(machine: MachineState, orders: Order[], now: number): Order[] {
-    const { reportMs } = this.ports;
-    if (orders.length === 0) return orders;
-    const tidying = orders.every((order) => order.kind === 'forget');
-    if (tidying && now - machine.tidiedAt < reportMs * tidyReports) return [];
-    machine.tidiedAt = now;
+  private batchCommands(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
+    const { heartbeatIntervalMs } = this.ports;
+    if (commands.length === 0) return commands;
+    const isForgetOnly = commands.every((order) => order.kind === 'forget');
+    if (isForgetOnly && now - machine.lastForgetAt < heartbeatIntervalMs * forgetDelayHeartbeatIntervals)
+      return [];
+    machine.lastForgetAt = now;
     // A worker carries orders out in turn, and an earlier attempt must be out of the way before the next one starts.
-    return [...orders.filter((o) => o.kind === 'forget'), ...orders.filter((o) => o.kind !== 'forget')];
+    return [...commands.filter((o) => o.kind === 'forget'), ...commands.filter((o) => o.kind !== 'forget')];
   }
 
-  private sendOn(machine: string): Reply {
+  private redirect(machine: string): Reply {
     const { registry, leader, label } = this.ports;
     // A machine in no block has the leader to hear of it; the list will, too.
-    const to = registry.ownerOf(machine) ?? leader();
-    return to === undefined || to === label
-      ? { status: 503, body: redirectAnswer(undefined) }
-      : { status: 421, body: redirectAnswer(to) };
+    const owner = registry.ownerOf(machine) ?? leader();
+    return owner === undefined || owner === label
+      ? { status: 503, body: redirectResponse(undefined) }
+      : { status: 421, body: redirectResponse(owner) };
   }
 }
--- a/src/workers/slowness.ts
+++ b/src/workers/slowness.ts
@@ -2,18 +2,18 @@
 import type { MachineState } from './machine-state.js';
 
 /** How many tasks of a job must have completed before one of them is compared with them. */
-const leastRuns = 3;
+const minCompletedRuns = 3;
 /** Speeds of good machines differ by a tenth, and the tasks of a job by more; beyond this it is the machine. */
-const slowTimes = 3;
+const stragglerRunTimeRatio = 3;
 
 /**
  * Tasks that have run for several times as long as any completed one of their job, and as the owner's estimate says: the
  * machine under them is most likely faulty, and starting them again elsewhere is the sooner way to their end.
  */
-export function stragglers(machine: MachineState, now: number): Task[] {
+export function findStragglers(machine: MachineState, now: number): Task[] {
   return [...machine.tasks.values()].filter(({ phase, running, runningSince, stopping, job }) => {
-    if (phase !== 'seen' || !running || stopping || runningSince === undefined || job.ended) return false;
-    const usualMs = Math.max(job.longestRunMs, (job.spec?.estimateS ?? Infinity) * 1000);
-    return job.runs >= leastRuns && now - runningSince > usualMs * slowTimes;
+    if (phase !== 'seen' || !running || stopping || runningSince === undefined || job.outcome) return false;
+    const usualMs = Math.max(job.maxRunMs, (job.spec?.estimatedRunS ?? Infinity) * 1000);
+    return job.completedRuns >= minCompletedRuns && now - runningSince > usualMs * stragglerRunTimeRatio;
   });
 }
--- a/src/workers/workers.test.ts
+++ b/src/workers/workers.test.ts
@@ -6,7 +6,7 @@
 import { runTrace } from '../testing/traces.js';
 import type { Task } from '../placement/job-state.js';
 import { MachineState } from './machine-state.js';
-import { excusedMs, nobodyIsHeard, silentMachines } from './failure-detection.js';
+import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
 
 describe('traces of reports and what comes of them', () => {
   const folder = 'src/workers/traces';
@@ -19,11 +19,11 @@
 });
 
 test('a silent machine among others is let go; a silent zone is given until its leases have run out', () => {
-  const times = { reportMs: 1000, leaseMs: 6000, cancelMs: 16_000 };
+  const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const machine = (id: string, zone: string, lastSeen: number): MachineState => {
     const state = new MachineState(id, lastSeen);
-    state.place = { id, type: 'c8', zone, spot: false };
-    state.seen = true;
+    state.info = { id, type: 'c8', zone, spot: false };
+    state.hasSentHeartbeat = true;
     return state;
   };
   const names = (machines: MachineState[], now: number): string[] =>
@@ -42,9 +42,9 @@
 
 // Guards against releasing a whole block: its last owner was without the store and its peers, and kept its workers.
 test('a machine that has yet to report to its new owner is given as long as the one before may keep it', () => {
-  const times = { reportMs: 1000, leaseMs: 6000, cancelMs: 16_000 };
+  const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const state = new MachineState('m1', 0);
-  state.place = { id: 'm1', type: 'c8', zone: 'a', spot: false };
+  state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
   state.tasks.set('req-1/0', {} as Task);
   const judged = (now: number): number => silentMachines([state], now, times, 3).length;
   // cancel_s - lease_s, and then the three reports that any machine is given.
@@ -55,16 +55,16 @@
 test('who was held up itself judges nobody by that time', () => {
   let now = 0;
   const processPause = new ProcessPause(() => now, 1000);
-  const times = { reportMs: 1000, leaseMs: 6000, cancelMs: 16_000 };
+  const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const state = new MachineState('m1', 0);
-  state.place = { id: 'm1', type: 'c8', zone: 'a', spot: false };
-  state.seen = true;
-  const task = { phase: 'placed', orderedAt: 0 } as Task;
+  state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
+  state.hasSentHeartbeat = true;
+  const task = { phase: 'placed', startSentAt: 0 } as Task;
   state.tasks.set('req-1/0', task);
   const look = (at: number): [silent: number, deafSince: number | undefined] => {
     now = at;
-    state.excuse(processPause.look());
-    return [silentMachines([state], now, times, 3).length, state.deafSince()];
+    state.addGrace(processPause.look());
+    return [silentMachines([state], now, times, 3).length, state.oneWayPartitionSince()];
   };
   assert.deepEqual(look(1000), [0, 0]);
   assert.deepEqual(look(27_000), [0, 25_000]);
@@ -79,13 +79,13 @@
   let utilization = 1;
   const probe: UtilizationProbe = () => ({ idle: 0, active: 0, utilization });
   const saturation = new Saturation(probe);
-  const times = { reportMs: 1000, leaseMs: 6000, cancelMs: 16_000 };
+  const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const releasedAt = (): number => {
     const state = new MachineState('m1', 0);
-    state.place = { id: 'm1', type: 'c8', zone: 'a', spot: false };
-    state.seen = true;
+    state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
+    state.hasSentHeartbeat = true;
     for (let now = 500; now < 60_000; now += 500) {
-      state.excuse(excusedMs({ passedMs: 500, heldUpMs: 0, saturated: saturation.look() }));
+      state.addGrace(ownDelayGraceMs({ passedMs: 500, heldUpMs: 0, saturated: saturation.look() }));
       if (silentMachines([state], now, times, 3).length > 0) return now;
     }
     return Infinity;
@@ -99,11 +99,11 @@
 test('who hears none of many machines is most likely cut off itself; one that speaks, or few, say nothing of it', () => {
   const machine = (lastSeen: number): MachineState => {
     const state = new MachineState('m', lastSeen);
-    state.seen = true;
+    state.hasSentHeartbeat = true;
     return state;
   };
   const judged = (lastSeen: number[], now: number): boolean => {
-    return nobodyIsHeard(
+    return noHeartbeatsReceived(
       lastSeen.map((at) => machine(at)),
       now,
       1000,
