--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -1,6 +1,6 @@
 import { sleep } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
-import type { Autoscaler } from '../ladder/fleet.js';
+import type { Autoscaler } from '../ladder/autoscaler.js';
 import { needOf } from '../placement/job-index.js';
 import type { Team } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
@@ -9,8 +9,8 @@
 import type { Condition } from '../wire/state.js';
 import { BlockWriter } from './block-writer.js';
 import { Dispatcher, type DispatcherPorts } from './dispatcher.js';
-import { type Member, unownedBlock, assignBlocks } from './leasing.js';
-import { type TeamDemand, allocateQuotaShares } from './shares.js';
+import { type Member, unownedBlock, assignBlocks } from './block-assignment.js';
+import { type TeamDemand, allocateQuotaShares } from './quota-shares.js';
 
 export interface BlockAllocatorPorts extends DispatcherPorts {
   store: StoreClient;
--- a/src/blocks/registry.ts
+++ b/src/blocks/block-registry.ts
@@ -8,7 +8,7 @@
 } from '../wire/block-records.js';
 import { currentFormat, parseAlive, parseFormat } from '../wire/controller-records.js';
 import { type StoredValue, blockKey, formatKey, machinesPrefix } from '../wire/keys.js';
-import type { Member } from './leasing.js';
+import type { Member } from './block-assignment.js';
 
 /** A block as the copy of the store has it. */
 export interface StoredBlock {
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -2,7 +2,7 @@
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import { sizeOf } from '../wire/codec.js';
 import {
   type BlockRecord,
@@ -15,7 +15,7 @@
 } from '../wire/block-records.js';
 import { blockKey, machinesKey } from '../wire/keys.js';
 import { type Condition, type Write, maxTransactionBytes } from '../wire/state.js';
-import type { BlockRegistry, StoredBlock } from './registry.js';
+import type { BlockRegistry, StoredBlock } from './block-registry.js';
 
 /** A change of one page; without machines it is dropped. */
 export interface PageChange {
--- a/src/blocks/blocks.test.ts
+++ b/src/blocks/blocks.test.ts
@@ -2,16 +2,16 @@
 import { test } from 'node:test';
 import type { JobSpec } from '../model/types.js';
 import { JobIndex, type IndexedEntry } from '../placement/job-index.js';
-import { QueueOrder, type QueuedJob, withoutDependencies } from '../placement/order.js';
+import { QueueOrder, type QueuedJob, withoutDependencies } from '../placement/queue-order.js';
 import { testSettings } from '../testing/settings.js';
 import { machineType } from '../testing/cloud-standin.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import type { TaskRange } from '../wire/job-records.js';
-import { type AssignmentInput, assignBlocks } from './leasing.js';
-import { CapacityEstimate, mergeTaskRanges, undispatchedRanges } from './block-capacity.js';
-import { restoreStartedTasks, recallTasks } from './rebalance.js';
-import { allocateQuotaShares } from './shares.js';
+import { type AssignmentInput, assignBlocks } from './block-assignment.js';
+import { CapacityEstimate, mergeTaskRanges, undispatchedRanges } from './capacity-estimate.js';
+import { restoreStartedTasks, recallTasks } from './task-recall.js';
+import { allocateQuotaShares } from './quota-shares.js';
 
 const machine = (id: string, zone = 'a', change: Partial<LeasedMachine> = {}): LeasedMachine => ({
   id,
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -4,23 +4,23 @@
 import type { Term } from '../leadership/term.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import { type JobIndex, type IndexedJob, needOf } from '../placement/job-index.js';
-import type { QueueOrder } from '../placement/order.js';
+import type { QueueOrder } from '../placement/queue-order.js';
 import { TeamUsage } from '../placement/placement-round.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { type TaskRange, jobRecord, maxTaskRanges } from '../wire/job-records.js';
 import { jobKey, leaderKey } from '../wire/keys.js';
-import { restoreStartedTasks, recallTasks } from './rebalance.js';
-import type { BlockRegistry } from './registry.js';
+import { restoreStartedTasks, recallTasks } from './task-recall.js';
+import type { BlockRegistry } from './block-registry.js';
 import {
   type BlockSlots,
   CapacityEstimate,
   isZoneConstrained,
   undispatchedRanges,
   countUndispatchedTasks,
-} from './block-capacity.js';
+} from './capacity-estimate.js';
 
 export interface DispatcherPorts {
   clock: Clock;
--- a/src/blocks/job-home.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -3,9 +3,9 @@
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { TaskRange } from '../wire/job-records.js';
-import { CapacityEstimate } from './block-capacity.js';
-import type { BlockRegistry } from './registry.js';
-import type { BootedMachines } from './up-machines.js';
+import { CapacityEstimate } from './capacity-estimate.js';
+import type { BlockRegistry } from './block-registry.js';
+import type { BootedMachines } from './booted-machines.js';
 
 export interface InitialDispatcherPorts {
   clock: Clock;
--- a/src/blocks/block-leases.ts
+++ b/src/blocks/owned-blocks.ts
@@ -6,21 +6,21 @@
 import type { MachineType } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
 import type { JobIndex } from '../placement/job-index.js';
-import type { QueueOrder } from '../placement/order.js';
+import type { QueueOrder } from '../placement/queue-order.js';
 import { Scheduler } from '../placement/scheduler.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import type { Change } from '../wire/state.js';
 import { HealthMonitor } from '../workers/health-monitor.js';
-import type { MachineState } from '../workers/machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 import { BlockWriter } from './block-writer.js';
-import { transferBlock } from './leasing.js';
-import type { BlockRegistry } from './registry.js';
+import { transferBlock } from './block-assignment.js';
+import type { BlockRegistry } from './block-registry.js';
 
 export interface OwnedBlocksPorts {
   clock: Clock;
--- a/src/blocks/rebalance.ts
+++ b/src/blocks/task-recall.ts
@@ -2,7 +2,7 @@
 import type { IndexedEntry } from '../placement/job-index.js';
 import { fromRanges } from '../base/ranges.js';
 import type { TaskRange } from '../wire/job-records.js';
-import { isZoneConstrained, mergeTaskRanges, undispatchedRanges } from './block-capacity.js';
+import { isZoneConstrained, mergeTaskRanges, undispatchedRanges } from './capacity-estimate.js';
 
 type Entry = Pick<IndexedEntry, 'block' | 'active' | 'done'>;
 
--- a/src/controller.ts
+++ b/src/controller/controller.ts
@@ -2,44 +2,44 @@
 import { setMaxListeners } from 'node:events';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { type Clock, sleep, steadyClock } from './base/clock.js';
-import { ConnectionLoad } from './base/connection-load.js';
-import type { Log } from './base/log.js';
-import { runRoutine } from './base/routine.js';
-import { type RequestHandler, serveWeb } from './base/web.js';
-import { BlockAllocator } from './blocks/block-allocator.js';
-import { BlockRegistry } from './blocks/registry.js';
-import { OwnedBlocks } from './blocks/block-leases.js';
-import { InitialDispatcher } from './blocks/job-home.js';
-import { BootedMachines } from './blocks/up-machines.js';
-import { CloudClient } from './cloud/client.js';
-import { Cancellations } from './intake/cancellations.js';
-import { Cascade } from './dependencies/cascade.js';
-import { EndReader } from './intake/end-reader.js';
-import { Intake } from './intake/intake.js';
-import { Autoscaler } from './ladder/fleet.js';
+import { type Clock, sleep, steadyClock } from '../base/clock.js';
+import { ConnectionLoad } from '../base/connection-load.js';
+import type { Log } from '../base/log.js';
+import { runRoutine } from '../base/routine.js';
+import { type RequestHandler, serveWeb } from '../base/web.js';
+import { BlockAllocator } from '../blocks/block-allocator.js';
+import { BlockRegistry } from '../blocks/block-registry.js';
+import { OwnedBlocks } from '../blocks/owned-blocks.js';
+import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
+import { BootedMachines } from '../blocks/booted-machines.js';
+import { CloudClient } from '../cloud/client.js';
+import { Cancellations } from '../intake/cancellations.js';
+import { Cascade } from '../dependencies/cascade.js';
+import { EndReader } from '../intake/end-reader.js';
+import { Intake } from '../intake/intake.js';
+import { Autoscaler } from '../ladder/autoscaler.js';
 import {
   type HeartbeatAnswerFacts,
   answerHeartbeatsUntil,
   answeringSpanMs,
   peerHasStoreAfterLeaseExpiry,
-} from './leadership/answering.js';
-import { Election } from './leadership/election.js';
-import { Membership } from './leadership/membership.js';
-import type { Term } from './leadership/term.js';
-import type { MachineType } from './model/types.js';
-import { PeerLinks, splitAddress } from './peers/links.js';
-import { JobIndex } from './placement/job-index.js';
-import { QueueOrder } from './placement/order.js';
-import type { OperatorSettings } from './settings/operator.js';
-import type { Settings } from './settings/settings.js';
-import { type TrafficClass, StoreClient } from './store/client.js';
-import { CommitQueue } from './store/commit-stage.js';
-import { Mirror } from './store/mirror.js';
-import { outcomeRecord, parseOutcome } from './wire/job-records.js';
-import { outcomeKey, jobOfOutcomeKey, leaderKey } from './wire/keys.js';
-import type { PeerStatus } from './wire/peer-status.js';
-import { HeartbeatHandler } from './workers/report-handler.js';
+} from '../leadership/heartbeat-answering.js';
+import { Election } from '../leadership/election.js';
+import { Membership } from '../leadership/membership.js';
+import type { Term } from '../leadership/term.js';
+import type { MachineType } from '../model/types.js';
+import { PeerLinks, splitAddress } from '../peers/peer-links.js';
+import { JobIndex } from '../placement/job-index.js';
+import { QueueOrder } from '../placement/queue-order.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import type { Settings } from '../settings/settings.js';
+import { type TrafficClass, StoreClient } from '../store/client.js';
+import { CommitQueue } from '../store/commit-queue.js';
+import { Mirror } from '../store/mirror.js';
+import { outcomeRecord, parseOutcome } from '../wire/job-records.js';
+import { outcomeKey, jobOfOutcomeKey, leaderKey } from '../wire/keys.js';
+import type { PeerStatus } from '../wire/peer-status.js';
+import { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
 const storeProbeIntervalMs = 400;
 const machineTypesRefreshMs = 30_000;
@@ -252,7 +252,7 @@
     });
     const lean = [reportHandler.route, this.intake.health];
     const loadHandler = async (): Promise<RequestHandler> => {
-      const { createUserHandler } = await import('./base/user-handler.js');
+      const { createUserHandler } = await import('../base/user-handler.js');
       return createUserHandler(this.intake.routes, lean, log);
     };
     const listen = {
--- a/src/dependencies/cascade.ts
+++ b/src/dependencies/cascade.ts
@@ -4,9 +4,9 @@
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
-import { changesPerOutcome, outcomeTransaction } from '../wire/end-transaction.js';
+import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
 import { outcomeKey } from '../wire/keys.js';
 
 export interface CascadePorts {
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -1,10 +1,14 @@
 /** Cancels jobs for their users. */
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
-import { type OutcomeTransaction, changesPerOutcome, outcomeTransaction } from '../wire/end-transaction.js';
+import {
+  type OutcomeTransaction,
+  changesPerOutcome,
+  outcomeTransaction,
+} from '../wire/outcome-transaction.js';
 import { parseJobRecord } from '../wire/job-records.js';
 import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
 import type { JobStatusReader, JobStatusResult } from './job-status.js';
--- a/src/intake/job-status.ts
+++ b/src/intake/job-status.ts
@@ -2,7 +2,7 @@
 import type { DependencyState } from '../dependencies/dependency-graph.js';
 import type { Mirror } from '../store/mirror.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import { type Outcome, parseJobRecord } from '../wire/job-records.js';
 import { outcomeKey, jobKey } from '../wire/keys.js';
 import type { Condition } from '../wire/state.js';
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import { type TaskRange, outcomeRecord, jobRecord } from '../wire/job-records.js';
 import { outcomeKey, jobKey } from '../wire/keys.js';
--- a/src/ladder/fleet.ts
+++ b/src/ladder/autoscaler.ts
@@ -9,20 +9,20 @@
 import type { CloudMachine, MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { lateClasses } from '../placement/lateness.js';
-import type { QueueOrder } from '../placement/order.js';
+import type { QueueOrder } from '../placement/queue-order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { ladderKey, leaderKey } from '../wire/keys.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
-import { type Pool, buildPools, countDemand, poolKey } from './demand.js';
+import { type Pool, buildPools, countDemand, poolKey } from './pools.js';
 import { Ladder, slotsOf } from './ladder.js';
-import { CapacityRefusals } from './refusals.js';
-import { MissingMachineDetector } from './listing.js';
-import { ScaleOutWindow, ScaleInWindow } from './surplus.js';
-import { ThresholdTuner } from './tuner.js';
+import { CapacityRefusals } from './capacity-refusals.js';
+import { MissingMachineDetector } from './missing-machine-detector.js';
+import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
+import { ThresholdTuner } from './threshold-tuner.js';
 import { FailureObserver } from './failure-observer.js';
 
 export interface AutoscalerPorts {
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -1,8 +1,8 @@
 /** Observation of task failures, which the tuning of thresholds counts. */
 import type { JobIndex } from '../placement/job-index.js';
-import { type Pool, poolKey, eligiblePools } from './demand.js';
+import { type Pool, poolKey, eligiblePools } from './pools.js';
 import type { LeasedMachine } from '../wire/block-records.js';
-import type { FailureSample } from './tuner.js';
+import type { FailureSample } from './threshold-tuner.js';
 
 /**
  * Sees from the job index which tasks failed in the paper's sense: they had to wait on arrival, or lost their machine.
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -5,10 +5,10 @@
 import type { LeasedMachine } from '../wire/block-records.js';
 import { sizeOf } from '../wire/codec.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
-import { MissingMachineDetector } from './listing.js';
-import { CapacityRefusals } from './refusals.js';
-import { ScaleOutWindow, ScaleInWindow } from './surplus.js';
-import { ThresholdTuner } from './tuner.js';
+import { MissingMachineDetector } from './missing-machine-detector.js';
+import { CapacityRefusals } from './capacity-refusals.js';
+import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
+import { ThresholdTuner } from './threshold-tuner.js';
 
 const shape = { slotShare: 0.125, start: 0.8 };
 
--- a/src/ladder/demand.ts
+++ b/src/ladder/pools.ts
@@ -7,7 +7,7 @@
   withinLimit,
 } from '../model/types.js';
 import { type JobIndex, type IndexedJob, needOf } from '../placement/job-index.js';
-import type { QueueOrder } from '../placement/order.js';
+import type { QueueOrder } from '../placement/queue-order.js';
 import { TeamUsage } from '../placement/placement-round.js';
 import type { Team } from '../settings/settings.js';
 import type { LeasedMachine } from '../wire/block-records.js';
--- a/src/ladder/surplus.ts
+++ b/src/ladder/scaling-windows.ts
@@ -1,6 +1,6 @@
-import type { Pool } from './demand.js';
+import type { Pool } from './pools.js';
 import { type Ladder, type LadderShape, slotsPerMachine } from './ladder.js';
-import { SustainedMinimum } from './lasting.js';
+import { SustainedMinimum } from './sustained-minimum.js';
 
 type PoolDemand = Pick<Pool, 'key' | 'type' | 'machines' | 'counted'>;
 
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import { type LeaderRecord, leaderRecord, parseLeader } from '../wire/controller-records.js';
 import { leaderKey } from '../wire/keys.js';
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../base/log.js';
-import { PeerLinks } from '../peers/links.js';
+import { PeerLinks } from '../peers/peer-links.js';
 import { testSettings } from '../testing/settings.js';
 import type { PeerStatus } from '../wire/peer-status.js';
 import {
@@ -9,7 +9,7 @@
   type LastPeerStatus,
   answerHeartbeatsUntil,
   peerHasStoreAfterLeaseExpiry,
-} from './answering.js';
+} from './heartbeat-answering.js';
 import { mayCampaign } from './election.js';
 
 const facts = (change: Partial<HeartbeatAnswerFacts>): HeartbeatAnswerFacts => ({
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -4,7 +4,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import {
   aliveRecord,
--- a/src/main.ts
+++ b/src/main.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { createLog } from './base/log.js';
-import { Controller } from './controller.js';
+import { Controller } from './controller/controller.js';
 import {
   type OperatorSettings,
   defaultOperatorSettings,
--- a/src/peers/links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -6,7 +6,7 @@
 import { Samples } from '../testing/samples.js';
 import { testSettings } from '../testing/settings.js';
 import { type PeerStatus, parsePeerStatus } from '../wire/peer-status.js';
-import { PeerLinks } from './links.js';
+import { PeerLinks } from './peer-links.js';
 
 // Guards against links over which every status arrived and none was understood: the reader made maps of what the writer had
 // packed as objects, and all that rests on the word of peers was never in force.
--- a/src/peers/links.ts
+++ b/src/peers/peer-links.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
 import type { AcknowledgedCancellations } from '../intake/cancellations.js';
-import type { LastPeerStatus } from '../leadership/answering.js';
+import type { LastPeerStatus } from '../leadership/heartbeat-answering.js';
 import type { Settings } from '../settings/settings.js';
 import { type PeerStatus, parsePeerStatus, peerStatusRecord } from '../wire/peer-status.js';
 
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -8,14 +8,14 @@
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
-import { MachineState } from '../workers/machine-state.js';
-import { type Reconciliation, reconcile } from '../workers/reconcile.js';
+import { MachineState } from './machine-state.js';
+import { type Reconciliation, reconcile } from './reconciliation.js';
 import { type JobLedgerOptions, JobState, type Task } from './job-state.js';
 import { Ledger } from './ledger.js';
-import { chunkTasksOf } from './ledger-entries.js';
+import { chunkTasksOf } from './superseded-entries.js';
 import { type StoredPage, keepStoredChunkSize, newestEntries, storedPages } from './stored-pages.js';
 import type { LedgerLayout } from './ledger-layout.js';
-import { type DependencyFacts, QueueOrder, type QueuedJob, withoutDependencies } from './order.js';
+import { type DependencyFacts, QueueOrder, type QueuedJob, withoutDependencies } from './queue-order.js';
 import { TeamUsage } from './placement-round.js';
 
 export interface BlockStateOptions {
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -1,8 +1,8 @@
 /** Ends the jobs of a block whose tasks are all done. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitQueue } from '../store/commit-stage.js';
-import { changesPerOutcome, outcomeTransaction } from '../wire/end-transaction.js';
+import type { CommitQueue } from '../store/commit-queue.js';
+import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
 import type { BlockState } from './block-state.js';
 import type { JobIndex } from './job-index.js';
 import type { JobState } from './job-state.js';
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -7,8 +7,8 @@
 import { jobOfOutcomeKey, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
-import { withoutSuperseded } from './ledger-entries.js';
-import type { DependencyFacts, QueueOrder, QueuedJob } from './order.js';
+import { withoutSuperseded } from './superseded-entries.js';
+import type { DependencyFacts, QueueOrder, QueuedJob } from './queue-order.js';
 
 /** What a block has on record of a job. */
 export interface IndexedEntry extends LedgerEntry {
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -1,5 +1,5 @@
 import type { Objective } from '../settings/settings.js';
-import type { QueuedJob } from './order.js';
+import type { QueuedJob } from './queue-order.js';
 
 /** An objective that more of a class's open jobs have missed than it allows. */
 export interface LateClass {
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -3,7 +3,7 @@
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import { blockKey, jobKey, ledgerKey } from '../wire/keys.js';
 import { ledgerPage } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
--- a/src/workers/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -1,5 +1,5 @@
 import type { MachineType, ReportedTask, Resources } from '../model/types.js';
-import type { Task } from '../placement/job-state.js';
+import type { Task } from './job-state.js';
 
 export interface MachineInfo {
   id: string;
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,6 +1,6 @@
 import { type JobSpec, type MachineType, type Resources, fits, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import type { MachineState } from '../workers/machine-state.js';
+import type { MachineState } from './machine-state.js';
 import type { JobState, Task } from './job-state.js';
 
 export interface PlacementRound {
--- a/src/workers/reconcile.ts
+++ b/src/placement/reconciliation.ts
@@ -5,7 +5,7 @@
   type Resources,
   taskKey,
 } from '../model/types.js';
-import type { JobState, Task } from '../placement/job-state.js';
+import type { JobState, Task } from './job-state.js';
 import type { MachineState } from './machine-state.js';
 
 /** What a report tells the other slices. All of it is evidence: nothing here rests on a timer. */
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -3,7 +3,7 @@
 import type { Mirror } from '../store/mirror.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
-import { chunkTasksOf, withoutSuperseded } from './ledger-entries.js';
+import { chunkTasksOf, withoutSuperseded } from './superseded-entries.js';
 import type { LedgerLayout } from './ledger-layout.js';
 
 export interface StoredPage {
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -4,7 +4,7 @@
 import { type Answer, HttpPeer } from '../base/http.js';
 import { Pacer } from '../base/pacer.js';
 import type { Settings } from '../settings/settings.js';
-import { FreshnessBound } from './freshness.js';
+import { FreshnessBound } from './freshness-bound.js';
 import { AdaptiveShare } from './adaptive-share.js';
 import {
   type Change,
--- a/src/store/freshness.test.ts
+++ b/src/store/freshness-bound.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FreshnessBound } from './freshness.js';
+import { FreshnessBound } from './freshness-bound.js';
 
 // Guards against taking any answer of the store for knowledge: the watch was swallowed, other requests were answered, and
 // a cancel that the copy lacked was no older than the last of them.
--- a/src/store/store.test.ts
+++ b/src/store/store.test.ts
@@ -7,7 +7,7 @@
 import type { Change, Condition, Write } from '../wire/state.js';
 import { reply } from '../testing/store-standin.js';
 import { type CommitOutcome, StoreClient } from './client.js';
-import { CommitQueue, takeBatch } from './commit-stage.js';
+import { CommitQueue, takeBatch } from './commit-queue.js';
 import { Mirror } from './mirror.js';
 import { AdaptiveShare } from './adaptive-share.js';
 
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -8,12 +8,12 @@
 import type { LedgerLayout } from '../placement/ledger-layout.js';
 import { Scheduler } from '../placement/scheduler.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-stage.js';
+import type { CommitQueue } from '../store/commit-queue.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { LeasedMachine, QuotaShares } from '../wire/block-records.js';
 import { tasksPerChunk } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
-import type { MachineState } from '../workers/machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 import { machineType } from './cloud-standin.js';
 import { testSettings } from './settings.js';
 
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,7 +1,7 @@
 import { fileURLToPath } from 'node:url';
 import { HttpPeer, type Answer } from '../base/http.js';
 import { createLog } from '../base/log.js';
-import { Controller } from '../controller.js';
+import { Controller } from '../controller/controller.js';
 import { defaultOperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import { type BlockRecord, machinePages, parseBlock } from '../wire/block-records.js';
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -6,7 +6,7 @@
 import { Intake, type IntakePorts } from '../intake/intake.js';
 import { JobIndex } from '../placement/job-index.js';
 import type { TrafficClass, StoreClient } from '../store/client.js';
-import { CommitQueue } from '../store/commit-stage.js';
+import { CommitQueue } from '../store/commit-queue.js';
 import { Mirror } from '../store/mirror.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { Item } from '../wire/state.js';
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -22,7 +22,7 @@
   parseFormat,
   parseLeader,
 } from './controller-records.js';
-import { outcomeTransaction } from './end-transaction.js';
+import { outcomeTransaction } from './outcome-transaction.js';
 import {
   type OutcomeRecord,
   type JobRecord,
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -1,6 +1,6 @@
 /** Failure detection by missed reports, and when it must not be trusted. */
 import type { Settings } from '../settings/settings.js';
-import type { MachineState } from './machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 
 /** A zone in which more than this share of the machines falls silent at once has most likely lost its network. */
 const partitionedZoneMinShare = 0.7;
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -10,7 +10,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
-import { findStragglers } from './slowness.js';
+import { findStragglers } from './straggler-detection.js';
 
 export interface HealthMonitorPorts {
   clock: Clock;
--- a/src/workers/report-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '../base/clock.js';
 import type { LeanRoute, Reply } from '../base/replies.js';
-import type { BlockRegistry } from '../blocks/registry.js';
-import type { OwnedBlocks } from '../blocks/block-leases.js';
+import type { BlockRegistry } from '../blocks/block-registry.js';
+import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import { type WorkerCommand, taskKey } from '../model/types.js';
 import type { Task } from '../placement/job-state.js';
 import type { Scheduler } from '../placement/scheduler.js';
 import { parseHeartbeat, redirectResponse, heartbeatResponse } from '../wire/workers.js';
 import { LongPolls } from './long-polls.js';
-import type { MachineState } from './machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 
 /** One report on its way to its answer. */
 interface PendingHeartbeat {
--- a/src/workers/long-polls.ts
+++ b/src/workers/long-polls.ts
@@ -1,7 +1,7 @@
 /** Responses to reports that are held back until there is something to say. */
 import { timer } from '../base/clock.js';
 import type { Clock } from '../base/clock.js';
-import type { MachineState } from './machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 
 interface HeldResponse {
   dueAt: number;
--- a/src/workers/slowness.ts
+++ b/src/workers/straggler-detection.ts
@@ -1,5 +1,5 @@
 import type { Task } from '../placement/job-state.js';
-import type { MachineState } from './machine-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 
 /** How many tasks of a job must have completed before one of them is compared with them. */
 const minCompletedRuns = 3;
--- a/src/workers/workers.test.ts
+++ b/src/workers/workers.test.ts
@@ -5,7 +5,7 @@
 import { ProcessPause } from '../base/process-pause.js';
 import { runTrace } from '../testing/traces.js';
 import type { Task } from '../placement/job-state.js';
-import { MachineState } from './machine-state.js';
+import { MachineState } from '../placement/machine-state.js';
 import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
 
 describe('traces of reports and what comes of them', () => {
