--- a/src/main.ts
+++ b/src/main.ts
@@ -1,14 +1,16 @@
 #!/usr/bin/env node
+/** The command line: reads the settings and runs one controller until it is told to stop. */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { createLog } from './base/log.js';
 import { Controller } from './controller/controller.js';
+import { SettingsError } from './settings/errors.js';
 import {
   type OperatorSettings,
   defaultOperatorSettings,
   parseOperatorSettings,
 } from './settings/operator.js';
-import { type Settings, SettingsError, parseSettings } from './settings/settings.js';
+import { type Settings, parseSettings } from './settings/settings.js';
 
 const usage = `Usage: shalekeel --config FILE [options]
 
@@ -25,7 +27,10 @@
   LOG_LEVEL        error, info (default) or debug; logs go to standard error
 `;
 
-class UsageError extends Error {}
+/** Options that are unknown, lack a value, or lack `--config`. */
+class UsageError extends Error {
+  override readonly name = 'UsageError';
+}
 
 function version(): string {
   const file = new URL('../package.json', import.meta.url);
@@ -36,19 +41,24 @@
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
-    throw new SettingsError(error instanceof Error ? error.message : String(error));
+    throw new SettingsError(error instanceof Error ? error.message : String(error), { cause: error });
   }
 }
 
-async function inFile<T>(path: string, parse: (content: string) => T | Promise<T>): Promise<T> {
+/** Names the file in whatever is wrong with its content. */
+async function parseFile<T>(path: string, parse: (content: string) => T | Promise<T>): Promise<T> {
   try {
     return await parse(readSettingsFile(path));
   } catch (error) {
-    if (error instanceof SettingsError) throw new SettingsError(`${path}: ${error.message}`);
+    if (error instanceof SettingsError)
+      throw new SettingsError(`${path}: ${error.message}`, { cause: error });
     throw error;
   }
 }
 
+/** Exit status for a wrong command line or settings file; other failures give 1. */
+const invalidUsageStatus = 2;
+
 interface CommandLine {
   config: string;
   operator: string | undefined;
@@ -69,7 +79,7 @@
       },
     }));
   } catch (error) {
-    throw new UsageError(error instanceof Error ? error.message : String(error));
+    throw new UsageError(error instanceof Error ? error.message : String(error), { cause: error });
   }
   if (values.help) return 'help';
   if (values.version) return 'version';
@@ -81,11 +91,11 @@
   const command = parseCommandLine(process.argv.slice(2));
   if (command === 'help') return void process.stdout.write(usage);
   if (command === 'version') return void process.stdout.write(`shalekeel ${version()}\n`);
-  const settings: Settings = await inFile(command.config, parseSettings);
+  const settings: Settings = await parseFile(command.config, parseSettings);
   const operator: OperatorSettings =
     command.operator === undefined
       ? defaultOperatorSettings
-      : await inFile(command.operator, parseOperatorSettings);
+      : await parseFile(command.operator, parseOperatorSettings);
   if (command.check) return void process.stdout.write('settings are valid\n');
   const log = createLog(settings.label, process.env['LOG_LEVEL']);
   const stop = new AbortController();
@@ -96,7 +106,7 @@
 main().catch((error: unknown) => {
   if (error instanceof SettingsError || error instanceof UsageError) {
     process.stderr.write(`shalekeel: ${error.message}\n`);
-    process.exit(2);
+    process.exit(invalidUsageStatus);
   }
   process.stderr.write(
     `shalekeel: ${error instanceof Error ? (error.stack ?? error.message) : String(error)}\n`,
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -1,5 +1,7 @@
+/** The operators' own settings, an optional XML file. */
 import * as v from 'valibot';
-import { SettingsError } from './settings.js';
+
+import { SettingsError } from './errors.js';
 
 const share = v.pipe(v.number(), v.gtValue(0), v.maxValue(1));
 const ratio = v.pipe(v.number(), v.gtValue(0));
@@ -30,31 +32,31 @@
 /** What operators may set beyond the platform's file. Every value is a ratio to a figure of that file, or a time in s. */
 export interface OperatorSettings {
   ladder: {
-    /** Where thresholds start, as a share of the room of the machines before. */
+    /** Where thresholds start, as a share of the capacity of the machines before. */
     start: number;
     /** The same for spot machines. */
     spotStart: number;
-    /** Share of tasks that may wait or be displaced. */
+    /** Share of tasks that may wait on arrival or be displaced. */
     targetFailureRatio: number;
     /** A slot, as a share of a machine's dominant resource. */
     slotShare: number;
-    /** Between two moves of a threshold. */
+    /** Seconds between two moves of a threshold. */
     periodS: number;
-    /** For how long failures count. */
+    /** Seconds for which a failure counts. */
     windowS: number;
   };
   blocks: {
-    /** For how long shares of teams' limits are leased. */
+    /** Seconds for which shares of the teams' quotas are leased to the blocks. */
     quotaSharePeriodS: number;
-    /** How much more than fits now a block is given, as a share of its size. */
+    /** How much more than fits now is dispatched to a block, as a share of its size. */
     lookahead: number;
   };
   leadership: {
-    /** Life of a controller's grant, in report intervals. */
+    /** Time to live of a controller's lease in the state service, in heartbeat intervals. */
     leaseHeartbeats: number;
   };
   workers: {
-    /** Report intervals after which a silent machine is released. */
+    /** Heartbeat intervals after which a silent machine is released. */
     missedHeartbeats: number;
     /** Multiple of its type's boot time after which a machine counts as never coming. */
     bootTimes: number;
@@ -79,11 +81,17 @@
   };
 }
 
+/** What holds where there is no such file. */
 export const defaultOperatorSettings: OperatorSettings = settingsOf(v.parse(schema, {}));
 
-/** The operators' file: `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the platform's, it is strict. */
+/**
+ * Reads the operators' file, for example `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the platform's it is strict:
+ * an element or attribute that is not known is an error.
+ * @throws SettingsError that names the element, or the line of XML that is not well-formed.
+ */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
   // Loaded only when there is such a file: start-up is charged to the controller's share of a core.
+  // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
   if (valid !== true) throw new SettingsError(`not valid XML: line ${valid.err.line}: ${valid.err.msg}`);
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -1,8 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { settingsJson } from '../testing/settings.js';
-import { parseOperatorSettings, defaultOperatorSettings } from './operator.js';
-import { SettingsError, parseSettings } from './settings.js';
+import { SettingsError } from './errors.js';
+import { defaultOperatorSettings, parseOperatorSettings } from './operator.js';
+import { parseSettings } from './settings.js';
 
 test('the platform file is read, unknown fields are ignored', () => {
   const settings = parseSettings(settingsJson((file) => (file['novelty'] = { a: 1 })));
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,53 +1,11 @@
+/** The platform's settings, checked and under our own names. */
 import * as v from 'valibot';
-import { minPageBytes } from '../wire/ledger-records.js';
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
-const count = v.pipe(v.number(), v.integer(), v.minValue(1));
-const name = v.pipe(v.string(), v.nonEmpty());
-const address = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, 'must be HOST:PORT'));
-
-const stateLimits = v.object({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: count });
-
-const schema = v.object({
-  label: name,
-  location: name,
-  serve_on: address,
-  back: address,
-  others: v.array(v.object({ label: name, location: name, address })),
-  endpoints: v.object({ cloud: address, state: address }),
-  settings: v.object({
-    count,
-    zones: v.pipe(v.array(name), v.minLength(1)),
-    teams: v.array(
-      v.object({
-        name,
-        cpus: v.optional(amount, 0),
-        cpus_max: v.optional(amount, 0),
-        gpus: v.optional(amount, 0),
-        gpus_max: v.optional(amount, 0),
-      }),
-    ),
-    objectives: v.optional(
-      v.array(
-        v.object({
-          kind: name,
-          class: v.optional(name),
-          share: v.optional(amount),
-          within_s: v.optional(amount),
-          times: v.optional(amount),
-        }),
-      ),
-      [],
-    ),
-    workers: v.object({ report_s: positive, lease_s: positive, cancel_s: positive }),
-    state: v.object({ ...stateLimits.entries, next: v.nullish(v.partial(stateLimits)) }),
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
-    quota: v.object({ cores: positive, mem_mb: positive, max_sockets: count }),
-    clock_error_ms: v.optional(amount, 0),
-  }),
-});
+import { minPageBytes } from '../wire/ledger-records.js';
+import { SettingsError, SettingsFieldError } from './errors.js';
+import { type DeploymentSection, type PlatformFile, platformFileSchema } from './platform-file.js';
 
+/** A team with its quota: what it is guaranteed, and the limit up to which it may borrow. A limit of 0 means none. */
 export interface Team {
   name: string;
   cpus: number;
@@ -56,11 +14,13 @@
   acceleratorsMax: number;
 }
 
+/** A service-level objective: of a class's jobs or tasks, `share` have to meet what `kind` says. */
 export interface Objective {
   kind: string;
   jobClass: string | undefined;
   share: number | undefined;
   withinS: number | undefined;
+  /** Multiple of a job's deadline, for objectives on deadlines. */
   times: number | undefined;
 }
 
@@ -70,6 +30,7 @@
   writeRps: number;
   /** The smaller of the present and the coming limits: what is written keeps to it from the start. */
   valueBytes: number;
+  /** Changes in a transaction, likewise the smaller of both. */
   txnOps: number;
   /** Present size of a value, by which earlier versions lay out what they write. */
   presentValueBytes: number;
@@ -77,106 +38,151 @@
   nextRateShare: number;
 }
 
-/** The platform's settings under our own names; durations in milliseconds. */
+/** Settings of one controller. Durations are in milliseconds, addresses are HOST:PORT. */
 export interface Settings {
   label: string;
   zone: string;
+  /** Where users, workers and health checks connect. */
   serveOn: string;
+  /** Where the other controllers connect. */
   peerOn: string;
   peers: { label: string; zone: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
+  /** How many controllers the deployment has, this one included. */
   controllers: number;
   zones: string[];
   teams: Map<string, Team>;
   objectives: Objective[];
   heartbeatIntervalMs: number;
+  /** How long a worker keeps its tasks after sending the last heartbeat that was answered. */
   workerLeaseMs: number;
+  /** How long the tasks of a cancelled job may go on after its user was told. */
   cancelDeadlineMs: number;
   state: StateLimits;
   cloud: { rps: number; listLagMs: number };
+  /** What the platform grants this process. */
   quota: { cores: number; memoryMb: number; sockets: number };
 }
 
-export class SettingsError extends Error {}
-
 /** A controller without any work holds some 80 MB; below this it would end and start again for ever. */
-const leastMemoryMb = 96;
+const minMemoryMb = 96;
 
-const leastTxnOps = 2;
+/** An outcome is two changes at once. */
+const minTxnOps = 2;
 
-/** Checks the settings; the error names the first field that is wrong. */
+/** A page of the ledger holds an entry at least. */
+const minValueKb = Math.ceil(minPageBytes / 1024);
+
+/**
+ * Checks the platform's file and translates it.
+ * @throws SettingsError that names the first field that is wrong.
+ */
 export function parseSettings(json: string): Settings {
-  let raw: unknown;
+  const file = checkFields(parseJson(json));
+  const { settings } = file;
+  checkDeployment(settings);
+  return {
+    ...identityOf(file),
+    controllers: settings.count,
+    zones: settings.zones,
+    teams: new Map(settings.teams.map((team) => [team.name, teamOf(team)])),
+    objectives: settings.objectives.map(objectiveOf),
+    heartbeatIntervalMs: settings.workers.report_s * 1000,
+    workerLeaseMs: settings.workers.lease_s * 1000,
+    cancelDeadlineMs: settings.workers.cancel_s * 1000,
+    state: stateLimitsOf(settings.state),
+    cloud: { rps: settings.cloud.rps, listLagMs: settings.cloud.list_lag_s * 1000 },
+    quota: {
+      cores: settings.quota.cores,
+      memoryMb: settings.quota.mem_mb,
+      sockets: settings.quota.max_sockets,
+    },
+  };
+}
+
+function parseJson(json: string): unknown {
   try {
-    raw = JSON.parse(json);
+    return JSON.parse(json);
   } catch (error) {
-    throw new SettingsError(`not valid JSON: ${error instanceof Error ? error.message : String(error)}`);
-  }
-  const result = v.safeParse(schema, raw);
-  if (!result.success) {
-    const issue = result.issues[0];
-    throw new SettingsError(`field ${v.getDotPath(issue) ?? '(whole file)'}: ${issue.message}`);
+    const reason = error instanceof Error ? error.message : String(error);
+    throw new SettingsError(`not valid JSON: ${reason}`, { cause: error });
   }
-  const file = result.output;
-  const s = file.settings;
-  if (s.workers.cancel_s <= s.workers.lease_s) {
-    throw new SettingsError('field settings.workers.cancel_s: must be more than lease_s');
-  }
-  // An end is two changes at once, and a page of the ledger holds an entry at least.
-  const txnOps = Math.min(s.state.txn_ops, s.state.next?.txn_ops ?? Infinity);
-  if (txnOps < leastTxnOps) {
-    throw new SettingsError(`field settings.state.txn_ops: must be at least ${leastTxnOps}`);
-  }
-  if (s.quota.mem_mb < leastMemoryMb) {
-    throw new SettingsError(`field settings.quota.mem_mb: must be at least ${leastMemoryMb}`);
-  }
-  const leastKb = Math.ceil(minPageBytes / 1024);
-  const valueKb = Math.min(s.state.value_kb, s.state.next?.value_kb ?? Infinity);
-  if (valueKb < leastKb) {
-    throw new SettingsError(`field settings.state.value_kb: must be at least ${leastKb}`);
+}
+
+function checkFields(raw: unknown): PlatformFile {
+  const result = v.safeParse(platformFileSchema, raw);
+  if (result.success) return result.output;
+  const issue = result.issues[0];
+  throw new SettingsFieldError(v.getDotPath(issue) ?? '(whole file)', issue.message);
+}
+
+/** What no single field can say of itself. */
+function checkDeployment({ workers, state, quota }: DeploymentSection): void {
+  if (workers.cancel_s <= workers.lease_s) {
+    throw new SettingsFieldError('settings.workers.cancel_s', 'must be more than lease_s');
   }
+  requireAtLeast('settings.state.txn_ops', txnOpsOf(state), minTxnOps);
+  requireAtLeast('settings.quota.mem_mb', quota.mem_mb, minMemoryMb);
+  requireAtLeast('settings.state.value_kb', valueKbOf(state), minValueKb);
+}
+
+function requireAtLeast(field: string, value: number, min: number): void {
+  if (value < min) throw new SettingsFieldError(field, `must be at least ${min}`);
+}
+
+type Identity = Pick<
+  Settings,
+  'label' | 'zone' | 'serveOn' | 'peerOn' | 'peers' | 'cloudAddress' | 'stateAddress'
+>;
+
+function identityOf(file: PlatformFile): Identity {
   return {
     label: file.label,
     zone: file.location,
     serveOn: file.serve_on,
     peerOn: file.back,
-    peers: file.others.map((o) => ({ label: o.label, zone: o.location, address: o.address })),
+    peers: file.others.map(({ label, location, address }) => ({ label, zone: location, address })),
     cloudAddress: file.endpoints.cloud,
     stateAddress: file.endpoints.state,
-    controllers: s.count,
-    zones: s.zones,
-    teams: new Map(
-      s.teams.map((t) => [
-        t.name,
-        {
-          name: t.name,
-          cpus: t.cpus,
-          cpusMax: t.cpus_max,
-          accelerators: t.gpus,
-          acceleratorsMax: t.gpus_max,
-        },
-      ]),
-    ),
-    objectives: s.objectives.map((o) => ({
-      kind: o.kind,
-      jobClass: o.class,
-      share: o.share,
-      withinS: o.within_s,
-      times: o.times,
-    })),
-    heartbeatIntervalMs: s.workers.report_s * 1000,
-    workerLeaseMs: s.workers.lease_s * 1000,
-    cancelDeadlineMs: s.workers.cancel_s * 1000,
-    state: {
-      rps: s.state.rps,
-      writeRps: s.state.write_rps,
-      valueBytes: valueKb * 1024,
-      txnOps,
-      presentValueBytes: s.state.value_kb * 1024,
-      nextRateShare: Math.min(1, (s.state.next?.write_rps ?? s.state.write_rps) / s.state.write_rps),
-    },
-    cloud: { rps: s.cloud.rps, listLagMs: s.cloud.list_lag_s * 1000 },
-    quota: { cores: s.quota.cores, memoryMb: s.quota.mem_mb, sockets: s.quota.max_sockets },
+  };
+}
+
+function teamOf(team: DeploymentSection['teams'][number]): Team {
+  return {
+    name: team.name,
+    cpus: team.cpus,
+    cpusMax: team.cpus_max,
+    accelerators: team.gpus,
+    acceleratorsMax: team.gpus_max,
+  };
+}
+
+function objectiveOf(objective: DeploymentSection['objectives'][number]): Objective {
+  return {
+    kind: objective.kind,
+    jobClass: objective.class,
+    share: objective.share,
+    withinS: objective.within_s,
+    times: objective.times,
+  };
+}
+
+function txnOpsOf({ txn_ops, next }: DeploymentSection['state']): number {
+  return Math.min(txn_ops, next?.txn_ops ?? Infinity);
+}
+
+function valueKbOf({ value_kb, next }: DeploymentSection['state']): number {
+  return Math.min(value_kb, next?.value_kb ?? Infinity);
+}
+
+function stateLimitsOf(state: DeploymentSection['state']): StateLimits {
+  return {
+    rps: state.rps,
+    writeRps: state.write_rps,
+    valueBytes: valueKbOf(state) * 1024,
+    txnOps: txnOpsOf(state),
+    presentValueBytes: state.value_kb * 1024,
+    nextRateShare: Math.min(1, (state.next?.write_rps ?? state.write_rps) / state.write_rps),
   };
 }
