--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -1,8 +1,8 @@
 /** Writes of blocks: a record that commits are conditioned on, and pages that name the machines. */
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitOutcome } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
+import type { CommitOutcome } from '../store/transactions.js';
 import { sizeOf } from '../wire/codec.js';
 import {
   type BlockRecord,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -33,9 +33,10 @@
 import { QueueOrder } from '../placement/queue-order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
-import { type TrafficClass, StoreClient } from '../store/client.js';
+import { StoreClient } from '../store/client.js';
 import { CommitQueue } from '../store/commit-queue.js';
 import { Mirror } from '../store/mirror.js';
+import type { TrafficClass } from '../store/request-pacing.js';
 import { outcomeRecord, parseOutcome } from '../wire/job-records.js';
 import { outcomeKey, jobOfOutcomeKey, leaderKey } from '../wire/keys.js';
 import type { PeerStatus } from '../wire/peer-status.js';
@@ -378,7 +379,11 @@
       all += machines.length;
       if (owner === settings.label) own += machines.length;
     }
-    store.setRole({ leading: election.term !== undefined, alive, machines: all > 0 ? own / all : 1 / alive });
+    store.setRole({
+      isLeader: election.term !== undefined,
+      aliveControllers: alive,
+      machineShare: all > 0 ? own / all : 1 / alive,
+    });
   }
 
   /** For the people on call: what the changes of the state service are spent on, once a period. */
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -2,8 +2,9 @@
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
-import type { CommitOutcome, StoreClient } from '../store/client.js';
+import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
+import type { CommitOutcome } from '../store/transactions.js';
 import { blockKey, jobKey, ledgerKey } from '../wire/keys.js';
 import { ledgerPage } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -3,7 +3,9 @@
 import type { Settings } from '../settings/settings.js';
 import { sizeOf } from '../wire/codec.js';
 import { type Condition, type Write, maxTransactionBytes, writtenKey } from '../wire/state.js';
-import type { CommitOutcome, TrafficClass, StoreClient } from './client.js';
+import type { StoreClient } from './client.js';
+import type { TrafficClass } from './request-pacing.js';
+import type { CommitOutcome } from './transactions.js';
 
 interface Operation {
   conditions: Condition[];
@@ -57,7 +59,7 @@
     let retries = 0;
     while (queue.length > 0) {
       if (this.signal.aborted) {
-        for (const operation of queue) operation.settle({ kind: 'refused', busy: false });
+        for (const operation of queue) operation.settle({ kind: 'refused', rateLimited: false });
         return;
       }
       const { batch, rest } = takeBatch(queue, this.settings.state.txnOps);
@@ -67,7 +69,7 @@
         [...new Map(batch.flatMap((o) => o.conditions).map((c) => [c.key, c])).values()],
         batch.flatMap((o) => o.writes),
       );
-      if (outcome.kind === 'refused' && outcome.busy && retries++ < maxRetries) {
+      if (outcome.kind === 'refused' && outcome.rateLimited && retries++ < maxRetries) {
         const { writeRps, rps } = this.settings.state;
         const changes = batch.reduce((sum, o) => sum + o.writes.length, 0);
         await sleep((1000 / rps + (1000 * changes) / writeRps) * retries, this.signal);
--- a/src/store/store.test.ts
+++ b/src/store/store.test.ts
@@ -6,7 +6,8 @@
 import { testSettings } from '../testing/settings.js';
 import type { Change, Condition, Write } from '../wire/state.js';
 import { reply } from '../testing/store-standin.js';
-import { type CommitOutcome, StoreClient } from './client.js';
+import { StoreClient } from './client.js';
+import type { CommitOutcome } from './transactions.js';
 import { CommitQueue, takeBatch } from './commit-queue.js';
 import { Mirror } from './mirror.js';
 import { AdaptiveShare } from './adaptive-share.js';
@@ -52,10 +53,10 @@
 test('a commit over the limits is repeated, one that the service refuses in an outage is not', async () => {
   let busy = 2;
   const limited = stageWith(() =>
-    busy-- > 0 ? { kind: 'refused', busy: true } : { kind: 'applied', revision: 1 },
+    busy-- > 0 ? { kind: 'refused', rateLimited: true } : { kind: 'applied', revision: 1 },
   );
   assert.equal((await limited.stage.commit(...put('a'))).kind, 'applied');
-  const down = stageWith(() => ({ kind: 'refused', busy: false }));
+  const down = stageWith(() => ({ kind: 'refused', rateLimited: false }));
   assert.equal((await down.stage.commit(...put('a'))).kind, 'refused');
   assert.equal(down.sent.length, 1);
 });
--- a/src/testing/held-store.ts
+++ b/src/testing/held-store.ts
@@ -1,6 +1,7 @@
 /** An in-memory state service whose answers the test holds back and releases one by one. */
 import { nextTurn } from '../base/turns.js';
-import { type CommitOutcome, StoreUnavailable } from '../store/client.js';
+import { StoreConnectionError } from '../store/errors.js';
+import type { CommitOutcome } from '../store/transactions.js';
 import { sizeOf } from '../wire/codec.js';
 import { type Outcome, outcomeRecord } from '../wire/job-records.js';
 import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
@@ -48,7 +49,8 @@
 
   listPage(prefix: string, after: string, most: number): Promise<ListPage> {
     this.executed.listing++;
-    if (this.failsLists) return Promise.reject(new StoreUnavailable('no answer in time'));
+    if (this.failsLists)
+      return Promise.reject(new StoreConnectionError('list', new Error('no answer in time')));
     const found = [...this.keys]
       .filter(([key]) => key.startsWith(prefix) && key > after)
       .sort(([a], [b]) => (a < b ? -1 : 1));
