--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -1,44 +1,60 @@
+/** Group commit: operations that arrive while one transaction is under way go out together in the next. */
 import { Writable } from 'node:stream';
+
 import { sleep } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import { sizeOf } from '../wire/codec.js';
-import { type Condition, type Write, maxTransactionBytes, writtenKey } from '../wire/state.js';
+import type { Condition, Write } from '../wire/state.js';
 import type { StoreClient } from './client.js';
 import type { TrafficClass } from './request-pacing.js';
+import { type BatchedOperation, takeBatch } from './transaction-batch.js';
 import type { CommitOutcome } from './transactions.js';
 
-interface Operation {
-  conditions: Condition[];
-  writes: Write[];
-  bytes: number;
+/** One caller's conditions and writes, executed together or not at all. */
+interface Operation extends BatchedOperation {
   settle: (outcome: CommitOutcome) => void;
 }
 
 /** Worst case of a key with its version, in the JSON form that limits are measured in. */
 const bytesPerKey = 64;
-const conditionsPerOperation = 4;
+/** How often a transaction over the limits is repeated. */
 const maxRetries = 5;
 
 /**
- * Group commit: what arrives while one transaction is on its way goes out together in the next. The stream's
- * buffer is the stage's bound; a stage that is `full` holds back whoever feeds it.
+ * A queue of operations with one transaction under way at a time. The stream's buffer is the queue's bound: who feeds a
+ * queue that is `full` holds back by itself, since nothing is turned away.
  */
 export class CommitQueue extends Writable {
+  /**
+   * @param client sends the transactions
+   * @param trafficClass of all transactions
+   * @param settings the limits of a transaction
+   * @param signal once it fires, what is still queued is refused
+   * @param maxQueued operations that make the queue full
+   */
   constructor(
     private readonly client: Pick<StoreClient, 'commit'>,
-    private readonly lane: TrafficClass,
-    private readonly settings: Settings,
+    private readonly trafficClass: TrafficClass,
+    private readonly settings: Pick<Settings, 'state'>,
     private readonly signal: AbortSignal,
-    bound: number,
+    maxQueued: number,
   ) {
-    super({ objectMode: true, highWaterMark: bound });
+    super({ objectMode: true, highWaterMark: maxQueued });
   }
 
+  /** True while as many operations are queued as the bound allows. */
   get full(): boolean {
     return this.writableLength >= this.writableHighWaterMark;
   }
 
-  /** `valueBytes`: what the values take at the most, where that is known without measuring them. */
+  /**
+   * Executes the writes together if all conditions hold. An operation of another caller never makes this one fail.
+   *
+   * @param conditions versions that keys must have
+   * @param writes what to put or delete
+   * @param valueBytes the most that the values take in JSON, where that is known without measuring them
+   * @returns the operation's own outcome; never rejects
+   */
   commit(conditions: Condition[], writes: Write[], valueBytes?: number): Promise<CommitOutcome> {
     return new Promise((settle) => {
       const framing = bytesPerKey * (conditions.length + writes.length);
@@ -47,8 +63,9 @@
     });
   }
 
+  /** Called by the stream with all that was queued while the last transactions were under way. */
   override _writev(chunks: { chunk: Operation }[], done: (error?: Error | null) => void): void {
-    this.flush(chunks.map((c) => c.chunk)).then(
+    this.flush(chunks.map(({ chunk }) => chunk)).then(
       () => done(),
       (error: unknown) => done(error instanceof Error ? error : new Error(String(error))),
     );
@@ -59,81 +76,70 @@
     let retries = 0;
     while (queue.length > 0) {
       if (this.signal.aborted) {
-        for (const operation of queue) operation.settle({ kind: 'refused', rateLimited: false });
+        settleAll(queue, { kind: 'refused', rateLimited: false });
         return;
       }
       const { batch, rest } = takeBatch(queue, this.settings.state.txnOps);
       const outcome = await this.client.commit(
-        this.lane,
-        // The service counts every condition that it is sent, also one that several operations share.
-        [...new Map(batch.flatMap((o) => o.conditions).map((c) => [c.key, c])).values()],
-        batch.flatMap((o) => o.writes),
+        this.trafficClass,
+        distinctConditions(batch),
+        batch.flatMap(({ writes }) => writes),
       );
-      if (outcome.kind === 'refused' && outcome.rateLimited && retries++ < maxRetries) {
-        const { writeRps, rps } = this.settings.state;
-        const changes = batch.reduce((sum, o) => sum + o.writes.length, 0);
-        await sleep((1000 / rps + (1000 * changes) / writeRps) * retries, this.signal);
+      if (outcome.kind === 'refused' && outcome.rateLimited && retries < maxRetries) {
+        retries++;
+        await sleep(this.retryDelayMs(batch, retries), this.signal);
         continue;
       }
       retries = 0;
       queue = rest;
       if (outcome.kind === 'conflict' && batch.length > 1) {
-        // One operation's conflict must not fail its neighbours: they go again without it.
-        const failed = new Set(outcome.failed);
-        const conflicting = batch.filter((o) => o.conditions.some((c) => failed.has(c.key)));
-        for (const operation of conflicting) operation.settle(outcome);
-        queue = [...batch.filter((o) => !conflicting.includes(o)), ...rest];
-        if (conflicting.length === 0) {
-          for (const operation of batch) operation.settle({ kind: 'unknown' });
-          queue = rest;
-        }
-        continue;
-      }
-      if (outcome.kind === 'malformed' && batch.length > 1) {
+        queue = [...settleConflicting(batch, outcome), ...rest];
+      } else if (outcome.kind === 'malformed' && batch.length > 1) {
         // One of them is at fault, and the service does not say which: the others must not fail with it.
         await this.flushOneByOne(batch);
-        continue;
-      }
-      for (const operation of batch) operation.settle(outcome);
+      } else settleAll(batch, outcome);
     }
   }
 
   private async flushOneByOne(batch: Operation[]): Promise<void> {
     for (const operation of batch) await this.flush([operation]);
   }
+
+  /** As long as the limits need to admit the batch, and longer with every retry. */
+  private retryDelayMs(batch: Operation[], retries: number): number {
+    const { writeRps, rps } = this.settings.state;
+    const writes = batch.reduce((sum, operation) => sum + operation.writes.length, 0);
+    return (1000 / rps + (1000 * writes) / writeRps) * retries;
+  }
 }
 
-/** The longest run of operations that one transaction can hold; a key is conditioned and written only once. */
-export function takeBatch<O extends Pick<Operation, 'conditions' | 'writes' | 'bytes'>>(
-  queue: O[],
-  txnOps: number,
-): { batch: O[]; rest: O[] } {
-  const batch: O[] = [];
-  const rest: O[] = [];
-  const versions = new Map<string, number>();
-  const writtenKeys = new Set<string>();
-  let writes = 0;
-  let bytes = 0;
-  for (const operation of queue) {
-    const newKeys = operation.conditions.filter((c) => !versions.has(c.key)).length;
-    const conflicts =
-      operation.conditions.some(
-        (c) => (versions.get(c.key) ?? c.version) !== c.version || writtenKeys.has(c.key),
-      ) || operation.writes.some((w) => writtenKeys.has(writtenKey(w)) || versions.has(writtenKey(w)));
-    const fits =
-      writes + operation.writes.length <= txnOps &&
-      versions.size + newKeys <= txnOps * conditionsPerOperation &&
-      bytes + operation.bytes <= maxTransactionBytes;
-    // An operation too large for any transaction still goes out, alone, and is refused by the service.
-    if (batch.length > 0 && (conflicts || !fits || rest.length > 0)) {
-      rest.push(operation);
-      continue;
-    }
-    batch.push(operation);
-    for (const c of operation.conditions) versions.set(c.key, c.version);
-    for (const w of operation.writes) writtenKeys.add(writtenKey(w));
-    writes += operation.writes.length;
-    bytes += operation.bytes;
+/** The service counts every condition that it is sent, also one that several operations share. */
+function distinctConditions(batch: Operation[]): Condition[] {
+  return [
+    ...new Map(
+      batch.flatMap(({ conditions }) => conditions).map((condition) => [condition.key, condition]),
+    ).values(),
+  ];
+}
+
+/** Settles the operations whose own conditions failed and returns the others, which go again without them. */
+function settleConflicting(
+  batch: Operation[],
+  outcome: Extract<CommitOutcome, { kind: 'conflict' }>,
+): Operation[] {
+  const failed = new Set(outcome.failed);
+  const hasFailed = (operation: Operation): boolean =>
+    operation.conditions.some((condition) => failed.has(condition.key));
+  const conflicting = batch.filter(hasFailed);
+  if (conflicting.length === 0) {
+    // The answer names none of their keys, so it does not tell which of them could go again.
+    settleAll(batch, { kind: 'unknown' });
+    return [];
   }
-  return { batch, rest };
+  settleAll(conflicting, outcome);
+  return batch.filter((operation) => !hasFailed(operation));
+}
+
+function settleAll(operations: Operation[], outcome: CommitOutcome): void {
+  for (const operation of operations) operation.settle(outcome);
 }
--- a/src/store/store.test.ts
+++ b/src/store/store.test.ts
@@ -8,7 +8,8 @@
 import { reply } from '../testing/store-standin.js';
 import { StoreClient } from './client.js';
 import type { CommitOutcome } from './transactions.js';
-import { CommitQueue, takeBatch } from './commit-queue.js';
+import { CommitQueue } from './commit-queue.js';
+import { takeBatch } from './transaction-batch.js';
 import { Mirror } from './mirror.js';
 import { AdaptiveShare } from './adaptive-share.js';
 
