--- a/src/store/freshness-bound.test.ts
+++ b/src/store/freshness-bound.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { FreshnessBound } from './freshness-bound.js';
 
 // Guards against taking any answer of the store for knowledge: the watch was swallowed, other requests were answered, and
--- a/src/store/freshness-bound.ts
+++ b/src/store/freshness-bound.ts
@@ -1,28 +1,30 @@
-/** Freshness bound of the replica of the state service. */
+/** How recent a copy of the state service's keys is. */
 
-/** Answers whose changes the copy lacks are remembered up to so many; leaving one out only makes us more careful. */
+/** Revisions that the copy has not reached yet are remembered up to so many; leaving one out only understates freshness. */
 const maxPending = 64;
 
+/** An answer to a request sent at this time named this revision. */
 interface RevisionObservation {
   sentAt: number;
   revision: number;
 }
 
 /**
- * How recent our knowledge of the store is. An answer that names a revision proves that all which was committed before
- * its request was *sent* is at or below that revision; once the copy has reached it, all of that is known here. Other
- * answers, refusals and open watches move nothing, however recently they came.
+ * Computes up to when the copy holds all changes. An answer that names a revision proves that everything committed before
+ * its request was *sent* is at or below that revision; once the copy has reached it, the copy holds all of that. Other
+ * answers, refusals and open watches prove nothing, however recent. Times are readings of one clock, in milliseconds.
  */
 export class FreshnessBound {
   private pending: RevisionObservation[] = [];
-  private knownAt = -Infinity;
+  private provenUntil = -Infinity;
   private newestSentAt = -Infinity;
 
-  /** When the last request was sent whose answer named a revision. */
+  /** When the last request was sent whose answer named a revision; `-Infinity` before the first. */
   get lastRevisionSeenAt(): number {
     return this.newestSentAt;
   }
 
+  /** Records that the answer to a request sent at this time named this revision. */
   recordRevision(sentAt: number, revision: number): void {
     this.newestSentAt = Math.max(this.newestSentAt, sentAt);
     const last = this.pending.at(-1);
@@ -30,15 +32,18 @@
     else if (this.pending.length < maxPending) this.pending.push({ sentAt, revision });
   }
 
-  /** Every change committed before this moment of our clock is in a copy that has reached `revision`. */
+  /**
+   * A copy that has reached this revision holds every change committed before the returned time; `-Infinity` where
+   * nothing is proven.
+   */
   knownUntil(revision: number): number {
-    // Asked for with every report, and mostly there is nothing new.
-    if (this.pending.every((sighting) => sighting.revision > revision)) return this.knownAt;
-    this.pending = this.pending.filter((sighting) => {
-      if (sighting.revision > revision) return true;
-      this.knownAt = Math.max(this.knownAt, sighting.sentAt);
+    // Asked for with every heartbeat, and mostly there is nothing new.
+    if (this.pending.every((observation) => observation.revision > revision)) return this.provenUntil;
+    this.pending = this.pending.filter((observation) => {
+      if (observation.revision > revision) return true;
+      this.provenUntil = Math.max(this.provenUntil, observation.sentAt);
       return false;
     });
-    return this.knownAt;
+    return this.provenUntil;
   }
 }
--- a/src/store/store.test.ts
+++ b/src/store/store.test.ts
@@ -1,17 +1,18 @@
 import assert from 'node:assert/strict';
-import { type AddressInfo } from 'node:net';
 import { createServer } from 'node:http';
+import { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
+
 import { steadyClock } from '../base/clock.js';
 import { testSettings } from '../testing/settings.js';
-import type { Change, Condition, Write } from '../wire/state.js';
 import { reply } from '../testing/store-standin.js';
+import type { Change, Condition, Write } from '../wire/state.js';
+import { AdaptiveShare } from './adaptive-share.js';
 import { StoreClient } from './client.js';
-import type { CommitOutcome } from './transactions.js';
 import { CommitQueue } from './commit-queue.js';
-import { takeBatch } from './transaction-batch.js';
 import { Mirror } from './mirror.js';
-import { AdaptiveShare } from './adaptive-share.js';
+import { takeBatch } from './transaction-batch.js';
+import type { CommitOutcome } from './transactions.js';
 
 const never = new AbortController().signal;
 
@@ -187,7 +188,8 @@
   for (let i = 0; i < 9; i++) adaptiveShare.recordCommit({ refused: true, waited: true }, 1000 + i * 100);
   assert.equal(adaptiveShare.factor, 0.7);
   for (let i = 0; i < 10; i++) adaptiveShare.recordCommit({ refused: false, waited: true }, 3000 + i * 1000);
-  assert.ok(adaptiveShare.factor > 0.75 && adaptiveShare.factor < 0.85);
+  const { factor } = adaptiveShare;
+  assert.ok(factor > 0.75 && factor < 0.85);
   for (let i = 0; i < 60; i++)
     adaptiveShare.recordCommit({ refused: false, waited: false }, 20_000 + i * 1000);
   assert.equal(adaptiveShare.factor, 1);
