--- /dev/null
+++ b/src/store/adaptive-share.test.ts
@@ -0,0 +1,35 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { AdaptiveShare, type PacedCommit } from './adaptive-share.js';
+
+// Guards against submissions that wait behind a fixed share while the others leave theirs unused.
+test('a share grows while users wait and nothing is refused, shrinks while nobody waits, and halves with a refusal', () => {
+  const adaptiveShare = new AdaptiveShare(0);
+  const factorAfter = (commit: PacedCommit, times: number, from: number): number => {
+    for (let i = 1; i <= times; i++) adaptiveShare.recordCommit(commit, from + i * 1000);
+    return adaptiveShare.factor;
+  };
+  assert.equal(factorAfter({ refused: false, waited: false }, 5, 0), 1);
+  assert.equal(factorAfter({ refused: false, waited: true }, 2, 5000), 2);
+  assert.equal(factorAfter({ refused: false, waited: true }, 60, 9000), 4);
+  assert.equal(factorAfter({ refused: false, waited: false }, 10, 69_000).toFixed(1), '3.0');
+  assert.equal(factorAfter({ refused: false, waited: true }, 2, 79_000).toFixed(1), '4.0');
+  assert.equal(factorAfter({ refused: true, waited: true }, 1, 81_000).toFixed(1), '2.0');
+  assert.equal(factorAfter({ refused: true, waited: false }, 9, 82_000), 1);
+});
+
+// Guards against a controller that goes on asking for the present rates once lower ones hold, and is refused for ever.
+test('refusals cut an even share down to what announced limits leave of it, and it recovers slowly', () => {
+  const adaptiveShare = new AdaptiveShare(0, 0.7);
+  for (let i = 0; i < 3; i++) adaptiveShare.recordCommit({ refused: true, waited: false }, i * 100);
+  assert.equal(adaptiveShare.factor.toFixed(3), '0.729');
+  for (let i = 0; i < 9; i++) adaptiveShare.recordCommit({ refused: true, waited: true }, 1000 + i * 100);
+  assert.equal(adaptiveShare.factor, 0.7);
+  for (let i = 0; i < 10; i++) adaptiveShare.recordCommit({ refused: false, waited: true }, 3000 + i * 1000);
+  const recovered: number = adaptiveShare.factor;
+  assert.ok(recovered > 0.75 && recovered < 0.85);
+  for (let i = 0; i < 60; i++)
+    adaptiveShare.recordCommit({ refused: false, waited: false }, 20_000 + i * 1000);
+  assert.equal(adaptiveShare.factor, 1);
+});
--- /dev/null
+++ b/src/store/commit-queue.test.ts
@@ -0,0 +1,106 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { testSettings } from '../testing/settings.js';
+import type { Condition, Write } from '../wire/state.js';
+import { CommitQueue } from './commit-queue.js';
+import type { CommitOutcome } from './transactions.js';
+
+const never = new AbortController().signal;
+
+/** A queue whose transactions are answered by the test, and how many writes each one sent. */
+function queueWith(answer: (conditions: Condition[], writes: Write[]) => CommitOutcome): {
+  queue: CommitQueue;
+  sent: number[];
+} {
+  const sent: number[] = [];
+  const client = {
+    commit: (_trafficClass: string, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> => {
+      sent.push(writes.length);
+      return new Promise((resolve) => setImmediate(() => resolve(answer(conditions, writes))));
+    },
+  };
+  return { queue: new CommitQueue(client, 'duty', testSettings(), never, 40), sent };
+}
+
+const put = (key: string): [Condition[], Write[]] => [[{ key, version: 0 }], [{ put: key, value: 1 }]];
+
+test('operations queued during a transaction go out together in the next one', async () => {
+  const { queue, sent } = queueWith(() => ({ kind: 'applied', revision: 9 }));
+  const outcomes = await Promise.all(['a', 'b', 'c', 'd'].map((key) => queue.commit(...put(key))));
+  assert.deepEqual(sent, [1, 3]);
+  assert.ok(outcomes.every(({ kind }) => kind === 'applied'));
+});
+
+test('a conflict of one operation does not fail the others in its transaction', async () => {
+  const { queue } = queueWith((conditions) =>
+    conditions.some((c) => c.key === 'b')
+      ? { kind: 'conflict', failed: ['b'], revision: 3 }
+      : { kind: 'applied', revision: 4 },
+  );
+  const outcomes = await Promise.all(['x', 'a', 'b', 'c'].map((key) => queue.commit(...put(key))));
+  assert.deepEqual(
+    outcomes.map(({ kind }) => kind),
+    ['applied', 'applied', 'conflict', 'applied'],
+  );
+});
+
+test('a transaction over the rate limits is retried, one refused in an outage is not', async () => {
+  let refusalsLeft = 2;
+  const limited = queueWith(() =>
+    refusalsLeft-- > 0 ? { kind: 'refused', rateLimited: true } : { kind: 'applied', revision: 1 },
+  );
+  assert.equal((await limited.queue.commit(...put('a'))).kind, 'applied');
+  const down = queueWith(() => ({ kind: 'refused', rateLimited: false }));
+  assert.equal((await down.queue.commit(...put('a'))).kind, 'refused');
+  assert.equal(down.sent.length, 1);
+});
+
+// The service calls a transaction malformed that names one key in several conditions, and the block would stand still.
+test('a condition shared by several operations is sent once', async () => {
+  const sent: string[][] = [];
+  const { queue } = queueWith((conditions) => {
+    sent.push(conditions.map((c) => c.key));
+    return { kind: 'applied', revision: 5 };
+  });
+  const block = { key: 'block/0', version: 3 };
+  const pages = ['run/0/0', 'run/0/1', 'run/0/2'].map((key) =>
+    queue.commit([block, { key, version: 1 }], [{ put: key, value: 1 }]),
+  );
+  await Promise.all(pages);
+  assert.deepEqual(sent, [
+    ['block/0', 'run/0/0'],
+    ['block/0', 'run/0/1', 'run/0/2'],
+  ]);
+});
+
+test('a malformed operation does not fail the others in its transaction', async () => {
+  const { queue, sent } = queueWith((conditions) =>
+    conditions.some(({ key }) => key === 'b') ? { kind: 'malformed' } : { kind: 'applied', revision: 4 },
+  );
+  const outcomes = await Promise.all(['x', 'a', 'b', 'c'].map((key) => queue.commit(...put(key))));
+  assert.deepEqual(
+    outcomes.map(({ kind }) => kind),
+    ['applied', 'applied', 'malformed', 'applied'],
+  );
+  assert.deepEqual(sent, [1, 3, 1, 1, 1]);
+});
+
+test('once the process stops, what is queued is refused', async () => {
+  const stop = new AbortController();
+  const sent: Write[][] = [];
+  const client = {
+    commit: (_trafficClass: string, _conditions: Condition[], writes: Write[]): Promise<CommitOutcome> => {
+      sent.push(writes);
+      stop.abort();
+      return Promise.resolve({ kind: 'applied', revision: 1 });
+    },
+  };
+  const queue = new CommitQueue(client, 'duty', testSettings(), stop.signal, 40);
+  const outcomes = await Promise.all(['a', 'b'].map((key) => queue.commit(...put(key))));
+  assert.deepEqual(outcomes, [
+    { kind: 'applied', revision: 1 },
+    { kind: 'refused', rateLimited: false },
+  ]);
+  assert.equal(sent.length, 1);
+});
--- a/src/store/freshness-bound.test.ts
+++ b/src/store/freshness-bound.test.ts
@@ -5,7 +5,7 @@
 
 // Guards against taking any answer of the store for knowledge: the watch was swallowed, other requests were answered, and
 // a cancel that the copy lacked was no older than the last of them.
-test('knowledge is as recent as the last request whose revision the copy has reached', () => {
+test('the bound is when the last request was sent whose revision the copy has reached', () => {
   const freshness = new FreshnessBound();
   assert.equal(freshness.knownUntil(100), -Infinity);
   freshness.recordRevision(1000, 5);
@@ -19,7 +19,7 @@
   assert.equal(freshness.knownUntil(8), 9000);
 });
 
-test('an answer that comes late counts from when its request was sent, and what is known stays known', () => {
+test('a late answer counts from when its request was sent, and the bound never moves back', () => {
   const freshness = new FreshnessBound();
   freshness.recordRevision(5000, 7);
   assert.equal(freshness.knownUntil(7), 5000);
@@ -27,7 +27,7 @@
   assert.equal(freshness.knownUntil(7), 5000);
 });
 
-test('a copy that stands still for long costs no memory, and only makes us more careful', () => {
+test('a copy that falls far behind takes bounded memory, and the bound is only understated', () => {
   const freshness = new FreshnessBound();
   for (let i = 1; i <= 1000; i++) freshness.recordRevision(i * 10, i);
   const known = freshness.knownUntil(1000);
