--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -25,7 +25,7 @@
 
 /**
  * How far a controller goes beyond its even share of the store's limits. The others seldom need all of theirs at the same
- * time, and nobody tells how much they leave: as long as the service refuses nothing, a controller that keeps users
+ * time, and no message says how much they leave: as long as the service refuses nothing, a controller that keeps users
  * waiting takes more, and each refusal halves its share, down to an even one. Where lower limits are announced, refusals
  * cut even shares down to what these will leave.
  */
--- a/src/store/mirror.ts
+++ b/src/store/mirror.ts
@@ -42,7 +42,7 @@
     return this.firstLoadedRevision !== undefined;
   }
 
-  /** The revision at which this process first read all keys: the copy has never shown an earlier state. */
+  /** Everything committed up to this revision was in the store before this process first read it. */
   get initialRevision(): number | undefined {
     return this.firstLoadedRevision;
   }
@@ -57,7 +57,7 @@
     return this.entries.size;
   }
 
-  /** The value and version under a key; of outcomes, only those that this copy has heard of lately. */
+  /** The value and version under a key; of outcomes, only those recorded lately. */
   get(key: string): StoredValue | undefined {
     return isOutcomeKey(key) ? this.outcomes.get(key) : this.entries.get(key);
   }
@@ -78,14 +78,14 @@
   }
 
   /**
-   * Records an outcome that was learned of other than by the watch; outcomes never change. Listeners hear of it at once:
+   * Records an outcome that was learned other than by the watch; outcomes never change. Listeners are notified at once:
    * the watch may not come again for as long as an outage lasts, and a user may have been told by then.
    */
   recordOutcome(key: string, { value, version }: StoredValue): void {
     this.recordOutcomes([{ key, value, version }]);
   }
 
-  /** Records several outcomes, as `recordOutcome` does; listeners hear of those that were unknown. */
+  /** Records several outcomes, as `recordOutcome` does; listeners are notified of those that were unknown. */
   recordOutcomes(items: Item[]): void {
     const unknown = items.filter(({ key }) => !this.outcomes.has(key));
     for (const { key, value, version } of unknown) this.cacheOutcome(key, { value, version });
@@ -173,7 +173,7 @@
   }
 
   private apply(changes: Change[], revision: number): void {
-    // An outcome may be known before the watch brings it; the listeners have heard of it then.
+    // An outcome may be known before the watch brings it; the listeners have been notified then.
     const newer = changes.filter((change) => change.version > this.version(change.key));
     for (const change of newer) this.applyChange(change);
     this.appliedRevision = Math.max(this.appliedRevision, revision);
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -5,8 +5,8 @@
 import { AdaptiveShare } from './adaptive-share.js';
 
 /**
- * `intake` carries what users submit and cancel, `confirm` what their questions ask for, `duty` the controller's own work.
- * Each class is paced by itself: neither a burst of submissions nor one of questions can make the others late.
+ * `intake` carries users' submissions and cancellations, `confirm` what confirms the answers to their status queries, `duty`
+ * the controller's own work. Requests of each class are paced by themselves: a burst in one makes none of another late.
  */
 export type TrafficClass = 'intake' | 'confirm' | 'duty';
 
