--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -17,8 +17,10 @@
 import type { LeasedMachine } from '../wire/block-records.js';
 import { ladderKey, leaderKey } from '../wire/keys.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
-import { type Pool, buildPools, countDemand, poolKey } from './pools.js';
-import { Ladder, slotsOf } from './ladder.js';
+import { countDemand } from './demand.js';
+import { buildPools, type Pool, poolKey } from './pools.js';
+import { Ladder } from './ladder.js';
+import { slotsOf } from './slots.js';
 import { CapacityRefusals } from './capacity-refusals.js';
 import { MissingMachineDetector } from './missing-machine-detector.js';
 import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
@@ -81,7 +83,7 @@
   private readonly missingMachines: MissingMachineDetector;
 
   constructor(private readonly ports: AutoscalerPorts) {
-    this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder);
+    this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder.slotShare);
     this.failureObserver = new FailureObserver(ports.settings.heartbeatIntervalMs);
     this.tickMs = Math.max(minTickMs, ports.settings.heartbeatIntervalMs / evaluationsPerHeartbeat);
     this.tunedAt = ports.clock();
@@ -105,7 +107,7 @@
 
   /** Slots that wait in a block for machines like this one. */
   waitingSlots(block: number, machine: LeasedMachine): number {
-    return this.pools.get(poolKey(machine.type, machine.spot))?.waiting.get(block) ?? 0;
+    return this.pools.get(poolKey(machine.type, machine.spot))?.waitingSlotsByBlock.get(block) ?? 0;
   }
 
   markTerminated(names: Iterable<string>): void {
@@ -191,7 +193,7 @@
       machines,
       pools,
       teams: settings.teams,
-      shape: operator.ladder,
+      slotShare: operator.ladder.slotShare,
     });
     await nextTurn();
     this.pools = pools;
@@ -216,7 +218,7 @@
     if (!entry) {
       const moved = parseLadder(mirror.get(ladderKey(pool))?.value);
       const { targetFailureRatio, windowS, slotShare, start, spotStart } = operator.ladder;
-      const shape = { slotShare, start: this.pools.get(pool)?.spot ? spotStart : start };
+      const shape = { slotShare, startShare: this.pools.get(pool)?.spot ? spotStart : start };
       entry = {
         ladder: new Ladder(shape, moved),
         tuner: new ThresholdTuner({ targetFailureShare: targetFailureRatio, windowMs: windowS * 1000 }),
@@ -259,9 +261,10 @@
     const pools = [...this.pools.values()].map((pool) => ({
       pool: pool.key,
       machines: pool.machines.length,
-      leaving: pool.leaving.length,
-      counted: Math.round(pool.counted),
-      waiting: [...pool.waiting].map(([block, slots]) => [block, Math.round(slots)]),
+      draining: pool.draining.length,
+      counted: Math.round(pool.countedSlots),
+      waiting: [...pool.waitingSlotsByBlock].map(([block, slots]) => [block, Math.round(slots)]),
+      undispatched: Math.round(pool.undispatchedSlots),
       exhausted: pool.exhausted,
     }));
     log[due ? 'info' : 'debug']({ event: 'pools', pools }, 'pools');
@@ -281,7 +284,7 @@
     const { term } = this.ports;
     let missing = count;
     // A machine on its way out is the quickest to have back.
-    const back = pool.leaving.filter((m) => !this.presumedTerminated.has(m.id) && !this.releasing.has(m.id));
+    const back = pool.draining.filter((m) => !this.presumedTerminated.has(m.id) && !this.releasing.has(m.id));
     for (const machine of back.slice(0, missing)) {
       this.toDrain.delete(machine.id);
       missing--;
@@ -351,7 +354,7 @@
     const loads = jobIndex.machineLoads();
     const loadOf = (machine: LeasedMachine): number => {
       const load = loads.get(machine.id);
-      return load ? slotsOf(load, pool.type, operator.ladder) : 0;
+      return load ? slotsOf(load, pool.type, operator.ladder.slotShare) : 0;
     };
     // Placement fills machines in order of name, so the last ones empty first.
     const least = pool.machines
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -10,7 +10,7 @@
 import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
 import { ThresholdTuner } from './threshold-tuner.js';
 
-const shape = { slotShare: 0.125, start: 0.8 };
+const shape = { slotShare: 0.125, startShare: 0.8 };
 
 test('thresholds start at a share of the room of the machines before', () => {
   const ladder = new Ladder(shape);
@@ -75,7 +75,7 @@
   const surplus = new ScaleInWindow();
   const pool = (counted: number): Parameters<ScaleInWindow['machinesToRemove']>[0] => ({
     key: 'c8/spot',
-    counted,
+    countedSlots: counted,
     machines: new Array<LeasedMachine>(3),
     type: { bootS: 40 } as MachineType,
   });
@@ -95,10 +95,10 @@
 
 test('what has no room is rented for at once, room to spare only once it has been lacking for a while', () => {
   const ladder = new Ladder(shape);
-  const lack = new ScaleOutWindow(shape);
+  const lack = new ScaleOutWindow(shape.slotShare);
   const pool = (counted: number): Parameters<ScaleOutWindow['machinesToAdd']>[0] => ({
     key: 'c8/spot',
-    counted,
+    countedSlots: counted,
     machines: new Array<LeasedMachine>(10),
     type: { bootS: 40 } as MachineType,
   });
--- a/src/ladder/ladder.ts
+++ b/src/ladder/ladder.ts
@@ -1,76 +1,85 @@
-import type { MachineType, Resources } from '../model/types.js';
+/**
+ * The ladder of thresholds by which a pool scales: machine number m is rented once the counted slots reach threshold m,
+ * and scaled in once they fall below it.
+ */
+import { slotsPerMachine } from './slots.js';
 
-/** The ladder counts in slots: a share of a machine's dominant resource. */
+/** Where the thresholds of a ladder start. */
 export interface LadderShape {
-  /** What a slot is of a machine, e.g. an eighth. */
+  /** The share of a machine's dominant resource that one slot stands for. */
   slotShare: number;
-  /** Where thresholds start, as a share of the room of the machines before. */
-  start: number;
+  /** The first value of each threshold, as a share of the capacity of the machines before it. */
+  startShare: number;
 }
 
-export function slotsPerMachine(shape: LadderShape): number {
-  return 1 / shape.slotShare;
-}
+/** A threshold that differs from its first value: the number of its machine, and its slots. */
+export type MovedThreshold = [machineNumber: number, slots: number];
 
-/** How many slots of such a machine a task takes: by its dominant resource. */
-export function slotsOf(need: Resources, type: MachineType, shape: LadderShape): number {
-  const share = Math.max(
-    need.cpus / type.cpus,
-    need.memoryGb / type.memoryGb,
-    type.accelerators > 0 ? need.accelerators / type.accelerators : 0,
-  );
-  return share / shape.slotShare;
-}
+/** The first machine is rented for any work at all. */
+const anyWorkSlots = Number.MIN_VALUE;
 
-/** The thresholds of one pool. The m-th machine is rented once the counted slots reach threshold m. */
+/**
+ * The thresholds of one pool, in slots. They never decrease with the number of the machine, and each lies between zero
+ * and the capacity of the machines before it. The first is fixed.
+ */
 export class Ladder {
-  /** Thresholds that were moved, by m; all others are where they start. */
+  /** Slots by machine number, in the order of their last move; all other thresholds have their first value. */
   private readonly movedByMachineNumber = new Map<number, number>();
 
+  /** `moved`: thresholds that an earlier leader has moved; they are cut to the capacity of the machines before. */
   constructor(
     private readonly shape: LadderShape,
-    moved: Iterable<[number, number]> = [],
+    moved: Iterable<MovedThreshold> = [],
   ) {
-    for (const [m, slots] of moved)
-      if (m > 1) this.movedByMachineNumber.set(m, Math.min(Math.max(0, slots), this.slotsBelow(m)));
+    for (const [machineNumber, slots] of moved) {
+      if (machineNumber <= 1) continue;
+      const valid = Math.min(Math.max(0, slots), this.slotsBelow(machineNumber));
+      this.movedByMachineNumber.set(machineNumber, valid);
+    }
   }
 
-  /** The last ones to be moved come last. */
-  get movedThresholds(): [number, number][] {
+  /** All thresholds that were moved; those that were moved last come last. */
+  get movedThresholds(): MovedThreshold[] {
     return [...this.movedByMachineNumber];
   }
 
-  threshold(m: number): number {
-    // The first is rented for any work at all.
-    if (m <= 1) return Number.MIN_VALUE;
-    return this.movedByMachineNumber.get(m) ?? Math.max(1, Math.round(this.shape.start * this.slotsBelow(m)));
+  /** The counted slots at which the machine with this number is rented. */
+  threshold(machineNumber: number): number {
+    if (machineNumber <= 1) return anyWorkSlots;
+    const moved = this.movedByMachineNumber.get(machineNumber);
+    return moved ?? Math.max(1, Math.round(this.shape.startShare * this.slotsBelow(machineNumber)));
   }
 
-  /** Moves one threshold by one slot, within zero and the room of the machines before it, and within its neighbours. */
-  move(m: number, by: 1 | -1): boolean {
-    if (m <= 1) return false;
-    const next = this.threshold(m) + by;
-    const lowest = m === 2 ? 0 : this.threshold(m - 1);
-    const highest = Math.min(this.slotsBelow(m), this.threshold(m + 1));
+  /**
+   * Moves one threshold by one slot. Returns false and moves nothing where that would take it below zero, above the
+   * capacity of the machines before it, or past one of its neighbours.
+   */
+  move(machineNumber: number, bySlots: 1 | -1): boolean {
+    if (machineNumber <= 1) return false;
+    const next = this.threshold(machineNumber) + bySlots;
+    const lowest = machineNumber === 2 ? 0 : this.threshold(machineNumber - 1);
+    const highest = Math.min(this.slotsBelow(machineNumber), this.threshold(machineNumber + 1));
     if (next < lowest || next > highest) return false;
-    this.movedByMachineNumber.delete(m);
-    this.movedByMachineNumber.set(m, next);
+    // Deleted first, so that the map keeps the order of the moves.
+    this.movedByMachineNumber.delete(machineNumber);
+    this.movedByMachineNumber.set(machineNumber, next);
     return true;
   }
 
-  /** How many machines there should be at the least, given how many there are. */
-  scaleOutTarget(machines: number, counted: number): number {
-    let m = machines;
-    while (counted > 0 && counted >= this.threshold(m + 1)) m++;
-    return m;
+  /** The number of machines that the counted slots call for; never fewer than there are. */
+  scaleOutTarget(machines: number, countedSlots: number): number {
+    let target = machines;
+    while (countedSlots > 0 && countedSlots >= this.threshold(target + 1)) target++;
+    return target;
   }
 
-  /** True once the counted slots are below what the last machine was rented for. */
-  allowsScaleIn(machines: number, counted: number): boolean {
-    return machines > 0 && counted < this.threshold(machines);
+  /** True once the counted slots are below the threshold of the last machine. */
+  allowsScaleIn(machines: number, countedSlots: number): boolean {
+    return machines > 0 && countedSlots < this.threshold(machines);
   }
 
-  private slotsBelow(m: number): number {
-    return slotsPerMachine(this.shape) * (m - 1);
+  /** The capacity of the machines before this one. */
+  private slotsBelow(machineNumber: number): number {
+    return slotsPerMachine(this.shape.slotShare) * (machineNumber - 1);
   }
 }
