--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -8,23 +8,20 @@
 import type { Term } from '../leadership/term.js';
 import type { CloudMachine, MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
-import { lateClasses } from '../placement/lateness.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
-import { ladderKey, leaderKey } from '../wire/keys.js';
-import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
 import { countDemand } from './demand.js';
 import { buildPools, type Pool, poolKey } from './pools.js';
-import { Ladder } from './ladder.js';
 import { slotsOf } from './slots.js';
 import { CapacityRefusals } from './capacity-refusals.js';
 import { MissingMachineDetector } from './missing-machine-detector.js';
 import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
-import { ThresholdTuner } from './threshold-tuner.js';
+import { PoolLadders } from './pool-ladders.js';
+import { PoolLog } from './pool-log.js';
 import { FailureObserver } from './failure-observer.js';
 
 export interface AutoscalerPorts {
@@ -72,13 +69,12 @@
   /** A release of theirs is under way. */
   private readonly releasing = new Set<string>();
   private pools = new Map<string, Pool>();
-  private readonly ladders = new Map<string, { ladder: Ladder; tuner: ThresholdTuner }>();
+  private readonly ladders: PoolLadders;
   private readonly scaleInWindow = new ScaleInWindow();
   private readonly scaleOutWindow: ScaleOutWindow;
   private readonly failureObserver: FailureObserver;
   private readonly tickMs: number;
-  private tunedAt: number;
-  private poolsLoggedAt = -Infinity;
+  private readonly poolLog: PoolLog;
   private readonly refusals: CapacityRefusals;
   private readonly missingMachines: MissingMachineDetector;
 
@@ -86,7 +82,8 @@
     this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder.slotShare);
     this.failureObserver = new FailureObserver(ports.settings.heartbeatIntervalMs);
     this.tickMs = Math.max(minTickMs, ports.settings.heartbeatIntervalMs / evaluationsPerHeartbeat);
-    this.tunedAt = ports.clock();
+    this.ladders = new PoolLadders(ports);
+    this.poolLog = new PoolLog(ports);
     const { listLagMs } = ports.settings.cloud;
     this.terminated = new RecentNames(
       ports.clock,
@@ -197,13 +194,12 @@
     });
     await nextTurn();
     this.pools = pools;
-    this.logPools(now);
-    for (const { pool, outcome } of this.failureObserver.observe(jobIndex, pools, machines, now)) {
-      this.ladderOf(pool).tuner.add(outcome);
-    }
-    await this.tuneThresholds(now);
+    this.poolLog.write(pools.values(), now);
+    const samples = this.failureObserver.observe({ jobIndex, pools, machines, now });
+    for (const sample of samples) this.ladders.addSample(sample);
+    await this.ladders.tune(pools.values(), now);
     for (const pool of pools.values()) {
-      const { ladder } = this.ladderOf(pool.key);
+      const ladder = this.ladders.ladderOf(pool);
       const lacking = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
       const surplus = this.scaleInWindow.machinesToRemove(pool, ladder, now);
       if (lacking > 0) await this.scaleOut(pool, lacking);
@@ -211,75 +207,6 @@
     }
   }
 
-  /** A pool's ladder, as the last leader left it in the store. */
-  private ladderOf(pool: string): { ladder: Ladder; tuner: ThresholdTuner } {
-    const { operator, mirror } = this.ports;
-    let entry = this.ladders.get(pool);
-    if (!entry) {
-      const moved = parseLadder(mirror.get(ladderKey(pool))?.value);
-      const { targetFailureRatio, windowS, slotShare, start, spotStart } = operator.ladder;
-      const shape = { slotShare, startShare: this.pools.get(pool)?.spot ? spotStart : start };
-      entry = {
-        ladder: new Ladder(shape, moved),
-        tuner: new ThresholdTuner({ targetFailureShare: targetFailureRatio, windowMs: windowS * 1000 }),
-      };
-      this.ladders.set(pool, entry);
-    }
-    return entry;
-  }
-
-  /** Once a period, one threshold of each pool by one slot. */
-  private async tuneThresholds(now: number): Promise<void> {
-    const { operator, commits, term, log, settings } = this.ports;
-    if (now - this.tunedAt < operator.ladder.periodS * 1000) return;
-    this.tunedAt = now;
-    for (const pool of this.pools.values()) {
-      const { ladder, tuner } = this.ladderOf(pool.key);
-      const share = tuner.failureShare(now);
-      const move = tuner.tune(ladder, pool.machines.length + 1, now);
-      if (!move) continue;
-      const threshold = ladder.threshold(move.m);
-      log.info({ event: 'tuned', pool: pool.key, ...move, threshold, failures: share }, 'threshold moved');
-      // Were it lost, the next move writes it again.
-      await commits.commit(
-        [{ key: leaderKey, version: term.fencingToken }],
-        [
-          {
-            put: ladderKey(pool.key),
-            value: ladderRecord(ladder.movedThresholds, settings.state.valueBytes),
-          },
-        ],
-      );
-    }
-  }
-
-  /** For the people on call: what there is and what is asked for, once a period. */
-  private logPools(now: number): void {
-    const { log, operator } = this.ports;
-    const due = now - this.poolsLoggedAt >= operator.ladder.periodS * 1000;
-    if (!due && !log.isLevelEnabled('debug')) return;
-    const pools = [...this.pools.values()].map((pool) => ({
-      pool: pool.key,
-      machines: pool.machines.length,
-      draining: pool.draining.length,
-      counted: Math.round(pool.countedSlots),
-      waiting: [...pool.waitingSlotsByBlock].map(([block, slots]) => [block, Math.round(slots)]),
-      undispatched: Math.round(pool.undispatchedSlots),
-      exhausted: pool.exhausted,
-    }));
-    log[due ? 'info' : 'debug']({ event: 'pools', pools }, 'pools');
-    if (!due) return;
-    this.poolsLoggedAt = now;
-    this.logLateClasses();
-  }
-
-  private logLateClasses(): void {
-    const { log, jobIndex, settings, wallClock } = this.ports;
-    const jobs = [...jobIndex.jobs.values()].map((job) => jobIndex.asQueuedJob(job));
-    const classes = lateClasses(settings.objectives, jobs, wallClock());
-    if (classes.length > 0) log.info({ event: 'late', classes }, 'classes run late');
-  }
-
   private async scaleOut(pool: Pool, count: number): Promise<void> {
     const { term } = this.ports;
     let missing = count;
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -15,7 +15,7 @@
 test('thresholds start at a share of the room of the machines before', () => {
   const ladder = new Ladder(shape);
   assert.deepEqual(
-    [2, 3, 4, 5].map((m) => ladder.threshold(m)),
+    [2, 3, 4, 5].map((machineNumber) => ladder.threshold(machineNumber)),
     [6, 13, 19, 26],
   );
 });
@@ -46,15 +46,15 @@
 
 test('the threshold in force at most failures goes down while too many fail, and up again after', () => {
   const ladder = new Ladder(shape);
-  const tuner = new ThresholdTuner({ targetFailureShare: 0.01, windowMs: 300_000 });
+  const tuner = new ThresholdTuner({ targetFailureRatio: 0.01, windowMs: 300_000 });
   assert.equal(tuner.tune(ladder, 4, 0), undefined);
-  tuner.add({ at: 0, tasks: 90, failed: 0, m: 3 });
-  tuner.add({ at: 1000, tasks: 10, failed: 2, m: 3 });
-  tuner.add({ at: 2000, tasks: 10, failed: 1, m: 4 });
-  assert.deepEqual(tuner.tune(ladder, 5, 30_000), { m: 3, by: -1 });
+  tuner.add({ observedAt: 0, tasks: 90, failed: 0, machineNumber: 3 });
+  tuner.add({ observedAt: 1000, tasks: 10, failed: 2, machineNumber: 3 });
+  tuner.add({ observedAt: 2000, tasks: 10, failed: 1, machineNumber: 4 });
+  assert.deepEqual(tuner.tune(ladder, 5, 30_000), { machineNumber: 3, bySlots: -1 });
   assert.equal(ladder.threshold(3), 12);
-  tuner.add({ at: 310_000, tasks: 50, failed: 0, m: 5 });
-  assert.deepEqual(tuner.tune(ladder, 5, 330_000), { m: 5, by: 1 });
+  tuner.add({ observedAt: 310_000, tasks: 50, failed: 0, machineNumber: 5 });
+  assert.deepEqual(tuner.tune(ladder, 5, 330_000), { machineNumber: 5, bySlots: 1 });
 });
 
 test('a refusal is asked again after growing pauses, and forgotten once granted', () => {
--- a/src/ladder/sustained-minimum.ts
+++ b/src/ladder/sustained-minimum.ts
@@ -1,14 +1,22 @@
-/** The least that a count has been all along over the last while; 0 until there has been such a while. */
+/** The minimum of a count over a sliding window. */
+
+interface CountSample {
+  at: number;
+  count: number;
+}
+
+/** Keeps the samples of each key for as long as its window, and answers what a count has been at least throughout it. */
 export class SustainedMinimum {
-  private readonly samples = new Map<string, { at: number; count: number }[]>();
+  private readonly samplesByKey = new Map<string, CountSample[]>();
 
+  /** Records a count. Returns the minimum over the window, 0 until the samples span one. */
   record(key: string, count: number, now: number, windowMs: number): number {
-    const since = now - windowMs;
-    const samples = [...(this.samples.get(key) ?? []), { at: now, count }];
-    // The newest of those before the window stands for what held when it began.
-    const first = samples.findLastIndex((sample) => sample.at <= since);
+    const windowStart = now - windowMs;
+    const samples = [...(this.samplesByKey.get(key) ?? []), { at: now, count }];
+    // The last sample before the window tells what held when it began.
+    const first = samples.findLastIndex((sample) => sample.at <= windowStart);
     const recent = samples.slice(Math.max(0, first));
-    this.samples.set(key, recent);
+    this.samplesByKey.set(key, recent);
     return first < 0 ? 0 : Math.min(...recent.map((sample) => sample.count));
   }
 }
--- a/src/ladder/threshold-tuner.ts
+++ b/src/ladder/threshold-tuner.ts
@@ -1,51 +1,74 @@
+/** Online tuning of a pool's thresholds by the share of tasks that failed over a window. */
 import type { Ladder } from './ladder.js';
 
-/** Tasks of a pool that came or were displaced at one time, and which threshold was in force then. */
+/**
+ * Tasks of a pool that arrived or were displaced at one time. A task fails when it has to wait on arrival, or loses its
+ * machine.
+ */
 export interface FailureSample {
-  at: number;
+  /** Monotonic time in ms. */
+  observedAt: number;
+  /** Tasks that arrived. */
   tasks: number;
-  /** Of these, how many had to wait for a machine or lost theirs. */
+  /** Tasks that had to wait for a machine, or lost theirs. */
   failed: number;
-  /** The machine that was the next to be rented: had its threshold been lower, it might have been there. */
-  m: number;
+  /** The next machine to be rented at that time: with a lower threshold it might have been there. */
+  machineNumber: number;
 }
 
+/** What the tuner aims at. */
 export interface TunerSettings {
-  targetFailureShare: number;
+  /** The share of failed tasks above which a threshold goes down. */
+  targetFailureRatio: number;
+  /** For how long a sample counts. */
   windowMs: number;
 }
 
-/** Moves one threshold of a pool by one slot a period, by the share of failures over a window. */
+/** One step of the tuning. */
+export interface ThresholdMove {
+  machineNumber: number;
+  bySlots: 1 | -1;
+}
+
+/** Moves one threshold of a pool by one slot per period: down while too many tasks fail, else up. */
 export class ThresholdTuner {
   private samples: FailureSample[] = [];
 
   constructor(private readonly settings: TunerSettings) {}
 
-  add(outcome: FailureSample): void {
-    this.samples.push(outcome);
+  /** Takes a sample into the window. */
+  add(sample: FailureSample): void {
+    this.samples.push(sample);
   }
 
-  /** Undefined: nothing has come in the window, so nothing is known. */
-  failureShare(now: number): number | undefined {
-    this.samples = this.samples.filter((o) => now - o.at <= this.settings.windowMs);
-    const tasks = this.samples.reduce((sum, o) => sum + o.tasks, 0);
+  /** The share of tasks that failed within the window; undefined where none arrived in it. */
+  failureRatio(now: number): number | undefined {
+    this.samples = this.samples.filter((sample) => now - sample.observedAt <= this.settings.windowMs);
+    const tasks = this.samples.reduce((sum, sample) => sum + sample.tasks, 0);
     if (tasks === 0) return undefined;
-    return this.samples.reduce((sum, o) => sum + o.failed, 0) / tasks;
+    return this.samples.reduce((sum, sample) => sum + sample.failed, 0) / tasks;
   }
 
-  /** Returns what was moved, if anything. `next` is the number of the next machine to be rented. */
-  tune(ladder: Ladder, next: number, now: number): { m: number; by: 1 | -1 } | undefined {
-    const share = this.failureShare(now);
-    if (share === undefined) return undefined;
-    const by = share > this.settings.targetFailureShare ? -1 : 1;
-    const m = this.thresholdWithMostFailures() ?? next;
-    return ladder.move(m, by) ? { m, by } : undefined;
+  /**
+   * Moves a threshold of the ladder: the one with most failures in the window, or that of the next machine to be rented.
+   * Returns the move, or undefined where nothing arrived in the window or the threshold is at its bound.
+   */
+  tune(ladder: Ladder, nextMachineNumber: number, now: number): ThresholdMove | undefined {
+    const failureRatio = this.failureRatio(now);
+    if (failureRatio === undefined) return undefined;
+    const bySlots = failureRatio > this.settings.targetFailureRatio ? -1 : 1;
+    const machineNumber = this.thresholdWithMostFailures() ?? nextMachineNumber;
+    return ladder.move(machineNumber, bySlots) ? { machineNumber, bySlots } : undefined;
   }
 
-  /** The threshold that was in force at most of the recent failures. */
+  /** The threshold in force at most failures of the window; of several the lowest. */
   private thresholdWithMostFailures(): number | undefined {
-    const failed = new Map<number, number>();
-    for (const o of this.samples) if (o.failed > 0) failed.set(o.m, (failed.get(o.m) ?? 0) + o.failed);
-    return [...failed].sort((a, b) => b[1] - a[1] || a[0] - b[0])[0]?.[0];
+    const failedByMachineNumber = new Map<number, number>();
+    for (const { failed, machineNumber } of this.samples) {
+      if (failed === 0) continue;
+      failedByMachineNumber.set(machineNumber, (failedByMachineNumber.get(machineNumber) ?? 0) + failed);
+    }
+    const mostFailedFirst = [...failedByMachineNumber].sort((a, b) => b[1] - a[1] || a[0] - b[0]);
+    return mostFailedFirst[0]?.[0];
   }
 }
