--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -77,11 +77,13 @@
     quotaSharePeriodMs: 1000,
     settings: { ...testSettings(), teams: new Map() },
     jobIndex: { jobs: empty, machineLoads: () => empty, inQueueOrder: () => [], activeTasks: () => [] },
-    fleet: {
-      unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
-      terminated: new Set(),
-      toDrain: new Set(),
-      presumedTerminated: new Set(),
+    autoscaler: {
+      inventory: {
+        unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
+        terminated: new Set(),
+        toDrain: new Set(),
+        presumedTerminated: new Set(),
+      },
       waitingSlots: () => 0,
     },
     store: { failing: false },
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -14,7 +14,7 @@
 
 export interface BlockAllocatorPorts extends DispatcherPorts {
   store: StoreClient;
-  fleet: Autoscaler;
+  autoscaler: Pick<Autoscaler, 'inventory' | 'waitingSlots'>;
   quotaSharePeriodMs: number;
   incarnation: string;
 }
@@ -62,7 +62,8 @@
   }
 
   private async assignBlocks(): Promise<void> {
-    const { settings, registry, jobIndex, fleet, clock } = this.ports;
+    const { settings, registry, jobIndex, autoscaler, clock } = this.ports;
+    const { inventory } = autoscaler;
     if (await this.supersedeUncertainLeases()) return;
     // From here to the commits nothing is awaited: the records that they build on are those of the versions they name.
     const blocks = registry.blocks();
@@ -80,11 +81,11 @@
       blocks,
       liveMembers: alive,
       stableMembers: new Set(alive.map((m) => m.label).filter((label) => this.isStable(label))),
-      unassignedMachines: [...fleet.unassigned.values()],
-      terminatedMachines: fleet.terminated,
+      unassignedMachines: [...inventory.unassigned.values()],
+      terminatedMachines: inventory.terminated,
       machinesWithTasks: jobIndex.machineLoads(),
-      drainingMachines: new Set([...fleet.toDrain, ...fleet.presumedTerminated]),
-      waitingSlots: (block, machine) => fleet.waitingSlots(block, machine),
+      drainingMachines: new Set([...inventory.toDrain, ...inventory.presumedTerminated]),
+      waitingSlots: (block, machine) => autoscaler.waitingSlots(block, machine),
       quotaShares: this.quotaShares(blocks),
     });
     if (next.size === 0) return;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -107,7 +107,7 @@
   private readonly peers: PeerLinks;
   private readonly intake: Intake;
   private readonly cascade: Cascade;
-  private fleet: Autoscaler | undefined;
+  private autoscaler: Autoscaler | undefined;
   private readonly upMachines: BootedMachines;
   private storeUseLoggedAt = -Infinity;
 
@@ -285,32 +285,32 @@
     while (!term.signal.aborted && mirror.revision < term.fencingToken) await sleep(20, term.signal);
     if (term.signal.aborted) return;
     const shared = { ...this.sharedPorts, commits: this.stages.lead, term };
-    const fleet = new Autoscaler({
+    const autoscaler = new Autoscaler({
       ...shared,
       isFirstTerm: registry.blocks().size === 0,
       leasedMachines: () => registry.leasedMachines(),
     });
     const allocator = new BlockAllocator({
       ...shared,
-      fleet,
+      autoscaler,
       quotaSharePeriodMs: operator.blocks.quotaSharePeriodS * 1000,
       lookahead: operator.blocks.lookahead,
       isBooted: (machine) => this.upMachines.isBooted(machine),
     });
-    this.fleet = fleet;
+    this.autoscaler = autoscaler;
     try {
       await Promise.all([
         runRoutine('block-allocator', term.signal, log, () => allocator.run()),
-        fleet.run(),
+        autoscaler.run(),
       ]);
     } finally {
-      this.fleet = undefined;
+      this.autoscaler = undefined;
     }
   }
 
   private applyPeerStatus(status: PeerStatus): void {
     this.upMachines.markBooted(status.bootedMachines);
-    this.fleet?.markTerminated(status.terminatedMachines);
+    this.autoscaler?.inventory.markTerminated(status.terminatedMachines);
     const { term } = this.election;
     if (term && status.fencingToken > term.fencingToken) term.end(`${status.from} leads with a higher token`);
     for (const [id, version] of status.cancelled) {
@@ -427,7 +427,9 @@
       // What peers are told, our own leader has to hear as well.
       for (const blockState of this.leases.blockStates()) {
         this.upMachines.markBooted(blockState.machinesUpSince(this.clock() - machineNewsMs));
-        this.fleet?.markTerminated(blockState.machinesTerminatedSince(this.clock() - machineNewsMs));
+        this.autoscaler?.inventory.markTerminated(
+          blockState.machinesTerminatedSince(this.clock() - machineNewsMs),
+        );
       }
       this.updateStoreShare();
       this.logStoreUse();
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -1,12 +1,11 @@
-import type { Clock } from '../base/clock.js';
-import { sleep } from '../base/clock.js';
+/** The leader's autoscaling: composes inventory, demand, ladders, scale-out and scale-in into one loop. */
+import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
 import { nextTurn } from '../base/turns.js';
-import { RecentNames } from '../base/recent-names.js';
-import { type CloudClient, listLimit, releaseLimit, rentalLimit } from '../cloud/client.js';
+import type { CloudClient } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
-import type { CloudMachine, MachineType } from '../model/types.js';
+import type { MachineType } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { OperatorSettings } from '../settings/operator.js';
@@ -15,15 +14,18 @@
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { countDemand } from './demand.js';
-import { buildPools, type Pool, poolKey } from './pools.js';
-import { slotsOf } from './slots.js';
-import { CapacityRefusals } from './capacity-refusals.js';
-import { MissingMachineDetector } from './missing-machine-detector.js';
-import { ScaleOutWindow, ScaleInWindow } from './scaling-windows.js';
+import { FailureObserver } from './failure-observer.js';
+import { MachineInventory } from './machine-inventory.js';
+import { MachineListPoller } from './machine-list-poller.js';
+import { MachineReleaser } from './machine-releaser.js';
 import { PoolLadders } from './pool-ladders.js';
 import { PoolLog } from './pool-log.js';
-import { FailureObserver } from './failure-observer.js';
+import { buildPools, type Pool, poolKey } from './pools.js';
+import { machinesToDrain } from './scale-in.js';
+import { ScaleOut } from './scale-out.js';
+import { ScaleInWindow, ScaleOutWindow } from './scaling-windows.js';
 
+/** What the autoscaler and its parts use of the controller. */
 export interface AutoscalerPorts {
   clock: Clock;
   wallClock: () => number;
@@ -33,156 +35,117 @@
   cloud: CloudClient;
   jobIndex: JobIndex;
   order: QueueOrder;
-  mirror: Mirror;
-  commits: CommitQueue;
+  mirror: Pick<Mirror, 'get'>;
+  commits: Pick<CommitQueue, 'commit'>;
   term: Term;
-  /** There has been no leader before, so no rental of one is still to be listed. */
+  /** There has been no leader before, so that no rental of one is still to be listed. */
   isFirstTerm: boolean;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** The store has lately answered us: without it the term may be over. */
+  /** The store has answered lately: without it the term may be over. */
   isStoreReachable: () => boolean;
   /** All machines of all blocks, as the store has them. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** The ladder is looked at so often in a report interval: what it counts comes with reports. */
+/** Evaluations per heartbeat interval: what the ladder counts changes with heartbeats. */
 const evaluationsPerHeartbeat = 2;
-const minTickMs = 1000;
-/** A machine that is given back earlier is charged for this long all the same. */
-const minimumChargeMs = 60_000;
-/** Machines that are gone are remembered for so many times the list's lag, and for so long at least. */
-const terminatedMemoryLags = 20;
-const minTerminatedMemoryMs = 60_000;
-/** The part of the calls to the cloud that lists of all machines may take. */
-const listCallShare = 0.4;
+const minEvaluationIntervalMs = 1000;
+/** Time between two lists of machines at least, in evaluations. */
+const evaluationsPerList = 2;
+/** Releases are looked for this often in an evaluation interval. */
+const releasesPerEvaluation = 2;
 
-/** The leader's renting and giving back, by the ladder of each pool. */
+/** Scales each pool out and in by its ladder, for as long as the term lasts. */
 export class Autoscaler {
-  /** Rented or found in the list, and in no block yet. */
-  readonly unassigned = new Map<string, LeasedMachine>();
-  /** Known to be gone; the list and the blocks may still name them for a while. */
-  readonly terminated: RecentNames;
-  /** On their way out: nothing more is to be placed on them. */
-  readonly toDrain = new Set<string>();
-  /** No longer listed: most likely taken by the cloud, which a release will prove. */
-  readonly presumedTerminated = new Set<string>();
-  /** A release of theirs is under way. */
-  private readonly releasing = new Set<string>();
+  /** The machines that the leader knows of. */
+  readonly inventory: MachineInventory;
   private pools = new Map<string, Pool>();
   private readonly ladders: PoolLadders;
+  private readonly scaleOut: ScaleOut;
   private readonly scaleInWindow = new ScaleInWindow();
   private readonly scaleOutWindow: ScaleOutWindow;
   private readonly failureObserver: FailureObserver;
-  private readonly tickMs: number;
   private readonly poolLog: PoolLog;
-  private readonly refusals: CapacityRefusals;
-  private readonly missingMachines: MissingMachineDetector;
+  private readonly evaluationIntervalMs: number;
 
   constructor(private readonly ports: AutoscalerPorts) {
-    this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder.slotShare);
-    this.failureObserver = new FailureObserver(ports.settings.heartbeatIntervalMs);
-    this.tickMs = Math.max(minTickMs, ports.settings.heartbeatIntervalMs / evaluationsPerHeartbeat);
+    const { heartbeatIntervalMs } = ports.settings;
+    this.evaluationIntervalMs = Math.max(
+      minEvaluationIntervalMs,
+      heartbeatIntervalMs / evaluationsPerHeartbeat,
+    );
+    this.inventory = new MachineInventory(ports);
     this.ladders = new PoolLadders(ports);
+    this.scaleOut = new ScaleOut(ports, this.inventory);
+    this.scaleOutWindow = new ScaleOutWindow(ports.operator.ladder.slotShare);
+    this.failureObserver = new FailureObserver(heartbeatIntervalMs);
     this.poolLog = new PoolLog(ports);
-    const { listLagMs } = ports.settings.cloud;
-    this.terminated = new RecentNames(
-      ports.clock,
-      Math.max(minTerminatedMemoryMs, listLagMs * terminatedMemoryLags),
-    );
-    this.missingMachines = new MissingMachineDetector(ports.settings.cloud.listLagMs);
-    this.refusals = new CapacityRefusals(ports.settings.cloud.listLagMs * 2);
   }
 
+  /** Runs until the term ends. */
   async run(): Promise<void> {
     const { term, log } = this.ports;
+    const listIntervalMs = this.evaluationIntervalMs * evaluationsPerList;
+    const releaseIntervalMs = this.evaluationIntervalMs / releasesPerEvaluation;
+    const poller = new MachineListPoller(this.ports, this.inventory, listIntervalMs);
+    const releaser = new MachineReleaser(this.ports, this.inventory, releaseIntervalMs);
     await Promise.all([
-      runRoutine('machine-list', term.signal, log, () => this.pollMachineList()),
-      runRoutine('renting', term.signal, log, () => this.scaleRepeatedly()),
-      runRoutine('giving-back', term.signal, log, () => this.releaseRepeatedly()),
+      runRoutine('machine-list', term.signal, log, () => poller.run()),
+      runRoutine('autoscaling', term.signal, log, () => this.evaluateRepeatedly()),
+      runRoutine('machine-release', term.signal, log, () => releaser.run()),
     ]);
   }
 
-  /** Slots that wait in a block for machines like this one. */
+  /** Slots of tasks that wait in a block and may run on machines like this one, as of the last evaluation. */
   waitingSlots(block: number, machine: LeasedMachine): number {
-    return this.pools.get(poolKey(machine.type, machine.spot))?.waitingSlotsByBlock.get(block) ?? 0;
-  }
-
-  markTerminated(names: Iterable<string>): void {
-    for (const id of names) {
-      this.terminated.add(id);
-      for (const ids of [this.toDrain, this.presumedTerminated, this.unassigned]) ids.delete(id);
-    }
+    const pool = this.pools.get(poolKey(machine.type, machine.spot));
+    return pool?.waitingSlotsByBlock.get(block) ?? 0;
   }
 
-  private async pollMachineList(): Promise<void> {
-    const { cloud, settings, term } = this.ports;
+  private async evaluateRepeatedly(): Promise<void> {
+    const { term, machineTypes, isStoreReachable } = this.ports;
     while (!term.signal.aborted) {
-      const machines = await cloud.listMachines();
-      this.applyMachineList(machines);
-      const { rps, listLagMs } = settings.cloud;
-      const pages = Math.ceil((machines.length + 1) / listLimit);
-      const pacedMs = (pages * 1000) / (rps * listCallShare);
-      await sleep(Math.max(this.tickMs * 2, listLagMs / 2, pacedMs), term.signal);
-    }
-  }
-
-  private applyMachineList(machines: CloudMachine[]): void {
-    const { clock, wallClock } = this.ports;
-    const leased = this.ports.leasedMachines();
-    const known = machines.filter(({ id }) => !this.terminated.has(id));
-    for (const { id, type, zone, spot, ageS, state } of known) {
-      this.presumedTerminated.delete(id);
-      const machine = {
-        id,
-        fencingToken: 0,
-        type,
-        zone,
-        spot,
-        draining: false,
-        rentedAt: wallClock() - ageS * 1000,
-      };
-      // Rented by an earlier leader, or by a request that was carried out late: it is used like any other.
-      if (!leased.has(id) && !this.unassigned.has(id)) this.unassigned.set(id, machine);
-      if (state === 'failed') this.presumedTerminated.add(id);
+      if (this.isListComplete() && machineTypes().size > 0 && isStoreReachable()) await this.evaluate();
+      await sleep(this.evaluationIntervalMs, term.signal);
     }
-    const expected = [...leased.keys()].filter((id) => !this.terminated.has(id));
-    const listed = known.map(({ id }) => id);
-    for (const id of this.missingMachines.recordList(clock(), listed, expected))
-      if (!this.terminated.has(id)) this.presumedTerminated.add(id);
   }
 
-  private async scaleRepeatedly(): Promise<void> {
+  /** What the last leader rented takes a while to be listed; renting sooner would rent it twice. */
+  private isListComplete(): boolean {
     const { term, clock, settings, isFirstTerm } = this.ports;
-    while (!term.signal.aborted) {
-      // What the last leader rented takes a while to be listed; renting sooner would rent it twice.
-      const patience = isFirstTerm ? 0 : settings.cloud.listLagMs;
-      const informed =
-        clock() - term.startedAt > patience && this.missingMachines.lastListAt > term.startedAt;
-      if (informed && this.ports.machineTypes().size > 0 && this.ports.isStoreReachable())
-        await this.evaluatePools();
-      await sleep(this.tickMs, term.signal);
-    }
+    const listLagMs = isFirstTerm ? 0 : settings.cloud.listLagMs;
+    return clock() - term.startedAt > listLagMs && this.inventory.lastListAt > term.startedAt;
   }
 
-  private machines(): Map<string, LeasedMachine> {
-    const machines = new Map([...this.ports.leasedMachines(), ...this.unassigned]);
-    for (const id of machines.keys()) if (this.terminated.has(id)) machines.delete(id);
-    return machines;
+  /** Yields to the event loop between its longer steps, so that requests are served meanwhile. */
+  private async evaluate(): Promise<void> {
+    const { clock, jobIndex } = this.ports;
+    const now = clock();
+    const machines = this.inventory.currentMachines();
+    this.inventory.dropAssigned();
+    const pools = this.buildPools(machines, now);
+    await nextTurn();
+    this.countDemand(pools, machines);
+    await nextTurn();
+    this.pools = pools;
+    this.poolLog.write(pools.values(), now);
+    const samples = this.failureObserver.observe({ jobIndex, pools, machines, now });
+    for (const sample of samples) this.ladders.addSample(sample);
+    await this.ladders.tune(pools.values(), now);
+    for (const pool of pools.values()) await this.scale(pool, now);
   }
 
-  private async evaluatePools(): Promise<void> {
-    const { machineTypes, settings, operator, clock, wallClock, jobIndex, order } = this.ports;
-    const now = clock();
-    const machines = this.machines();
-    for (const id of this.unassigned.keys())
-      if (this.ports.leasedMachines().has(id)) this.unassigned.delete(id);
-    const pools = buildPools(
-      machineTypes().values(),
+  private buildPools(machines: ReadonlyMap<string, LeasedMachine>, now: number): Map<string, Pool> {
+    return buildPools(
+      this.ports.machineTypes().values(),
       machines.values(),
-      (machine) => this.toDrain.has(machine.id) || this.presumedTerminated.has(machine.id),
-      (type, spot) => type.zones.every((zone) => this.refusals.isRefused(type.name, zone, spot, now)),
+      ({ id }) => this.inventory.isDraining(id),
+      (type, spot) => this.scaleOut.isExhausted(type, spot, now),
     );
-    await nextTurn();
+  }
+
+  private countDemand(pools: ReadonlyMap<string, Pool>, machines: ReadonlyMap<string, LeasedMachine>): void {
+    const { jobIndex, order, wallClock, settings, operator } = this.ports;
     countDemand({
       jobIndex,
       order,
@@ -192,127 +155,23 @@
       teams: settings.teams,
       slotShare: operator.ladder.slotShare,
     });
-    await nextTurn();
-    this.pools = pools;
-    this.poolLog.write(pools.values(), now);
-    const samples = this.failureObserver.observe({ jobIndex, pools, machines, now });
-    for (const sample of samples) this.ladders.addSample(sample);
-    await this.ladders.tune(pools.values(), now);
-    for (const pool of pools.values()) {
-      const ladder = this.ladders.ladderOf(pool);
-      const lacking = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
-      const surplus = this.scaleInWindow.machinesToRemove(pool, ladder, now);
-      if (lacking > 0) await this.scaleOut(pool, lacking);
-      else this.scaleIn(pool, surplus);
-    }
   }
 
-  private async scaleOut(pool: Pool, count: number): Promise<void> {
-    const { term } = this.ports;
-    let missing = count;
-    // A machine on its way out is the quickest to have back.
-    const back = pool.draining.filter((m) => !this.presumedTerminated.has(m.id) && !this.releasing.has(m.id));
-    for (const machine of back.slice(0, missing)) {
-      this.toDrain.delete(machine.id);
-      missing--;
-    }
-    for (const [zone, share] of this.machinesByZone(pool, missing)) {
-      // One call rents only so many; a fleet that starts from nothing takes several for each zone.
-      for (let left = share; left > 0 && !term.signal.aborted; left -= rentalLimit) {
-        if (!(await this.scaleOutInZone(pool, zone, Math.min(left, rentalLimit)))) break;
-      }
-    }
+  private async scale(pool: Pool, now: number): Promise<void> {
+    const ladder = this.ladders.ladderOf(pool);
+    const lacking = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
+    const surplus = this.scaleInWindow.machinesToRemove(pool, ladder, now);
+    if (lacking > 0) await this.scaleOut.addMachines(pool, lacking);
+    else if (surplus > 0) this.scaleIn(pool, surplus);
   }
 
-  /** True: got all that was asked for. */
-  private async scaleOutInZone(pool: Pool, zone: string, asked: number): Promise<boolean> {
-    const { clock, wallClock, cloud, log } = this.ports;
-    const { name: type } = pool.type;
-    const outcome = await cloud.rent(type, zone, pool.spot, asked);
-    const rented = outcome.kind === 'rented' ? outcome.machines : [];
-    for (const id of rented) {
-      this.unassigned.set(id, {
-        id,
-        fencingToken: 0,
-        type,
-        zone,
-        spot: pool.spot,
-        draining: false,
-        rentedAt: wallClock(),
-      });
-    }
-    if (rented.length > 0) {
-      this.refusals.clear(type, zone, pool.spot);
-      const count = rented.length;
-      log.info(
-        { event: 'rented', pool: pool.key, zone, asked, count, first: rented[0], last: rented.at(-1) },
-        'rented',
-      );
-    }
-    // Nothing was rented where the cloud only asks us to slow down; the next step asks again.
-    if (rented.length === asked || outcome.kind === 'busy') return rented.length === asked;
-    this.refusals.recordRefusal(type, zone, pool.spot, clock());
-    log.info({ event: 'rental-refused', pool: pool.key, zone, asked, why: outcome.kind }, 'capacity refused');
-    return false;
-  }
-
-  /** Each machine in the zone with the fewest of its type, of those that have not just refused. */
-  private machinesByZone(pool: Pool, count: number): Map<string, number> {
-    const { clock } = this.ports;
-    const open = pool.type.zones.filter(
-      (z) => !this.refusals.isRefused(pool.type.name, z, pool.spot, clock()),
-    );
-    const inZone = new Map(pool.type.zones.map((zone) => [zone, 0]));
-    for (const { zone } of pool.machines) inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
-    const shares = new Map<string, number>();
-    for (let left = count; left > 0; left--) {
-      const zone = open.sort((a, b) => (inZone.get(a) ?? 0) - (inZone.get(b) ?? 0) || (a < b ? -1 : 1))[0];
-      if (zone === undefined) break;
-      inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
-      shares.set(zone, (shares.get(zone) ?? 0) + 1);
-    }
-    return shares;
-  }
-
-  /** Empty machines if there are any, else the least loaded are drained. */
   private scaleIn(pool: Pool, count: number): void {
-    if (count === 0) return;
-    const { wallClock, jobIndex, operator } = this.ports;
-    const loads = jobIndex.machineLoads();
-    const loadOf = (machine: LeasedMachine): number => {
-      const load = loads.get(machine.id);
-      return load ? slotsOf(load, pool.type, operator.ladder.slotShare) : 0;
+    const { jobIndex, wallClock, operator } = this.ports;
+    const state = {
+      loads: jobIndex.machineLoads(),
+      slotShare: operator.ladder.slotShare,
+      now: wallClock(),
     };
-    // Placement fills machines in order of name, so the last ones empty first.
-    const least = pool.machines
-      .filter((machine) => wallClock() - machine.rentedAt >= minimumChargeMs)
-      .sort((a, b) => loadOf(a) - loadOf(b) || (a.id < b.id ? 1 : -1));
-    for (const machine of least.slice(0, count)) this.toDrain.add(machine.id);
-  }
-
-  /**
-   * Releases unwanted machines once they are empty. A block's owner places nothing on a machine that its record calls
-   * leaving; what it had committed before that record is in the job index by the time the record is.
-   */
-  private async releaseRepeatedly(): Promise<void> {
-    const { cloud, term, log, jobIndex } = this.ports;
-    while (!term.signal.aborted) {
-      await sleep(this.tickMs / 2, term.signal);
-      if (!this.ports.isStoreReachable()) continue;
-      const busy = jobIndex.machineLoads();
-      const leased = this.ports.leasedMachines();
-      const due = [...this.toDrain, ...this.presumedTerminated].filter((id) => {
-        const record = leased.get(id);
-        return !busy.has(id) && (record ? record.draining : true);
-      });
-      const batch = due.slice(0, releaseLimit);
-      if (batch.length === 0) continue;
-      for (const id of batch) this.releasing.add(id);
-      const released = await cloud.release(batch);
-      for (const id of batch) this.releasing.delete(id);
-      if (!released) continue;
-      this.markTerminated(batch);
-      log.info({ event: 'given-back', count: batch.length, machines: batch }, 'given back');
-    }
+    for (const { id } of machinesToDrain(pool, count, state)) this.inventory.drain(id);
   }
 }
