--- /dev/null
+++ b/src/ladder/pool-ladders.test.ts
@@ -0,0 +1,68 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { silentLog } from '../base/log.js';
+import { defaultOperatorSettings } from '../settings/operator.js';
+import type { CommitOutcome } from '../store/client.js';
+import { pool } from '../testing/pools.js';
+import { testSettings } from '../testing/settings.js';
+import { ladderKey, type StoredValue } from '../wire/keys.js';
+import { ladderRecord } from '../wire/ladder-records.js';
+import type { Condition, Write } from '../wire/state.js';
+import { PoolLadders } from './pool-ladders.js';
+
+interface Commit {
+  conditions: Condition[];
+  writes: Write[];
+}
+
+/** Ladders of a leader with the fencing token 7, by the default settings: periods of 30 s, a target of 0.01. */
+function setUp(stored: [string, StoredValue][] = []): { ladders: PoolLadders; commits: Commit[] } {
+  const values = new Map(stored);
+  const commits: Commit[] = [];
+  const ladders = new PoolLadders({
+    clock: () => 0,
+    log: silentLog,
+    operator: defaultOperatorSettings,
+    mirror: { get: (key) => values.get(key) },
+    commits: {
+      commit: (conditions, writes) => {
+        commits.push({ conditions, writes });
+        return Promise.resolve<CommitOutcome>({ kind: 'unknown' });
+      },
+    },
+    term: { fencingToken: 7 },
+    settings: testSettings(),
+  });
+  return { ladders, commits };
+}
+
+test('a ladder goes on with the thresholds that the last leader saved, each pool with its own', () => {
+  const { ladders } = setUp([[ladderKey('c8/ordinary'), { value: ladderRecord([[3, 9]]), version: 4 }]]);
+  const thresholds = (ladder: { threshold: (machineNumber: number) => number }): number[] =>
+    [2, 3].map((machineNumber) => ladder.threshold(machineNumber));
+  assert.deepEqual(thresholds(ladders.ladderOf(pool())), [6, 9]);
+  assert.deepEqual(thresholds(ladders.ladderOf(pool({ key: 'c8/spot', spot: true }))), [7, 15]);
+});
+
+test('a threshold is moved once a period and saved under the condition that the term has not changed', async () => {
+  const { ladders, commits } = setUp();
+  const sampled = pool();
+  ladders.addSample({
+    pool: sampled,
+    sample: { observedAt: 0, tasks: 10, failed: 1, machineNumber: 2 },
+  });
+  await ladders.tune([sampled, pool({ key: 'c8/spot', spot: true })], 29_999);
+  assert.equal(commits.length, 0);
+  await ladders.tune([sampled, pool({ key: 'c8/spot', spot: true })], 30_000);
+  assert.deepEqual(commits, [
+    {
+      conditions: [{ key: 'lead', version: 7 }],
+      writes: [{ put: 'ladder/c8/ordinary', value: { moved: [[2, 5]] } }],
+    },
+  ]);
+  await ladders.tune([sampled], 59_999);
+  assert.equal(commits.length, 1);
+  await ladders.tune([sampled], 60_000);
+  assert.deepEqual(commits[1]?.writes, [{ put: 'ladder/c8/ordinary', value: { moved: [[2, 4]] } }]);
+});
--- /dev/null
+++ b/src/ladder/scale-out.test.ts
@@ -0,0 +1,121 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { silentLog } from '../base/log.js';
+import type { RentalOutcome } from '../cloud/client.js';
+import { Term } from '../leadership/term.js';
+import { leasedMachine, machineType, pool } from '../testing/pools.js';
+import { testSettings } from '../testing/settings.js';
+import { MachineInventory } from './machine-inventory.js';
+import { ScaleOut, spreadOverZones } from './scale-out.js';
+
+interface Setup {
+  scaleOut: ScaleOut;
+  inventory: MachineInventory;
+  /** Requests to the cloud: zone and count. */
+  requests: [zone: string, count: number][];
+  term: Term;
+  setTime: (ms: number) => void;
+}
+
+/** The list lags by 4 s, so the first pause after a refusal is 8 s. */
+function setUp(answer: (zone: string, count: number) => RentalOutcome): Setup {
+  let now = 0;
+  const settings = testSettings();
+  const term = new Term(1, 0);
+  const inventory = new MachineInventory({
+    clock: () => now,
+    wallClock: () => now,
+    settings,
+    leasedMachines: () => new Map(),
+  });
+  const requests: [string, number][] = [];
+  const cloud = {
+    rent: (_type: string, zone: string, _spot: boolean, count: number) => {
+      requests.push([zone, count]);
+      return Promise.resolve(answer(zone, count));
+    },
+  };
+  const scaleOut = new ScaleOut({ clock: () => now, cloud, log: silentLog, settings, term }, inventory);
+  return { scaleOut, inventory, requests, term, setTime: (ms) => (now = ms) };
+}
+
+const rentAll = (zone: string, count: number): RentalOutcome => ({
+  kind: 'rented',
+  machines: Array.from({ length: count }, (_, i) => `${zone}${i}`),
+});
+
+test('new machines go to the zones with the fewest, of several to the first by name', () => {
+  const machines = [{ zone: 'a' }, { zone: 'a' }, { zone: 'b' }];
+  assert.deepEqual([...spreadOverZones(1, ['a', 'b'], machines)], [['b', 1]]);
+  assert.deepEqual(
+    [...spreadOverZones(4, ['b', 'a'], machines)],
+    [
+      ['b', 2],
+      ['a', 2],
+    ],
+  );
+  assert.deepEqual([...spreadOverZones(2, ['a'], machines)], [['a', 2]]);
+  assert.deepEqual([...spreadOverZones(2, [], machines)], []);
+});
+
+test('draining machines are kept before any is rented, unless they are presumed terminated', async () => {
+  const { scaleOut, inventory, requests } = setUp(rentAll);
+  const draining = ['m1', 'm2', 'm3'].map((id) => leasedMachine(id));
+  for (const { id } of draining) inventory.drain(id);
+  inventory.presumedTerminated.add('m1');
+  await scaleOut.addMachines(pool({ draining }), 3);
+  assert.deepEqual([...inventory.toDrain], ['m1']);
+  assert.deepEqual(requests, [['a', 1]]);
+  assert.deepEqual([...inventory.unassigned.keys()], ['a0']);
+});
+
+test('a zone takes several requests of fifty machines at most', async () => {
+  const { scaleOut, requests } = setUp(rentAll);
+  await scaleOut.addMachines(pool({ type: machineType({ zones: ['a'] }) }), 120);
+  assert.deepEqual(requests, [
+    ['a', 50],
+    ['a', 50],
+    ['a', 20],
+  ]);
+});
+
+test('a zone that gave less than was asked for is left out until its pause is over', async () => {
+  const { scaleOut, requests, setTime } = setUp((zone, count) =>
+    zone === 'a' ? { kind: 'no-capacity' } : rentAll(zone, count),
+  );
+  const type = machineType();
+  await scaleOut.addMachines(pool({ type }), 2);
+  await scaleOut.addMachines(pool({ type }), 2);
+  assert.deepEqual(requests, [
+    ['a', 1],
+    ['b', 1],
+    ['b', 2],
+  ]);
+  assert.equal(scaleOut.isExhausted(type, false, 7999), false);
+  assert.equal(scaleOut.isExhausted(machineType({ zones: ['a'] }), false, 7999), true);
+  assert.equal(scaleOut.isExhausted(machineType({ zones: ['a'] }), true, 7999), false);
+  assert.equal(scaleOut.isExhausted(machineType({ zones: ['a'] }), false, 8000), false);
+  setTime(8000);
+  await scaleOut.addMachines(pool({ type }), 1);
+  assert.deepEqual(requests.at(-1), ['a', 1]);
+});
+
+test('a cloud that only asks to slow down is asked again at once in the next evaluation', async () => {
+  const { scaleOut, requests } = setUp(() => ({ kind: 'busy' }));
+  const onlyZone = pool({ type: machineType({ zones: ['a'] }) });
+  await scaleOut.addMachines(onlyZone, 60);
+  await scaleOut.addMachines(onlyZone, 1);
+  assert.deepEqual(requests, [
+    ['a', 50],
+    ['a', 1],
+  ]);
+});
+
+// Guards against rentals by a leader whose term is over.
+test('nothing is rented once the term has ended', async () => {
+  const { scaleOut, requests, term } = setUp(rentAll);
+  term.end('the test');
+  await scaleOut.addMachines(pool(), 3);
+  assert.deepEqual(requests, []);
+});
--- /dev/null
+++ b/src/ladder/scaling-windows.test.ts
@@ -0,0 +1,54 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import type { MachineType } from '../model/types.js';
+import type { LeasedMachine } from '../wire/block-records.js';
+import { Ladder } from './ladder.js';
+import { ScaleInWindow, ScaleOutWindow } from './scaling-windows.js';
+
+const shape = { slotShare: 0.125, startShare: 0.8 };
+
+test('machines are scaled in once they have been too many for a boot time, as many as there were all along', () => {
+  const ladder = new Ladder(shape);
+  const window = new ScaleInWindow();
+  const pool = (counted: number): Parameters<ScaleInWindow['machinesToRemove']>[0] => ({
+    key: 'c8/spot',
+    countedSlots: counted,
+    machines: new Array<LeasedMachine>(3),
+    type: { bootS: 40 } as MachineType,
+  });
+  const trace: [number, number, number][] = [
+    [0, 5, 0],
+    [39_000, 5, 0],
+    [39_500, 20, 0], // demand is back: the count starts anew
+    [40_000, 0, 0],
+    [60_000, 5, 0],
+    [79_000, 0, 0],
+    [80_000, 0, 2], // one of the three was needed in between
+    [119_000, 0, 3],
+  ];
+  for (const [now, counted, count] of trace)
+    assert.equal(window.machinesToRemove(pool(counted), ladder, now), count, `at ${now}`);
+});
+
+test('what has no room is scaled out for at once, the reserve only once it has been lacking for a while', () => {
+  const ladder = new Ladder(shape);
+  const window = new ScaleOutWindow(shape.slotShare);
+  const pool = (counted: number): Parameters<ScaleOutWindow['machinesToAdd']>[0] => ({
+    key: 'c8/spot',
+    countedSlots: counted,
+    machines: new Array<LeasedMachine>(10),
+    type: { bootS: 40 } as MachineType,
+  });
+  const trace: [number, number, number][] = [
+    [0, 78, 0], // ten machines have room for 80; the ladder would have thirteen
+    [5000, 60, 0],
+    [10_000, 78, 0],
+    [12_000, 100, 3],
+    [15_000, 78, 0],
+    [20_000, 78, 3],
+  ];
+  assert.equal(ladder.scaleOutTarget(10, 78), 13);
+  for (const [now, counted, count] of trace)
+    assert.equal(window.machinesToAdd(pool(counted), ladder, now), count, `at ${now}`);
+});
