--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -32,7 +32,7 @@
   log: Log;
   settings: Settings;
   operator: OperatorSettings;
-  cloud: CloudClient;
+  cloud: Pick<CloudClient, 'listMachines' | 'rent' | 'release'>;
   jobIndex: JobIndex;
   order: QueueOrder;
   mirror: Pick<Mirror, 'get'>;
