--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -30,14 +30,14 @@
   clock: Clock;
   wallClock: () => number;
   log: Log;
-  settings: Settings;
-  operator: OperatorSettings;
+  settings: Pick<Settings, 'heartbeatIntervalMs' | 'cloud' | 'state' | 'teams' | 'objectives'>;
+  operator: Pick<OperatorSettings, 'ladder'>;
   cloud: Pick<CloudClient, 'listMachines' | 'rent' | 'release'>;
   jobIndex: JobIndex;
   order: QueueOrder;
   mirror: Pick<Mirror, 'get'>;
   commits: Pick<CommitQueue, 'commit'>;
-  term: Term;
+  term: Pick<Term, 'signal' | 'fencingToken' | 'startedAt'>;
   /** There has been no leader before, so that no rental of one is still to be listed. */
   isFirstTerm: boolean;
   machineTypes: () => ReadonlyMap<string, MachineType>;
--- a/src/ladder/machine-inventory.ts
+++ b/src/ladder/machine-inventory.ts
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Notes that these machines are terminated, by a release of ours or by word of a block's owner. */
+  /** Notes that these machines are terminated: the leader has released them, or the owner of their block has. */
   markTerminated(ids: Iterable<string>): void {
     for (const id of ids) {
       this.terminated.add(id);
