--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -27,7 +27,8 @@
 };
 const jobId = 'req-1';
 const firstBlockVersion = 7;
-const machineToken = 7;
+/** The fencing token of both machines. */
+export const machineToken = 7;
 
 /** A job of the limited team `red` whose tasks take 2 CPUs each. */
 export function jobSpec(id: string, tasks: number): JobSpec {
