--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -238,19 +238,20 @@
   async run(): Promise<void> {
     const { settings, log, clock, signal, mirror } = this;
     const load = new ConnectionLoad(Math.floor(settings.quota.sockets * requestSocketsRatio));
-    const reportHandler = new HeartbeatHandler({
+    const heartbeatHandler = new HeartbeatHandler({
       areConnectionsScarce: () => load.isCrowded,
       clock,
       label: settings.label,
-      leases: this.leases,
-      registry: this.registry,
+      log,
+      findMachine: (id) => this.leases.findMachine(id),
+      ownerOf: (machine) => this.registry.ownerOf(machine),
       leader: () => this.election.leader,
       mayStartTasks: () => this.mayStartTasks(),
-      mayRespondToWorkers: () => this.mayAnswerHeartbeats(),
+      mayAnswerHeartbeats: () => this.mayAnswerHeartbeats(),
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       maxCommitWaitMs: settings.heartbeatIntervalMs / 4,
     });
-    const lean = [reportHandler.route, this.intake.health];
+    const lean = [heartbeatHandler.route, this.intake.health];
     const loadHandler = async (): Promise<RequestHandler> => {
       const { createUserHandler } = await import('../base/user-handler.js');
       return createUserHandler(this.intake.routes, lean, log);
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -4,14 +4,14 @@
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
+import { silentLog } from '../base/log.js';
 import type { Reply } from '../base/replies.js';
 import { nextTurn } from '../base/turns.js';
-import type { BlockRegistry } from '../blocks/block-registry.js';
-import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { MachineState } from '../placement/machine-state.js';
 import { type AsyncCosts, countAsyncCosts } from '../testing/async-costs.js';
 import { type BlockStage, createBlockStage, machineToken } from '../testing/block-stage.js';
-import { HeartbeatHandler } from './heartbeat-handler.js';
+import { HeartbeatHandler, type OwnedMachine } from './heartbeat-handler.js';
 
 const nothing = { promises: 0, timers: 0, turns: 0 };
 const heartbeats = 50;
@@ -27,18 +27,19 @@
 function createHandlerStage(tasks: number, owned = ['m1', 'm2']): HandlerStage {
   const stage = createBlockStage(() => ({ kind: 'applied', revision: 9 }), { tasks });
   const { blockState, scheduler } = stage;
-  const findMachine = (id: string): ReturnType<OwnedBlocks['findMachine']> => {
+  const findMachine = (id: string): OwnedMachine | undefined => {
     const machine = owned.includes(id) ? blockState.machines.get(id) : undefined;
     return machine && { blockState, scheduler, machine };
   };
   const handler = new HeartbeatHandler({
     clock: () => 0,
     label: 'keel-0',
-    leases: { findMachine } as unknown as OwnedBlocks,
-    registry: { ownerOf: () => 'keel-1' } as unknown as BlockRegistry,
+    log: silentLog,
+    findMachine,
+    ownerOf: () => 'keel-1',
     leader: () => undefined,
     mayStartTasks: () => true,
-    mayRespondToWorkers: () => true,
+    mayAnswerHeartbeats: () => true,
     areConnectionsScarce: () => false,
     heartbeatIntervalMs: 1000,
     maxCommitWaitMs: 250,
@@ -106,8 +107,10 @@
     }, laterTurns);
     const released = await countAsyncCosts(() => respondToAll(stage), laterTurns);
     assert.equal(stage.replies.length, heartbeats + 1);
-    assertWithin(first, { promises: 3, timers: 1, turns: 0 });
-    assert.deepEqual({ more, released }, { more: nothing, released: nothing });
+    assert.deepEqual(
+      { first, more, released },
+      { first: { promises: 0, timers: 1, turns: 0 }, more: nothing, released: nothing },
+    );
   });
 
   test('a heartbeat whose response waits for a commit costs no more than measured', async () => {
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,195 +1,250 @@
+/** Workers' heartbeats: what they prove is applied to the state of the block, and the response carries commands. */
 import type { Clock } from '../base/clock.js';
-import type { LeanRoute, Reply } from '../base/replies.js';
-import type { BlockRegistry } from '../blocks/block-registry.js';
-import type { OwnedBlocks } from '../blocks/owned-blocks.js';
-import { type WorkerCommand, taskKey } from '../model/types.js';
-import type { Task } from '../placement/job-state.js';
+import type { Log } from '../base/log.js';
+import { type LeanRoute, type Reply, troubleReply } from '../base/replies.js';
+import type { Heartbeat, WorkerCommand } from '../model/types.js';
+import type { BlockState } from '../placement/block-state.js';
+import type { MachineState } from '../placement/machine-state.js';
 import type { Scheduler } from '../placement/scheduler.js';
-import { parseHeartbeat, redirectResponse, heartbeatResponse } from '../wire/workers.js';
+import { heartbeatResponse, parseHeartbeat, redirectResponse } from '../wire/workers.js';
+import {
+  areAllForget,
+  currentCommands,
+  forgetFirst,
+  type HeartbeatFacts,
+  newCommands,
+} from './heartbeat-commands.js';
 import { LongPolls } from './long-polls.js';
-import type { MachineState } from '../placement/machine-state.js';
 
-/** One report on its way to its answer. */
-interface PendingHeartbeat {
+/** A machine of a block that this controller owns. */
+export interface OwnedMachine {
   machine: MachineState;
-  respond: Respond;
-  receivedAt: number;
-  fencingToken: number;
-  sequence: number;
-  commands: WorkerCommand[];
-  /** Tasks that the machine had, or may have had, when the report was read. */
-  tasksBefore: Task[];
+  blockState: Pick<BlockState, 'applyHeartbeat'>;
+  scheduler: Pick<Scheduler, 'placeOn' | 'hasRoom' | 'waitForCommits'>;
 }
 
+/** What the handler needs from its controller. */
 export interface HeartbeatHandlerPorts {
   clock: Clock;
+  log: Log;
+  /** This controller's label. */
   label: string;
-  leases: OwnedBlocks;
-  registry: BlockRegistry;
+  /** The machine by its id, if this controller owns it and has a fencing token for it. */
+  findMachine: (id: string) => OwnedMachine | undefined;
+  /** Label of the controller that owns the machine, as far as it is known. */
+  ownerOf: (machine: string) => string | undefined;
+  /** Label of the leader, as far as it is known. */
   leader: () => string | undefined;
   /** The store serves us and what we know of it is recent. */
   mayStartTasks: () => boolean;
-  /** Workers may be answered: we know, or our peers do, whom users were told is cancelled. */
-  mayRespondToWorkers: () => boolean;
-  /** Connections are scarce: no answer is held, since it would keep its connection. */
+  /** Heartbeats may be answered: we know, or our peers do, which jobs users were told are cancelled. */
+  mayAnswerHeartbeats: () => boolean;
+  /** Connections are scarce: no response is held, since it would keep its connection. */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
-  /** How long an answer may wait for the commit of what it is to start. */
+  /** How long a response may wait for the commit of what it is to start. */
   maxCommitWaitMs: number;
 }
 
-/** How long an answer is held where there is room, in report intervals: well below the 4 s that workers wait. */
+type Respond = (reply: Reply) => void;
+
+interface PendingHeartbeat extends HeartbeatFacts {
+  readonly scheduler: OwnedMachine['scheduler'];
+  readonly respond: Respond;
+}
+
+/** How long a response is held where there is room, in heartbeat intervals: well below the time that workers wait. */
 const holdHeartbeatIntervals = { empty: 0.5, busy: 0.25 };
-/** Held answers are looked at so many times in the shortest time that one is held. */
+/** Held responses are checked so many times in the shortest time that one is held. */
 const checksPerHold = 4;
-/** Finished tasks are left in a worker's reports for so many report intervals if nothing else is to be said. */
+/** Finished tasks are left in a worker's heartbeats for so many intervals if nothing else is to be said. */
 const forgetDelayHeartbeatIntervals = 2;
-
-/** The protocol's time for an answer to a report. */
+/** The protocol's time for the response to a heartbeat: a worker drops what comes later. */
 const workerTimeoutMs = 4000;
 
-type Respond = (reply: Reply) => void;
+const heartbeatPath = '/hello';
+const malformedHeartbeatReply: Reply = { status: 400, body: { error: 'not a report' } };
+/** Somebody else commands the machine, or may, and we don't know who. */
+const unknownOwnerReply: Reply = { status: 421, body: redirectResponse(undefined) };
+/** Nobody is known to command the machine. */
+const noOwnerReply: Reply = { status: 503, body: redirectResponse(undefined) };
 
-/** Answers workers' reports: whoever is not entitled to command a machine sends its worker on. */
+/**
+ * Answers heartbeats. A worker whose machine this controller does not own is redirected. No response starts a task whose
+ * intent is not committed, and none carries commands under another fencing token than the one they were decided under.
+ */
 export class HeartbeatHandler {
-  private readonly longPolls: LongPolls;
-
-  constructor(private readonly ports: HeartbeatHandlerPorts) {
-    this.longPolls = new LongPolls(
-      ports.clock,
-      (ports.heartbeatIntervalMs * holdHeartbeatIntervals.busy) / checksPerHold,
-    );
-  }
-
+  /** For the server: a heartbeat may wait in its queue while there are many. */
   readonly route: LeanRoute = {
     method: 'POST',
-    path: '/hello',
+    path: heartbeatPath,
     queued: true,
-    handle: (body, answer) => this.handle(body, answer),
+    handle: (body, respond) => this.handle(body, respond),
   };
+  private readonly longPolls: LongPolls;
+
+  constructor(private readonly ports: HeartbeatHandlerPorts) {
+    const minHoldMs = ports.heartbeatIntervalMs * holdHeartbeatIntervals.busy;
+    this.longPolls = new LongPolls(ports.clock, minHoldMs / checksPerHold);
+  }
 
-  /** The usual report has nothing new and nothing to start: it is answered at once, or held, and costs little else. */
+  /**
+   * Takes the decoded body of a heartbeat and calls `respond` once, at once or later. Most heartbeats bring nothing new and
+   * start nothing: these must leave neither promise nor timer to the event loop.
+   */
   handle(body: unknown, respond: Respond): void {
-    const { leases, mayStartTasks, mayRespondToWorkers, clock, maxCommitWaitMs } = this.ports;
     const heartbeat = parseHeartbeat(body);
-    if (!heartbeat) return respond({ status: 400, body: { error: 'not a report' } });
-    const heldBlock = leases.findMachine(heartbeat.machine);
-    if (!heldBlock) return respond(this.redirect(heartbeat.machine));
-    if (!mayRespondToWorkers()) return respond({ status: 421, body: redirectResponse(undefined) });
-    const { blockState, scheduler, machine } = heldBlock;
-    const result = blockState.applyHeartbeat(machine, heartbeat, mayStartTasks());
-    // Somebody has leased the machine after us, and the watch has yet to tell us.
-    if (result.verdict === 'outranked') return respond({ status: 421, body: redirectResponse(undefined) });
-    const now = clock();
-    if (result.verdict === 'unreconciled') machine.fencingTokenOfferedAt ??= now;
-    if (result.verdict !== 'reconciled')
-      return respond({ status: 200, body: heartbeatResponse(machine.fencingToken, result.commands) });
-    machine.fencingTokenOfferedAt = undefined;
+    if (!heartbeat) {
+      respond(malformedHeartbeatReply);
+      return;
+    }
+    const owned = this.ports.findMachine(heartbeat.machine);
+    if (!owned) respond(this.redirect(heartbeat.machine));
+    else if (!this.ports.mayAnswerHeartbeats()) respond(unknownOwnerReply);
+    else this.handleOwned(heartbeat, owned, respond);
+  }
+
+  private handleOwned(heartbeat: Heartbeat, owned: OwnedMachine, respond: Respond): void {
+    const { machine, blockState } = owned;
+    const { verdict, commands } = blockState.applyHeartbeat(machine, heartbeat, this.ports.mayStartTasks());
+    const now = this.ports.clock();
+    switch (verdict) {
+      case 'outranked':
+        // Somebody has leased the machine after us, and the watch has yet to tell us.
+        respond(unknownOwnerReply);
+        return;
+      case 'stale':
+        respond(commandsReply(machine.fencingToken, commands));
+        return;
+      case 'unreconciled':
+        machine.fencingTokenOfferedAt ??= now;
+        respond(commandsReply(machine.fencingToken, commands));
+        return;
+      case 'reconciled':
+        machine.fencingTokenOfferedAt = undefined;
+        this.placeAndRespond(owned, commands, respond, now);
+    }
+  }
+
+  /** A heartbeat often says that there is room again: what is placed into it starts with the response, once committed. */
+  private placeAndRespond(
+    { machine, scheduler }: OwnedMachine,
+    commands: WorkerCommand[],
+    respond: Respond,
+    receivedAt: number,
+  ): void {
     const { fencingToken, sequence } = machine;
-    // What is placed from here on is not among the orders yet.
-    const tasksBefore = [...machine.tasks.values()].filter((task) => task.phase !== 'placing');
-    const pending: PendingHeartbeat = {
+    // What is placed from here on is not among the commands yet.
+    const tasksBefore = [...machine.tasks.values()].filter(({ phase }) => phase !== 'placing');
+    const pending = {
       machine,
+      scheduler,
       respond,
-      receivedAt: now,
+      receivedAt,
       fencingToken,
       sequence,
-      commands: result.commands,
+      commands,
       tasksBefore,
     };
     scheduler.placeOn(machine);
-    if (machine.tasks.size === tasksBefore.length) return this.holdOrRespond(pending, scheduler);
+    if (machine.tasks.size === tasksBefore.length) {
+      this.holdOrRespond(pending);
+      return;
+    }
     void scheduler
-      .waitForCommits(() => machine.tasks.values(), maxCommitWaitMs)
-      .then(() => this.holdOrRespond(pending, scheduler));
+      .waitForCommits(() => machine.tasks.values(), this.ports.maxCommitWaitMs)
+      .then(
+        () => this.runLater(this.holdOrRespond, pending),
+        (error: unknown) => this.fail(pending, error),
+      );
   }
 
   /**
-   * A report often says that there is room again. Its answer waits for the commit of what is placed into that room, and
-   * with room left it is held a while longer: what comes meanwhile starts at once instead of with the next report. A
-   * worker with tasks has news of its own soon, so its answer is held for less.
+   * With room left the response is held a while: what is submitted meanwhile starts at once instead of with the next
+   * heartbeat. A worker with tasks has news of its own soon, so its response is held for less.
    */
-  private holdOrRespond(pending: PendingHeartbeat, scheduler: Scheduler): void {
-    const { heartbeatIntervalMs, mayStartTasks, areConnectionsScarce } = this.ports;
-    const { machine, commands } = pending;
-    const hasNothingToSay =
-      commands.every((order) => order.kind === 'forget') && this.newCommands(pending).length === 0;
-    if (!hasNothingToSay || areConnectionsScarce() || !mayStartTasks() || !scheduler.hasRoom(machine))
-      return this.respondTo(pending);
-    const share = machine.tasks.size === 0 ? holdHeartbeatIntervals.empty : holdHeartbeatIntervals.busy;
-    this.longPolls.hold(machine, heartbeatIntervalMs * share, () => this.respondTo(pending));
+  private readonly holdOrRespond = (pending: PendingHeartbeat): void => {
+    const { machine } = pending;
+    if (!this.mayHold(pending)) {
+      this.respondNow(pending);
+      return;
+    }
+    const intervals = machine.tasks.size === 0 ? holdHeartbeatIntervals.empty : holdHeartbeatIntervals.busy;
+    this.longPolls.hold(machine, this.ports.heartbeatIntervalMs * intervals, () =>
+      this.runLater(this.respondNow, pending),
+    );
+  };
+
+  private mayHold(pending: PendingHeartbeat): boolean {
+    const hasNothingToSay = areAllForget(pending.commands) && newCommands(pending).length === 0;
+    return (
+      hasNothingToSay &&
+      !this.ports.areConnectionsScarce() &&
+      this.ports.mayStartTasks() &&
+      pending.scheduler.hasRoom(pending.machine)
+    );
   }
 
-  private respondTo(pending: PendingHeartbeat): void {
-    const { machine, fencingToken, sequence, respond } = pending;
+  private readonly respondNow = (pending: PendingHeartbeat): void => {
+    const { machine, fencingToken, respond } = pending;
     const now = this.ports.clock();
-    // We were held up ourselves: the worker has long asked another, and drops what is said now.
-    const hasTimedOut = now - pending.receivedAt > workerTimeoutMs;
-    // Whatever came in between, a start goes out only under the token that its intent was committed with.
-    const mayStillStart =
+    const commands = currentCommands(pending, this.mayStillStart(pending, now), now);
+    respond(commandsReply(fencingToken, this.postponeForgets(machine, commands, now)));
+  };
+
+  /** Whatever came in between, a start goes out only under the token that its intent was committed with. */
+  private mayStillStart(pending: PendingHeartbeat, now: number): boolean {
+    const { machine, fencingToken, sequence, receivedAt } = pending;
+    // If we were held up ourselves, the worker has long asked another controller, and drops what is said now.
+    const hasTimedOut = now - receivedAt > workerTimeoutMs;
+    return (
       machine.fencingToken === fencingToken &&
       machine.sequence === sequence &&
       machine.releaseReason === '' &&
       !hasTimedOut &&
-      this.ports.mayStartTasks();
-    const commands: WorkerCommand[] = [];
-    for (const command of mayStillStart
-      ? [...pending.commands, ...this.newCommands(pending)]
-      : pending.commands) {
-      if (command.kind === 'start') {
-        // While the answer was held its job may have ended, and what may be told to start now was said then.
-        const task = machine.tasks.get(taskKey(command));
-        if (
-          !mayStillStart ||
-          task?.phase !== 'placed' ||
-          task.attempt !== command.attempt ||
-          task.job.outcome
-        )
-          continue;
-        task.startSentAt ??= now;
-      }
-      commands.push(command);
-    }
-    respond({
-      status: 200,
-      body: heartbeatResponse(fencingToken, this.batchCommands(machine, commands, now)),
-    });
-  }
-
-  /** What has been committed for the machine since its report came, and what has ended since. */
-  private newCommands({ machine, tasksBefore }: PendingHeartbeat): WorkerCommand[] {
-    const commands: WorkerCommand[] = [];
-    for (const task of machine.tasks.values()) {
-      const { index, attempt, phase, job } = task;
-      const ref = { job: job.id, index, attempt };
-      if (phase === 'placed' && !tasksBefore.includes(task) && !job.outcome)
-        commands.push({ kind: 'start', ...ref });
-      else if (phase === 'seen' && job.outcome) commands.push({ kind: 'stop', ...ref, graceS: 0 });
-    }
-    return commands;
+      this.ports.mayStartTasks()
+    );
   }
 
   /**
-   * What a worker forgets is a change of its tasks, and every change makes it report again. So mere tidying waits for
-   * other orders to go with, for two reports at the most.
+   * What a worker forgets is a change of its tasks, and every change makes it send a heartbeat. So commands to forget wait
+   * for others to go with, for two heartbeat intervals at most.
    */
-  private batchCommands(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
-    const { heartbeatIntervalMs } = this.ports;
+  private postponeForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
     if (commands.length === 0) return commands;
-    const isForgetOnly = commands.every((order) => order.kind === 'forget');
-    if (isForgetOnly && now - machine.lastForgetAt < heartbeatIntervalMs * forgetDelayHeartbeatIntervals)
-      return [];
+    const delayMs = this.ports.heartbeatIntervalMs * forgetDelayHeartbeatIntervals;
+    if (areAllForget(commands) && now - machine.lastForgetAt < delayMs) return [];
     machine.lastForgetAt = now;
-    // A worker carries orders out in turn, and an earlier attempt must be out of the way before the next one starts.
-    return [...commands.filter((o) => o.kind === 'forget'), ...commands.filter((o) => o.kind !== 'forget')];
+    return forgetFirst(commands);
+  }
+
+  /** Outside the turn that brought the heartbeat, the server no longer handles an error. */
+  private runLater(step: (pending: PendingHeartbeat) => void, pending: PendingHeartbeat): void {
+    try {
+      step(pending);
+    } catch (error) {
+      this.fail(pending, error);
+    }
+  }
+
+  private fail({ machine, respond }: PendingHeartbeat, error: unknown): void {
+    const { log } = this.ports;
+    log.error(
+      { event: 'request-failed', path: heartbeatPath, machine: machine.id, err: error },
+      'request failed',
+    );
+    respond(troubleReply);
   }
 
   private redirect(machine: string): Reply {
-    const { registry, leader, label } = this.ports;
-    // A machine in no block has the leader to hear of it; the list will, too.
-    const owner = registry.ownerOf(machine) ?? leader();
-    return owner === undefined || owner === label
-      ? { status: 503, body: redirectResponse(undefined) }
-      : { status: 421, body: redirectResponse(owner) };
+    const { ownerOf, leader, label } = this.ports;
+    // The leader has yet to assign a machine of no block, and can do so once it has heard of it.
+    const owner = ownerOf(machine) ?? leader();
+    if (owner === undefined || owner === label) return noOwnerReply;
+    return { status: 421, body: redirectResponse(owner) };
   }
 }
+
+function commandsReply(fencingToken: number, commands: WorkerCommand[]): Reply {
+  return { status: 200, body: heartbeatResponse(fencingToken, commands) };
+}
