--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -1,70 +1,86 @@
-/** Failure detection by missed reports, and when it must not be trusted. */
-import type { Settings } from '../settings/settings.js';
+/** Failure detection by missed heartbeats, and when it must not be trusted. */
 import type { MachineState } from '../placement/machine-state.js';
+import type { Settings } from '../settings/settings.js';
+
+/** Times of the settings that failure detection follows from, in ms. */
+export type FailureDetectionTimes = Pick<
+  Settings,
+  'heartbeatIntervalMs' | 'workerLeaseMs' | 'cancelDeadlineMs'
+>;
 
-/** A zone in which more than this share of the machines falls silent at once has most likely lost its network. */
+/** A zone in which more than this share of the machines falls silent at once is most likely partitioned off. */
 const partitionedZoneMinShare = 0.7;
+/** So few silent machines of a zone say nothing of the zone. */
+const maxUnrelatedSilentMachines = 2;
+/** A machine counts as silent in a zone after this share of the time after which it is released. */
+const zoneSilenceRatio = 0.5;
 
 /** Fewer machines than this may all be silent by chance. */
 const minMachinesHeard = 4;
-/** Each reports within so many report intervals at the latest. */
+/** A healthy worker sends its next heartbeat within so many intervals. */
 const maxHeartbeatGapIntervals = 1.25;
 
-/** While we are short of processor time, this part of it is not held against the machines. */
-const saturatedGraceShare = 0.75;
-
 /**
- * How much of the time that has passed says nothing of the machines, since we ourselves were held up or slow: reports and
- * answers that were under way in it have waited for us. Part of it counts all the same, so that a machine that has died is
- * found out though a burst may keep us busy for minutes.
+ * Whether none of the machines has been heard of lately, where many were before: most likely this controller is cut off from
+ * the workers. `now` is steady time in ms.
  */
-export function ownDelayGraceMs(time: { passedMs: number; heldUpMs: number; saturated: boolean }): number {
-  const { passedMs, heldUpMs, saturated } = time;
-  return saturated ? Math.max(heldUpMs, passedMs * saturatedGraceShare) : heldUpMs;
-}
-
-/** No machine is heard of at all, where many were: it is most likely we who are cut off from the workers. */
 export function noHeartbeatsReceived(
   machines: Iterable<MachineState>,
   now: number,
   heartbeatIntervalMs: number,
 ): boolean {
-  const heardBefore = [...machines].filter((m) => m.hasSentHeartbeat && m.releaseReason === '');
+  const heardBefore = [...machines].filter(
+    ({ hasSentHeartbeat, releaseReason }) => hasSentHeartbeat && releaseReason === '',
+  );
+  const maxGapMs = heartbeatIntervalMs * maxHeartbeatGapIntervals;
   return (
     heardBefore.length >= minMachinesHeard &&
-    heardBefore.every((m) => now - m.lastHeartbeatAt > heartbeatIntervalMs * maxHeartbeatGapIntervals)
+    heardBefore.every(({ lastHeartbeatAt }) => now - lastHeartbeatAt > maxGapMs)
   );
 }
 
 /**
- * Machines to be released because nothing is heard of them. One that falls silent among others that speak has most
- * likely died, hangs or was taken, and a release proves it. Where nearly a whole zone falls silent the network is
- * the likelier cause: its tasks may be running, so they are given until their leases have certainly run out. And one that
- * has not spoken to us yet may still speak to the owner before us, which may be without the state service and the other
- * controllers and keep its workers for as long as cancels allow.
+ * Machines to be released because they send no heartbeats. One that falls silent among others that do not has most likely
+ * died, hangs or was preempted, and a release proves it. Where nearly a whole zone falls silent, a network partition is the
+ * likelier cause: its tasks may be running, so its machines are given until their workers' leases have certainly expired.
+ * And one that has not sent a heartbeat to this owner may still send them to the owner before, which may be without the
+ * state service and the other controllers and answer its workers for as long as the deadline for cancellations allows.
+ *
+ * `now` is steady time in ms; `maxMissedHeartbeats` is the silence allowed in heartbeat intervals.
  */
 export function silentMachines(
-  machines: MachineState[],
+  machines: readonly MachineState[],
   now: number,
-  settings: Pick<Settings, 'heartbeatIntervalMs' | 'workerLeaseMs' | 'cancelDeadlineMs'>,
+  times: FailureDetectionTimes,
   maxMissedHeartbeats: number,
 ): MachineState[] {
-  const silenceLimitMs = settings.heartbeatIntervalMs * maxMissedHeartbeats;
-  const leaseExpiryMs = settings.workerLeaseMs + settings.heartbeatIntervalMs;
-  const previousOwnerLimitMs = settings.cancelDeadlineMs - settings.workerLeaseMs + silenceLimitMs;
-  // Machines that only the intents of an earlier term speak of count too: nothing else would ever prove them gone.
-  const known = machines.filter((m) => m.hasSentHeartbeat || m.tasks.size > 0);
-  const silenceMs = (m: MachineState): number => now - m.lastHeartbeatAt;
-  const isZonePartitioned = (zone: string): boolean => {
-    const inZone = known.filter((m) => m.info.zone === zone);
-    const silentCount = inZone.filter((m) => silenceMs(m) > silenceLimitMs / 2).length;
-    return silentCount > 2 && silentCount > inZone.length * partitionedZoneMinShare;
+  const silenceLimitMs = times.heartbeatIntervalMs * maxMissedHeartbeats;
+  const leaseExpiryMs = times.workerLeaseMs + times.heartbeatIntervalMs;
+  const previousOwnerLimitMs = times.cancelDeadlineMs - times.workerLeaseMs + silenceLimitMs;
+  // Machines that only the intents of an earlier owner name count too: nothing else would ever prove them terminated.
+  const known = machines.filter(({ hasSentHeartbeat, tasks }) => hasSentHeartbeat || tasks.size > 0);
+  const partitionedZones = findPartitionedZones(known, now, silenceLimitMs * zoneSilenceRatio);
+  const limitMs = ({ hasSentHeartbeat, info }: MachineState): number => {
+    if (!hasSentHeartbeat) return Math.max(previousOwnerLimitMs, silenceLimitMs);
+    return partitionedZones.has(info.zone) ? leaseExpiryMs : silenceLimitMs;
   };
-  const partitionedByZone = new Map(
-    [...new Set(known.map((m) => m.info.zone))].map((zone) => [zone, isZonePartitioned(zone)]),
+  return known.filter((machine) => now - machine.lastHeartbeatAt > limitMs(machine));
+}
+
+function findPartitionedZones(
+  machines: readonly MachineState[],
+  now: number,
+  silenceLimitMs: number,
+): Set<string> {
+  const counts = new Map<string, { all: number; silent: number }>();
+  for (const { info, lastHeartbeatAt } of machines) {
+    const count = counts.get(info.zone) ?? { all: 0, silent: 0 };
+    count.all++;
+    if (now - lastHeartbeatAt > silenceLimitMs) count.silent++;
+    counts.set(info.zone, count);
+  }
+  const partitioned = [...counts].filter(
+    ([, { all, silent }]) => silent > maxUnrelatedSilentMachines && silent > all * partitionedZoneMinShare,
   );
-  return known.filter((m) => {
-    if (!m.hasSentHeartbeat) return silenceMs(m) > Math.max(previousOwnerLimitMs, silenceLimitMs);
-    return silenceMs(m) > (partitionedByZone.get(m.info.zone) ? leaseExpiryMs : silenceLimitMs);
-  });
+  return new Set(partitioned.map(([zone]) => zone));
 }
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -1,137 +1,83 @@
-/** Release of machines that are dead, deaf, slow or faulty. */
-import type { Clock } from '../base/clock.js';
-import { sleep } from '../base/clock.js';
-import { Saturation } from '../base/saturation.js';
-import { ProcessPause } from '../base/process-pause.js';
-import type { Log } from '../base/log.js';
-import { type CloudClient, releaseLimit } from '../cloud/client.js';
-import type { MachineType } from '../model/types.js';
-import type { BlockState } from '../placement/block-state.js';
-import type { OperatorSettings } from '../settings/operator.js';
-import type { Settings } from '../settings/settings.js';
-import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
-import { findStragglers } from './straggler-detection.js';
+/** Periodic checks of the machines of one block, and release of those that have failed. */
+import { type Clock, sleep } from '../base/clock.js';
+import type { MachineState } from '../placement/machine-state.js';
+import { noHeartbeatsReceived } from './failure-detection.js';
+import { type AssessmentPorts, markFailedMachines } from './machine-assessment.js';
+import { type MachineReleaserPorts, releaseMarkedMachines } from './machine-releaser.js';
+import { OwnDelays } from './own-delays.js';
 
-export interface HealthMonitorPorts {
+/** What the monitor of a block needs. */
+export interface HealthMonitorPorts extends AssessmentPorts, MachineReleaserPorts {
   clock: Clock;
-  log: Log;
-  settings: Settings;
-  operator: OperatorSettings;
-  cloud: CloudClient;
-  blockState: BlockState;
+  /** Fires when the lease of the block ends. */
   signal: AbortSignal;
-  machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The store has lately answered us. */
   isStoreReachable: () => boolean;
-  /** None of the machines is heard of. */
+  /** Called at each check at which no heartbeat of any machine has arrived lately, though the store is reachable. */
   onNoHeartbeats: () => void;
-  /** Machines were proven gone, so their tasks wait again. */
-  onTasksRequeued: () => void;
 }
 
-/** Machines are judged so often in a report interval. */
+/** Machines are checked so often in a heartbeat interval. */
 const checksPerHeartbeatInterval = 3;
-/** The store must have answered for so many report intervals before silence is taken for our own. */
+/** The store must have been reachable for so many heartbeat intervals before missing heartbeats are laid to us. */
 const settlingHeartbeatIntervals = 2;
 
 /**
- * The owner's care for the machines of its block: it lets go of those that are silent, never came up, or fail the
- * tasks of different jobs. The cloud's answer to the release is what proves that their tasks are gone.
+ * Releases machines of its block that are silent, do not execute commands, never started, or are faulty. The cloud's answer
+ * to the release is what proves that their tasks no longer run. Time in which this controller was held up itself is not held
+ * against the machines, and while the store or all workers are out of its reach none is released.
  */
 export class HealthMonitor {
+  private storeReachableSince = 0;
+
   constructor(private readonly ports: HealthMonitorPorts) {}
 
+  /** Checks the machines until the lease of the block ends. */
   async run(): Promise<void> {
-    const {
-      blockState,
-      cloud,
-      signal,
-      log,
-      onTasksRequeued,
-      settings,
-      clock,
-      isStoreReachable,
-      onNoHeartbeats,
-    } = this.ports;
-    const pauseMs = settings.heartbeatIntervalMs / checksPerHeartbeatInterval;
-    const processPause = new ProcessPause(clock, pauseMs);
-    const saturation = new Saturation();
-    let checkedAt = clock();
-    let storeReachableSince = clock();
+    const { clock, signal, settings } = this.ports;
+    const checkIntervalMs = settings.heartbeatIntervalMs / checksPerHeartbeatInterval;
+    const ownDelays = new OwnDelays(clock, checkIntervalMs);
+    this.storeReachableSince = clock();
     while (!signal.aborted) {
-      const passedMs = clock() - checkedAt;
-      checkedAt += passedMs;
-      const graceMs = ownDelayGraceMs({
-        passedMs,
-        heldUpMs: processPause.look(),
-        saturated: saturation.look(),
-      });
-      if (graceMs > 0) for (const machine of blockState.machines.values()) machine.addGrace(graceMs);
-      // Without the store the block may be another's by now, and nothing that a release frees could start again.
-      if (!isStoreReachable()) {
-        storeReachableSince = clock();
-        await sleep(pauseMs, signal);
-        continue;
-      }
-      // Who is back from a cut may still take for its own what has long been leased to another.
-      const isSettled =
-        clock() - storeReachableSince > settings.heartbeatIntervalMs * settlingHeartbeatIntervals;
-      if (
-        isSettled &&
-        noHeartbeatsReceived(blockState.machines.values(), clock(), settings.heartbeatIntervalMs)
-      ) {
-        onNoHeartbeats();
-        await sleep(pauseMs, signal);
-        continue;
-      }
-      this.markForRelease();
-      const due = [...blockState.machines.values()]
-        .filter((m) => m.releaseReason !== '')
-        .slice(0, releaseLimit);
-      if (due.length > 0 && (await cloud.release(due.map((m) => m.id)))) {
-        for (const machine of due) {
-          const requeued = blockState.removeTerminated(machine.id);
-          const { id, info, releaseReason } = machine;
-          log.info(
-            { event: 'let-go', machine: id, type: info.type, why: releaseReason, tasks: requeued.length },
-            'let go',
-          );
-        }
-        onTasksRequeued();
-      }
-      // A release takes its time without anybody being held up.
-      if (due.length > 0) processPause.look();
-      await sleep(pauseMs, signal);
+      await this.check(ownDelays);
+      await sleep(checkIntervalMs, signal);
     }
   }
 
-  private markForRelease(): void {
-    const { blockState, clock, settings, operator, machineTypes, log } = this.ports;
-    const now = clock();
-    const machines = [...blockState.machines.values()].filter((m) => m.releaseReason === '');
-    for (const machine of machines) {
-      const bootMs = (machineTypes().get(machine.info.type)?.bootS ?? 0) * 1000 * operator.workers.bootTimes;
-      const startupLimitMs = Math.max(bootMs, settings.workerLeaseMs * 2);
-      if (!machine.hasSentHeartbeat && machine.tasks.size === 0 && now - machine.leasedAt > startupLimitMs) {
-        machine.releaseReason = 'never came up';
-      }
-      const deafSince = machine.oneWayPartitionSince();
-      if (
-        deafSince !== undefined &&
-        now - deafSince > settings.heartbeatIntervalMs * operator.workers.missedHeartbeats
-      ) {
-        machine.releaseReason = 'deaf';
-      }
-      for (const task of findStragglers(machine, now)) {
-        task.stopping = true;
-        machine.faulty = true;
-        log.info({ event: 'slow', machine: machine.id, job: task.job.id, task: task.index }, 'far too slow');
-      }
-      if (machine.faulty && machine.tasks.size === 0 && machine.orphanedTasks.length === 0)
-        machine.releaseReason = 'faulty';
+  private async check(ownDelays: OwnDelays): Promise<void> {
+    const { blockState, clock, isStoreReachable, onNoHeartbeats } = this.ports;
+    this.addGrace(ownDelays.graceMs());
+    // Without the store the block may be another's by now, and nothing that a release frees could start again.
+    if (!isStoreReachable()) {
+      this.storeReachableSince = clock();
+      return;
     }
-    for (const machine of silentMachines(machines, now, settings, operator.workers.missedHeartbeats)) {
-      machine.releaseReason = 'silent';
+    if (this.isCutOffFromWorkers()) {
+      onNoHeartbeats();
+      return;
     }
+    markFailedMachines(blockState.machines.values(), clock(), this.ports);
+    const marked = this.markedMachines();
+    if (marked.length === 0) return;
+    await releaseMarkedMachines(marked, this.ports);
+    // A release takes its time without anybody being held up.
+    ownDelays.ignoreWait();
+  }
+
+  private addGrace(graceMs: number): void {
+    if (graceMs === 0) return;
+    for (const machine of this.ports.blockState.machines.values()) machine.addGrace(graceMs);
+  }
+
+  /** A controller that has just reached the store again may own a block only in its copy of it. */
+  private isCutOffFromWorkers(): boolean {
+    const { blockState, clock, settings } = this.ports;
+    const { heartbeatIntervalMs } = settings;
+    const isSettled = clock() - this.storeReachableSince > heartbeatIntervalMs * settlingHeartbeatIntervals;
+    return isSettled && noHeartbeatsReceived(blockState.machines.values(), clock(), heartbeatIntervalMs);
+  }
+
+  private markedMachines(): MachineState[] {
+    return [...this.ports.blockState.machines.values()].filter(({ releaseReason }) => releaseReason !== '');
   }
 }
--- a/src/workers/workers.test.ts
+++ b/src/workers/workers.test.ts
@@ -1,12 +1,14 @@
 import assert from 'node:assert/strict';
 import { readdirSync } from 'node:fs';
 import { describe, test } from 'node:test';
-import { Saturation, type UtilizationProbe } from '../base/saturation.js';
+
 import { ProcessPause } from '../base/process-pause.js';
-import { runTrace } from '../testing/traces.js';
+import { Saturation, type UtilizationProbe } from '../base/saturation.js';
 import type { Task } from '../placement/job-state.js';
 import { MachineState } from '../placement/machine-state.js';
-import { ownDelayGraceMs, noHeartbeatsReceived, silentMachines } from './failure-detection.js';
+import { runTrace } from '../testing/traces.js';
+import { noHeartbeatsReceived, silentMachines } from './failure-detection.js';
+import { ownDelayGraceMs } from './own-delays.js';
 
 describe('traces of reports and what comes of them', () => {
   const folder = 'src/workers/traces';
