--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -1,22 +1,30 @@
+/** Kept traces: heartbeats and other events of one block in order, with what must come of each. */
 import { readFileSync } from 'node:fs';
-import { valueLayout } from './block-stage.js';
-import type { JobSpec, ReportedTask } from '../model/types.js';
+import type { Heartbeat, JobSpec, ReportedTask, TaskState } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
+import type { Finding } from '../placement/reconciliation.js';
 import type { TaskRange } from '../wire/job-records.js';
+import { valueLayout } from './block-stage.js';
+
+const msPerEvent = 100;
 
 /**
- * Runs a kept trace against a block. A line is an event; a line that starts with `=` is what must come of the
- * event before it. `#` starts a comment. Events:
+ * Plays a trace against the state of a block and returns what the trace expects beside what came of it. A line is an event; a
+ * line that starts with `=` is what must come of the event before it. `#` starts a comment. Events:
  *
- *     block 5 m1:10 m2:10!           the block's record at version 5: machines with tokens, `!` is leaving
+ *     block 5 m1:10 m2:10!           the block's record at version 5: machines with fencing tokens, `!` is draining
  *     job a v3 0..4                  job a at version 3; this block has tasks 0 to 4
- *     end a                          job a has been cancelled
+ *     cancel a                       job a has been cancelled
  *     place a/0 m1                   an intent, not committed yet
  *     commit a                       what is placed of job a is committed
- *     report m1 s1 n2 t10 a/0.1=running b/1.1=done
- *     gone m1                        the cloud has proven the machine gone
+ *     heartbeat m1 e1 s2 t10 a/0.1=running b/1.1=done
+ *                                    agent epoch 1, sequence 2, fencing token 10; tasks with their attempts
+ *     terminated m1                  the cloud has proven the machine terminated
+ *
+ * Throws where a line is not an event.
  */
 export function runTrace(path: string): { expected: string[]; actual: string[] } {
+  let now = 0;
   const blockState = new BlockState({
     block: 0,
     layout: valueLayout,
@@ -24,7 +32,6 @@
     clock: () => now,
     teams: new Map(),
   });
-  let now = 0;
   const expected: string[] = [];
   const actual: string[] = [];
   for (const rawLine of readFileSync(path, 'utf8').split('\n')) {
@@ -34,7 +41,7 @@
       expected.push(line.slice(1).trim());
       continue;
     }
-    now += 100;
+    now += msPerEvent;
     actual.push(...applyEvent(blockState, line.split(/\s+/), now));
   }
   return { expected, actual };
@@ -50,86 +57,121 @@
       return applyBlockEvent(blockState, Number(subject), rest);
     case 'job':
       return applyJobEvent(blockState, subject, Number(rest[0]?.slice(1)), rest.slice(1));
-    case 'end': {
-      const change = {
-        key: `end/${subject}`,
-        value: { end: 'cancelled', tasks: 0 },
-        version: now,
-        deleted: false,
-      };
-      blockState.applyChanges([change]);
-      return [];
-    }
+    case 'cancel':
+      return applyCancelEvent(blockState, subject, now);
     case 'place':
       return applyPlaceEvent(blockState, subject, rest[0] ?? '', now);
     case 'commit':
-      for (const task of blockState.jobs.get(subject)?.tasks.values() ?? []) {
-        if (task.phase === 'placing') task.phase = 'placed';
-      }
-      return [];
-    case 'gone':
-      return blockState.removeTerminated(subject).map((task) => `waits ${task.job.id}/${task.index}`);
-    case 'report':
+      return applyCommitEvent(blockState, subject);
+    case 'terminated':
+      return blockState.removeTerminated(subject).map((task) => `requeued ${task.job.id}/${task.index}`);
+    case 'heartbeat':
       return applyHeartbeatEvent(blockState, subject, rest);
     default:
       throw new Error(`no such event: ${event}`);
   }
 }
 
-function applyBlockEvent(blockState: BlockState, version: number, machines: string[]): string[] {
-  const leased = machines.map((word) => {
-    const [id = '', token] = word.replace('!', '').split(':');
-    const place = { type: 'c8', zone: 'a', spot: false, rentedAt: 0 };
-    return { id, fencingToken: Number(token), draining: word.endsWith('!'), ...place };
+function applyBlockEvent(blockState: BlockState, version: number, words: string[]): string[] {
+  const machines = words.map((word) => {
+    const [id = '', fencingToken] = word.replace('!', '').split(':');
+    return {
+      id,
+      fencingToken: Number(fencingToken),
+      draining: word.endsWith('!'),
+      type: 'c8',
+      zone: 'a',
+      spot: false,
+      rentedAt: 0,
+    };
   });
-  blockState.applyBlockRecord({ owner: 'k', incarnation: 'b', quotaShares: {}, machines: leased }, version);
+  blockState.applyBlockRecord({ owner: 'k', incarnation: 'b', quotaShares: {}, machines }, version);
   return [];
 }
 
-function applyJobEvent(blockState: BlockState, id: string, version: number, ranges: string[]): string[] {
-  const parts: TaskRange[] = ranges.map((range) => {
-    const [first = 0, last = 0] = range.split('..').map(Number);
+function applyJobEvent(blockState: BlockState, id: string, version: number, words: string[]): string[] {
+  const taskRanges: TaskRange[] = words.map((word) => {
+    const [first = 0, last = 0] = word.split('..').map(Number);
     return { block: 0, first, count: last - first + 1 };
   });
   const spec = { id, team: 'red', tasks: 10, cpus: 1, accelerators: 0, memoryGb: 1, image: 'i' } as JobSpec;
-  const value = { spec, parts: parts.map((p) => [p.block, p.first, p.count]) };
+  const value = { spec, parts: taskRanges.map(({ block, first, count }) => [block, first, count]) };
   blockState.applyChanges([{ key: `job/${id}`, value, version, deleted: false }]);
   return [];
 }
 
-function applyPlaceEvent(blockState: BlockState, task: string, machine: string, now: number): string[] {
-  const [id = '', index] = task.split('/');
-  const state = blockState.jobs.get(id);
-  const on = blockState.machines.get(machine);
-  const next = state?.nextWaitingTask();
-  if (!state || !on || !next) return ['nothing to place'];
-  if (next.index !== Number(index)) return [`next is ${id}/${next.index}`];
-  state.placeTask(next, machine, now);
-  blockState.addTask(next, on);
+function applyCancelEvent(blockState: BlockState, id: string, version: number): string[] {
+  const value = { end: 'cancelled', tasks: 0 };
+  blockState.applyChanges([{ key: `end/${id}`, value, version, deleted: false }]);
+  return [];
+}
+
+function applyPlaceEvent(blockState: BlockState, taskName: string, machineId: string, now: number): string[] {
+  const [jobId = '', index] = taskName.split('/');
+  const job = blockState.jobs.get(jobId);
+  const machine = blockState.machines.get(machineId);
+  const task = job?.nextWaitingTask();
+  if (!job || !machine || !task) return ['nothing to place'];
+  if (task.index !== Number(index)) return [`next is ${jobId}/${task.index}`];
+  job.placeTask(task, machineId, now);
+  blockState.addTask(task, machine);
+  return [];
+}
+
+function applyCommitEvent(blockState: BlockState, jobId: string): string[] {
+  for (const task of blockState.jobs.get(jobId)?.tasks.values() ?? []) {
+    if (task.phase === 'placing') task.phase = 'placed';
+  }
   return [];
 }
 
-function applyHeartbeatEvent(blockState: BlockState, machine: string, words: string[]): string[] {
-  const numberOf = (letter: string): number =>
-    Number(words.find((w) => w.startsWith(letter) && !w.includes('/'))?.slice(1));
-  const tasks: ReportedTask[] = words
-    .filter((word) => word.includes('/'))
-    .map((word) => {
-      const [, jobId = '', index, attempt, state = ''] = /^(\w+)\/(\d+)\.(\d+)=(\w+)$/.exec(word) ?? [];
-      const active = state === 'running' || state === 'fetching' || state === 'saving';
-      const ref = { job: jobId, index: Number(index), attempt: Number(attempt) };
-      return { ...ref, state: active ? state : 'ended', cause: active ? '' : state };
-    });
-  const found = blockState.machines.get(machine);
-  if (!found) return ['not ours'];
-  const facts = { machine, address: 'x', type: 'c8', zone: 'a', spot: false, preemptionNoticeS: null, tasks };
-  const numbers = { agentEpoch: numberOf('s'), sequence: numberOf('n'), fencingToken: numberOf('t') };
-  const result = blockState.applyHeartbeat(found, { ...facts, ...numbers }, true);
-  const findings = result.findings.map((f) =>
-    f.kind === 'completed'
-      ? `completed ${f.job.id}/${f.index}`
-      : `${f.kind} ${f.task.job.id}/${f.task.index}${f.kind === 'left' ? ` ${f.cause}` : ''}`,
-  );
-  const orders = result.commands.map((o) => `${o.kind} ${o.job}/${o.index}.${o.attempt}`);
-  return [result.verdict, ...findings, ...orders];
+function applyHeartbeatEvent(blockState: BlockState, machineId: string, words: string[]): string[] {
+  const machine = blockState.machines.get(machineId);
+  if (!machine) return ['not ours'];
+  const heartbeat = parseHeartbeatEvent(machineId, words);
+  const { verdict, findings, commands } = blockState.applyHeartbeat(machine, heartbeat, true);
+  return [
+    verdict,
+    ...findings.map(describeFinding),
+    ...commands.map(({ kind, job, index, attempt }) => `${kind} ${job}/${index}.${attempt}`),
+  ];
+}
+
+function parseHeartbeatEvent(machine: string, words: string[]): Heartbeat {
+  const numberAfter = (letter: string): number =>
+    Number(words.find((word) => word.startsWith(letter) && !word.includes('/'))?.slice(1));
+  return {
+    machine,
+    address: 'x',
+    type: 'c8',
+    zone: 'a',
+    spot: false,
+    preemptionNoticeS: null,
+    agentEpoch: numberAfter('e'),
+    sequence: numberAfter('s'),
+    fencingToken: numberAfter('t'),
+    tasks: words.filter((word) => word.includes('/')).map(parseReportedTask),
+  };
+}
+
+const activeStates = new Set<string>(['fetching', 'running', 'saving'] satisfies TaskState[]);
+
+/** `a/0.1=running`; a state that is not an active one is the cause of the task's end. */
+function parseReportedTask(word: string): ReportedTask {
+  const [, job = '', index, attempt, state = ''] = /^(\w+)\/(\d+)\.(\d+)=(\w+)$/.exec(word) ?? [];
+  const ref = { job, index: Number(index), attempt: Number(attempt) };
+  return activeStates.has(state)
+    ? { ...ref, state: state as TaskState, cause: '' }
+    : { ...ref, state: 'ended', cause: state };
+}
+
+function describeFinding(finding: Finding): string {
+  switch (finding.kind) {
+    case 'completed':
+      return `completed ${finding.job.id}/${finding.index}`;
+    case 'left':
+      return `left ${finding.task.job.id}/${finding.task.index} ${finding.cause}`;
+    case 'seen':
+      return `seen ${finding.task.job.id}/${finding.task.index}`;
+  }
 }
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -5,65 +5,13 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
-import { silentLog } from '../base/log.js';
-import type { Reply } from '../base/replies.js';
 import { nextTurn } from '../base/turns.js';
-import type { MachineState } from '../placement/machine-state.js';
 import { type AsyncCosts, countAsyncCosts } from '../testing/async-costs.js';
-import { type BlockStage, createBlockStage, machineToken } from '../testing/block-stage.js';
-import { HeartbeatHandler, type OwnedMachine } from './heartbeat-handler.js';
+import { createHeartbeatStage, sendHeldResponses } from '../testing/heartbeat-stage.js';
 
-const nothing = { promises: 0, timers: 0, turns: 0 };
+const nothing: AsyncCosts = { promises: 0, timers: 0, turns: 0 };
 const heartbeats = 50;
 
-interface HandlerStage extends BlockStage {
-  handler: HeartbeatHandler;
-  replies: Reply[];
-  /** Sends the machine's next heartbeat, with these tasks running. */
-  heartbeat: (machine: string, running?: number[]) => void;
-}
-
-/** A handler for the block's machines; those that `owned` leaves out report to the wrong controller. */
-function createHandlerStage(tasks: number, owned = ['m1', 'm2']): HandlerStage {
-  const stage = createBlockStage(() => ({ kind: 'applied', revision: 9 }), { tasks });
-  const { blockState, scheduler } = stage;
-  const findMachine = (id: string): OwnedMachine | undefined => {
-    const machine = owned.includes(id) ? blockState.machines.get(id) : undefined;
-    return machine && { blockState, scheduler, machine };
-  };
-  const handler = new HeartbeatHandler({
-    clock: () => 0,
-    label: 'keel-0',
-    log: silentLog,
-    findMachine,
-    ownerOf: () => 'keel-1',
-    leader: () => undefined,
-    mayStartTasks: () => true,
-    mayAnswerHeartbeats: () => true,
-    areConnectionsScarce: () => false,
-    heartbeatIntervalMs: 1000,
-    maxCommitWaitMs: 250,
-  });
-  const replies: Reply[] = [];
-  let sequence = 0;
-  const heartbeat = (machine: string, running: number[] = []): void => {
-    const pieces = running.map((index) => ({
-      piece: `req-1/${index}`,
-      try: 1,
-      status: 'running',
-      cause: '',
-    }));
-    const body = { host: machine, watch: 1, tick: ++sequence, helm: machineToken, pieces };
-    handler.handle(body, (reply) => void replies.push(reply));
-  };
-  return { ...stage, handler, replies, heartbeat };
-}
-
-/** Ends what is held, so that no timer outlives the test. */
-function respondToAll({ blockState }: BlockStage): void {
-  for (const machine of blockState.machines.values()) machine.sendHeldResponse?.();
-}
-
 /** The costs of the commit belong to placement and may fall there; they must not rise. */
 function assertWithin(costs: AsyncCosts, bounds: AsyncCosts): void {
   const { promises, timers, turns } = bounds;
@@ -77,10 +25,10 @@
 
 describe('what handling a heartbeat costs', () => {
   test('a machine without room is answered at once, without a promise or a timer', async () => {
-    const stage = createHandlerStage(4);
+    const stage = createHeartbeatStage({ tasks: 4 });
     stage.heartbeat('m1');
     await laterTurns();
-    const running = [0, 1, 2, 3];
+    const running = [0, 1, 2, 3].map((index) => ({ index, status: 'running' }));
     stage.heartbeat('m1', running);
     const repliesBefore = stage.replies.length;
     const costs = await countAsyncCosts(() => {
@@ -90,8 +38,8 @@
     assert.deepEqual(costs, nothing);
   });
 
-  test('a worker is sent on without a promise or a timer', async () => {
-    const stage = createHandlerStage(1, []);
+  test('a worker is redirected without a promise or a timer', async () => {
+    const stage = createHeartbeatStage({ tasks: 1, findMachine: () => undefined, ownerOf: () => 'keel-1' });
     const costs = await countAsyncCosts(() => {
       for (let i = 0; i < heartbeats; i++) stage.heartbeat('m1');
     }, laterTurns);
@@ -100,12 +48,12 @@
   });
 
   test('held responses share one timer, however many there are', async () => {
-    const stage = createHandlerStage(0);
+    const stage = createHeartbeatStage({ tasks: 0 });
     const first = await countAsyncCosts(() => stage.heartbeat('m1'), laterTurns);
     const more = await countAsyncCosts(() => {
       for (let i = 0; i < heartbeats; i++) stage.heartbeat(i % 2 === 0 ? 'm2' : 'm1');
     }, laterTurns);
-    const released = await countAsyncCosts(() => respondToAll(stage), laterTurns);
+    const released = await countAsyncCosts(() => sendHeldResponses(stage), laterTurns);
     assert.equal(stage.replies.length, heartbeats + 1);
     assert.deepEqual(
       { first, more, released },
@@ -114,10 +62,9 @@
   });
 
   test('a heartbeat whose response waits for a commit costs no more than measured', async () => {
-    const stage = createHandlerStage(4);
-    const machine = stage.blockState.machines.get('m1') as MachineState;
+    const stage = createHeartbeatStage({ tasks: 4 });
     const costs = await countAsyncCosts(() => stage.heartbeat('m1'), laterTurns);
-    assert.equal(machine.tasks.size, 4);
+    assert.equal(stage.blockState.machines.get('m1')?.tasks.size, 4);
     assert.equal(stage.replies.length, 1);
     assertWithin(costs, { promises: 13, timers: 1, turns: 5 });
   });
