--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -93,7 +93,7 @@
       writableLength: 0,
       commit: (conditions: Condition[], writes: Write[]) => {
         commits.push({ conditions, writes });
-        term.end('the test has seen enough');
+        term.end({ kind: 'shutdown' });
         return Promise.resolve({ kind: 'applied', revision: 2 });
       },
     },
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -25,7 +25,7 @@
   peerHasStoreAfterLeaseExpiry,
 } from '../leadership/heartbeat-answering.js';
 import { Election } from '../leadership/election.js';
-import { Membership } from '../leadership/membership.js';
+import { Membership, controllerLeaseTtlMs } from '../leadership/membership.js';
 import type { Term } from '../leadership/term.js';
 import type { MachineType } from '../model/types.js';
 import { PeerLinks, splitAddress } from '../peers/peer-links.js';
@@ -92,6 +92,7 @@
   private readonly clock = steadyClock;
   private readonly incarnation = randomUUID();
   private readonly answeringSpanMs: number;
+  private readonly leaseTtlMs: number;
   private readonly machineTypes = new Map<string, MachineType>();
   /** What most slices need; a term adds itself for what only a leader runs. */
   private readonly sharedPorts: SharedPorts;
@@ -119,6 +120,7 @@
   ) {
     const { clock, incarnation } = this;
     this.answeringSpanMs = answeringSpanMs(settings);
+    this.leaseTtlMs = controllerLeaseTtlMs(settings, operator);
     // Every call in flight listens on it, and there may be many.
     setMaxListeners(0, signal);
     const store = new StoreClient(settings, clock, signal);
@@ -154,18 +156,34 @@
       registry,
       cloud,
       commits,
-      isStoreReachable: () => !store.failing && store.contactAgeMs(clock()) < this.membership.leaseTtlMs,
+      isStoreReachable: () => !store.failing && store.contactAgeMs(clock()) < this.leaseTtlMs,
       order: new QueueOrder(settings.objectives, settings.heartbeatIntervalMs * minObjectiveHeartbeats),
     };
     this.sharedPorts = shared;
     // Only others can keep the workers' tasks then: they are leased our blocks as soon as our grant is gone.
     const onUnheard = (): void => this.membership.resign(settings.cancelDeadlineMs);
     this.leases = new OwnedBlocks({ ...shared, signal, onNoHeartbeats: onUnheard });
-    this.membership = new Membership(shared);
+    this.membership = new Membership({
+      clock,
+      log,
+      store,
+      commits,
+      mirror,
+      label: settings.label,
+      zone: settings.zone,
+      incarnation,
+      leaseTtlMs: this.leaseTtlMs,
+    });
     const generator = xoroshiro128plus(Number.parseInt(incarnation.slice(0, 8), 16));
     this.election = new Election({
-      ...shared,
+      clock,
+      log,
+      store,
+      commits,
+      mirror,
       membership: this.membership,
+      label: settings.label,
+      incarnation,
       random: () => uniformFloat64(generator),
       onElected: (term) => this.runLeaderDuties(term),
     });
@@ -265,7 +283,7 @@
       idleMs: settings.workerLeaseMs * idleTimeoutLeases,
       sliceMs: settings.heartbeatIntervalMs * heartbeatTurnBudgetRatio,
     };
-    log.info({ event: 'start', boot: this.incarnation, zone: settings.zone }, 'starting');
+    log.info({ event: 'start', incarnation: this.incarnation, zone: settings.zone }, 'starting');
     await Promise.all([
       runRoutine('web', signal, log, (s) => serveWeb(listen, s)),
       runRoutine('mirror', signal, log, (s) => mirror.follow(s), storeProbeIntervalMs),
@@ -312,7 +330,7 @@
     this.upMachines.markBooted(status.bootedMachines);
     this.fleet?.markTerminated(status.terminatedMachines);
     const { term } = this.election;
-    if (term && status.fencingToken > term.fencingToken) term.end(`${status.from} leads with a higher token`);
+    if (term && status.fencingToken > term.fencingToken) term.end({ kind: 'superseded', by: status.from });
     for (const [id, version] of status.cancelled) {
       this.mirror.recordOutcome(outcomeKey(id), {
         value: outcomeRecord({ outcome: 'cancelled', tasks: 0 }),
@@ -323,7 +341,7 @@
 
   /** Without the store we cannot know whom users were told is cancelled, so leases must run out in time. */
   private mayAnswerHeartbeats(): boolean {
-    const { leaseTtlMs } = this.membership;
+    const { leaseTtlMs } = this;
     const now = this.clock();
     const { lastContactAt } = this.store;
     // The usual case, asked for with every report: no word of any peer could shorten this.
@@ -362,7 +380,7 @@
    */
   private isServing(): boolean {
     if (!this.mirror.ready || this.machineTypes.size === 0) return false;
-    const limit = this.membership.leaseTtlMs / servingContactAgeDivisor;
+    const limit = this.leaseTtlMs / servingContactAgeDivisor;
     if (this.store.contactAgeMs(this.clock()) < limit) return true;
     return this.settings.peers.every(
       (peer) => (this.peers.lastStatus(peer.label)?.storeContactAgeMs ?? Infinity) >= limit,
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,7 +1,10 @@
+/**
+ * Leader election by compare-and-swap of one key of the store. The key is bound to the lease of its controller, so a
+ * leader that fails is gone from the store once its lease has expired.
+ */
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import type { Settings } from '../settings/settings.js';
 import type { CommitOutcome, StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
@@ -10,117 +13,130 @@
 import type { Membership } from './membership.js';
 import { Term } from './term.js';
 
+/** What an election needs of the rest of the controller. */
 export interface ElectionPorts {
   clock: Clock;
   log: Log;
-  store: StoreClient;
-  commits: CommitQueue;
-  mirror: Mirror;
-  settings: Settings;
-  membership: Membership;
+  store: Pick<StoreClient, 'failing' | 'read'>;
+  commits: Pick<CommitQueue, 'commit'>;
+  mirror: Pick<Mirror, 'ready' | 'revision' | 'get' | 'version' | 'listen'>;
+  membership: Pick<Membership, 'leaseId'>;
+  /** The name of this controller in the settings. */
+  label: string;
+  /** Tells one life of this process from the next. */
   incarnation: string;
-  /** A number in [0, 1), to keep rivals from asking in step. */
+  /** A number in [0, 1): spreads the attempts of rivals over time. */
   random: () => number;
-  /** Runs for as long as the term lasts. */
+  /** What the leader does; called at the start of a term, which ends when the promise settles. */
   onElected: (term: Term) => Promise<void>;
 }
 
 const pollIntervalMs = 100;
+/** A candidate waits for a random part of so many poll intervals, so that rivals do not collide each time. */
+const maxJitterPolls = 2;
+/** After a candidacy that failed: the replica may lag behind whatever made it fail. */
+const pauseAfterDefeatPolls = 2;
 
 /**
- * Whether to stand for election, by who does not lead now. A key under our own label stands for nobody then: an earlier
- * life of this controller left it, or a candidacy of ours that we gave up was carried out late. There is one process under
- * each label, and whatever it still has in flight as leader is conditioned on the old token.
+ * Whether a controller that does not lead may campaign, given the record of the leader. A record under the controller's own
+ * label does not stand for a living leader: an earlier incarnation left it, or a candidacy that was given up has been
+ * carried out late. There is one process under each label, and whatever it still has in flight as leader is conditioned on
+ * the old fencing token.
  */
 export function mayCampaign(leader: LeaderRecord | undefined, label: string): boolean {
   return leader === undefined || leader.label === label;
 }
 
+/** Campaigns whenever there is no leader, and holds a term from each victory until it is lost. */
 export class Election {
   private lastCandidacy = 0;
   private currentTerm: Term | undefined;
 
   constructor(private readonly ports: ElectionPorts) {}
 
+  /** The term that this controller holds; undefined while it does not lead. */
   get term(): Term | undefined {
     return this.currentTerm;
   }
 
-  /** The leader as far as the mirror knows. */
+  /** The label of the leader as far as the replica of the store knows. */
   get leader(): string | undefined {
-    return this.leaderRecord?.label;
+    return this.storedLeader?.label;
   }
 
+  /**
+   * Campaigns and leads until the signal fires; a term that is held then ends. Throws where the store cannot be read after a
+   * candidacy of unknown outcome, or what `onElected` throws.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.ports;
     while (!signal.aborted) {
       await sleep(pollIntervalMs, signal);
       if (!this.isEligible) continue;
-      await sleep(random() * 2 * pollIntervalMs, signal);
+      await sleep(random() * maxJitterPolls * pollIntervalMs, signal);
       if (!this.isEligible) continue;
       const term = await this.campaign(signal);
       if (term) await this.holdTerm(term, signal);
     }
   }
 
-  private get leaderRecord(): LeaderRecord | undefined {
+  private get storedLeader(): LeaderRecord | undefined {
     return parseLeader(this.ports.mirror.get(leaderKey)?.value);
   }
 
   private get isEligible(): boolean {
-    const { mirror, store, membership, settings } = this.ports;
+    const { mirror, store, membership, label } = this.ports;
     if (!mirror.ready || store.failing || membership.leaseId === undefined) return false;
-    return mayCampaign(this.leaderRecord, settings.label);
+    return mayCampaign(this.storedLeader, label);
   }
 
   private async campaign(signal: AbortSignal): Promise<Term | undefined> {
-    const { commits, mirror, settings, membership, incarnation, clock, log } = this.ports;
+    const { commits, mirror, membership, label, incarnation, clock, log } = this.ports;
     const { leaseId } = membership;
     if (leaseId === undefined) return undefined;
-    const lead: LeaderRecord = { label: settings.label, incarnation, candidacy: ++this.lastCandidacy };
+    const candidate: LeaderRecord = { label, incarnation, candidacy: ++this.lastCandidacy };
     const outcome = await commits.commit(
       [{ key: leaderKey, version: mirror.version(leaderKey) }],
-      [{ put: leaderKey, value: leaderRecord(lead), lease: leaseId }],
+      [{ put: leaderKey, value: leaderRecord(candidate), lease: leaseId }],
     );
-    const token = await this.fencingTokenOf(outcome, lead);
-    if (token === undefined) {
-      // The mirror may lag behind whatever made this fail.
-      await sleep(pollIntervalMs * 2, signal);
+    const fencingToken = await this.fencingTokenOf(outcome, candidate);
+    if (fencingToken === undefined) {
+      await sleep(pollIntervalMs * pauseAfterDefeatPolls, signal);
       return undefined;
     }
-    log.info({ event: 'elected', token, serial: lead.candidacy }, 'elected leader');
-    return new Term(token, clock());
+    log.info({ event: 'elected', fencingToken, candidacy: candidate.candidacy }, 'elected leader');
+    return new Term(fencingToken, clock());
   }
 
-  /** A lost answer does not tell whether we won; the store does. */
-  private async fencingTokenOf(outcome: CommitOutcome, lead: LeaderRecord): Promise<number | undefined> {
+  /** Undefined where the candidacy failed. Where the response was lost, the store tells whether it was carried out. */
+  private async fencingTokenOf(outcome: CommitOutcome, candidate: LeaderRecord): Promise<number | undefined> {
     if (outcome.kind === 'applied') return outcome.revision;
     if (outcome.kind !== 'unknown') return undefined;
     const item = await this.ports.store.read(leaderKey);
-    const found = parseLeader(item?.value);
-    return item && found?.incarnation === lead.incarnation && found.candidacy === lead.candidacy
-      ? item.version
-      : undefined;
+    const leader = parseLeader(item?.value);
+    const isElected =
+      leader?.incarnation === candidate.incarnation && leader.candidacy === candidate.candidacy;
+    return isElected ? item?.version : undefined;
   }
 
   private async holdTerm(term: Term, signal: AbortSignal): Promise<void> {
     const { mirror, log, onElected } = this.ports;
+    const { fencingToken } = term;
     this.currentTerm = term;
-    const onAbort = (): void => term.end('stopping');
-    signal.addEventListener('abort', onAbort, { once: true });
-    const unlisten = mirror.listen(() => {
-      if (mirror.revision >= term.fencingToken && mirror.version(leaderKey) !== term.fencingToken) {
-        term.end('another leader, or the grant ended');
-      }
+    const onShutdown = (): void => term.end({ kind: 'shutdown' });
+    signal.addEventListener('abort', onShutdown, { once: true });
+    const stopListening = mirror.listen(() => {
+      const isOutdated = mirror.revision < fencingToken;
+      if (!isOutdated && mirror.version(leaderKey) !== fencingToken) term.end({ kind: 'leader-key-changed' });
     });
     try {
       await onElected(term);
     } finally {
-      unlisten();
-      signal.removeEventListener('abort', onAbort);
-      term.end('duties ended');
+      stopListening();
+      signal.removeEventListener('abort', onShutdown);
+      term.end({ kind: 'duties-ended' });
       this.currentTerm = undefined;
-      log.info({ event: 'term-over', token: term.fencingToken, why: term.endReason }, 'no longer leader');
+      log.info({ event: 'term-ended', fencingToken, reason: term.endReason }, 'no longer leader');
     }
   }
 }
--- a/src/leadership/leadership.test.ts
+++ b/src/leadership/leadership.test.ts
@@ -10,7 +10,6 @@
   answerHeartbeatsUntil,
   peerHasStoreAfterLeaseExpiry,
 } from './heartbeat-answering.js';
-import { mayCampaign } from './election.js';
 
 const facts = (change: Partial<HeartbeatAnswerFacts>): HeartbeatAnswerFacts => ({
   now: 20_000,
@@ -57,18 +56,6 @@
   );
 });
 
-test('an earlier life of the same controller does not keep a new one from leading', () => {
-  assert.equal(mayCampaign(undefined, 'k0'), true);
-  assert.equal(mayCampaign({ label: 'k0', incarnation: 'b1', candidacy: 1 }, 'k0'), true);
-  assert.equal(mayCampaign({ label: 'k1', incarnation: 'b1', candidacy: 1 }, 'k0'), false);
-});
-
-// Guards against a cluster without a leader for ever: a candidacy that got no answer was carried out seconds later, when its
-// candidate had long given it up, and the key hung on a grant that its living candidate kept renewing.
-test('a candidacy that was carried out after it was given up does not keep its own candidate from leading', () => {
-  assert.equal(mayCampaign({ label: 'k0', incarnation: 'b2', candidacy: 1 }, 'k0'), true);
-});
-
 /** Two ends of a link; `knows` is what our copy of the store has reached. */
 function links(): { at: (now: number) => PeerLinks; knows: (revision: number) => void } {
   let now = 0;
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -1,3 +1,7 @@
+/**
+ * This controller's membership of the cluster: a lease of the store, and the key bound to it by which the other controllers
+ * know that this one is alive.
+ */
 import { onAbort } from '../base/aborts.js';
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
@@ -15,120 +19,150 @@
 } from '../wire/controller-records.js';
 import { aliveKey, formatKey } from '../wire/keys.js';
 
+/** What the membership needs of the rest of the controller. */
 export interface MembershipPorts {
   clock: Clock;
   log: Log;
-  store: StoreClient;
-  commits: CommitQueue;
-  mirror: Mirror;
-  settings: Settings;
-  operator: OperatorSettings;
+  store: Pick<StoreClient, 'createLease' | 'renewLease' | 'revokeLease'>;
+  commits: Pick<CommitQueue, 'commit'>;
+  mirror: Pick<Mirror, 'ready' | 'get' | 'version'>;
+  /** The name of this controller in the settings. */
+  label: string;
+  zone: string;
   /** Tells one life of this process from the next. */
   incarnation: string;
+  /** How long the lease lives without a renewal. */
+  leaseTtlMs: number;
 }
 
-/** How often a grant is renewed in its life. */
+/** How often a lease is renewed in its time to live. */
 const renewalsPerLeaseTtl = 4;
 
+/** Time to live of a controller's lease, in ms. Until it has passed, a controller that is cut off counts as alive. */
+export function controllerLeaseTtlMs(
+  { heartbeatIntervalMs }: Pick<Settings, 'heartbeatIntervalMs'>,
+  { leadership }: Pick<OperatorSettings, 'leadership'>,
+): number {
+  return heartbeatIntervalMs * leadership.leaseHeartbeats;
+}
+
 /**
- * Keeps this controller's grant and the key that hangs on it, by which the others know it to be alive. The grant
- * outlives a quick restart: the new life finds its blocks still leased to it.
+ * Keeps this controller's lease, and the key that is bound to it. The lease outlives a quick restart: the next incarnation
+ * finds its blocks still leased to this controller.
  */
 export class Membership {
-  readonly leaseTtlMs: number;
   private currentLeaseId: number | undefined;
   private resignedUntil = -Infinity;
-  /** Whether a commit of our key is on its way. */
-  private announcementInFlight = false;
+  private isAnnouncing = false;
 
-  constructor(private readonly ports: MembershipPorts) {
-    this.leaseTtlMs = ports.settings.heartbeatIntervalMs * ports.operator.leadership.leaseHeartbeats;
-  }
+  constructor(private readonly ports: MembershipPorts) {}
 
+  /** The lease of the store that this controller holds; undefined while it has none. */
   get leaseId(): number | undefined {
     return this.currentLeaseId;
   }
 
-  /** Gives the grant up, and with it the blocks and the lead, for so long: we are of no use to our workers. */
+  /**
+   * Gives the lease up for at least this long, and with it the blocks and the leadership, so that other controllers take
+   * them over. For a controller that its workers cannot reach.
+   */
   resign(durationMs: number): void {
     const { store, log, clock } = this.ports;
-    const { currentLeaseId } = this;
-    if (currentLeaseId === undefined) return;
+    const { currentLeaseId: leaseId } = this;
+    if (leaseId === undefined) return;
     this.resignedUntil = clock() + durationMs;
     this.currentLeaseId = undefined;
-    log.info(
-      { event: 'stepped-aside', grant: currentLeaseId, ms: durationMs },
-      'no worker is heard: others take over',
-    );
-    void store.revokeLease(currentLeaseId).catch(() => undefined);
+    log.info({ event: 'resigned', leaseId, durationMs }, 'no heartbeats received: others take over');
+    store.revokeLease(leaseId).catch((error: unknown) => {
+      log.debug({ event: 'lease-revocation-failed', leaseId, err: error }, 'lease left to expire');
+    });
   }
 
+  /**
+   * Obtains a lease and keeps it until it has ended, was given up, or the signal fires; to be called again after that.
+   * Throws `StoreUnavailable`, or the error of the request, where the store grants no lease.
+   */
   async run(signal: AbortSignal): Promise<void> {
-    const { store, log, clock } = this.ports;
+    const { store, log, clock, leaseTtlMs } = this.ports;
     await sleep(Math.max(0, this.resignedUntil - clock()), signal);
     if (signal.aborted) return;
     try {
-      const grant = await store.createLease(this.leaseTtlMs);
-      this.currentLeaseId = grant;
-      log.info({ event: 'joined', grant }, 'joined');
-      await this.maintainLease(grant, signal);
-      if (!signal.aborted) log.info({ event: 'grant-lost', grant }, 'grant ended');
+      const leaseId = await store.createLease(leaseTtlMs);
+      this.currentLeaseId = leaseId;
+      log.info({ event: 'joined', leaseId }, 'joined the cluster');
+      await this.maintainLease(leaseId, signal);
+      if (!signal.aborted) log.info({ event: 'membership-lost', leaseId }, 'lease ended');
     } finally {
       this.currentLeaseId = undefined;
     }
   }
 
   /**
-   * Until the grant has ended, or was given up. Renewals go out on time whether or not what was sent before has been
-   * answered: where answers take most of a grant's life, waiting for them would cost each grant in turn.
+   * Returns once the lease has ended or was given up. Renewals go out on time whether or not earlier ones have been
+   * answered: where responses take most of the time to live, waiting for them would lose every lease.
    */
   private async maintainLease(leaseId: number, signal: AbortSignal): Promise<void> {
     const leaseEnded = new AbortController();
+    const isHeld = (): boolean => !leaseEnded.signal.aborted && this.currentLeaseId === leaseId;
     const stopListening = onAbort(signal, () => leaseEnded.abort());
-    void this.announceAlive(leaseId);
-    while (!leaseEnded.signal.aborted && this.currentLeaseId === leaseId) {
-      void this.renewLease(leaseId).then((renewed) => {
-        if (!renewed) leaseEnded.abort();
-      });
-      await sleep(this.leaseTtlMs / renewalsPerLeaseTtl, leaseEnded.signal);
-      if (!leaseEnded.signal.aborted && this.currentLeaseId === leaseId) this.repairAnnouncements(leaseId);
+    try {
+      this.announceAlive(leaseId);
+      while (isHeld()) {
+        this.renewLease(leaseId, () => leaseEnded.abort());
+        await sleep(this.ports.leaseTtlMs / renewalsPerLeaseTtl, leaseEnded.signal);
+        if (isHeld()) this.repairAnnouncements(leaseId);
+      }
+    } finally {
+      stopListening();
     }
-    stopListening();
   }
 
-  /** False once the grant has ended; an attempt without an answer says nothing. */
-  private async renewLease(leaseId: number): Promise<boolean> {
+  /** Does not wait for the response; a renewal without one says nothing about the lease. */
+  private renewLease(leaseId: number, onEnded: () => void): void {
     const { store, log } = this.ports;
-    try {
-      return await store.renewLease(leaseId);
-    } catch (error) {
-      log.debug({ event: 'touch-failed', err: error }, 'grant not renewed');
-      return true;
-    }
+    store.renewLease(leaseId).then(
+      (isRenewed) => {
+        if (!isRenewed) onEnded();
+      },
+      (error: unknown) => {
+        log.debug({ event: 'lease-renewal-failed', leaseId, err: error }, 'lease not renewed');
+      },
+    );
   }
 
-  /** A late message of an earlier life may have hung our key on its own grant. */
+  /** A delayed commit of an earlier incarnation may have bound this controller's key to the lease of that one. */
   private repairAnnouncements(leaseId: number): void {
-    const { mirror, settings, incarnation } = this.ports;
-    if (!mirror.ready || this.announcementInFlight) return;
-    const alive = parseAlive(mirror.get(aliveKey(settings.label))?.value);
-    if (alive?.incarnation !== incarnation) void this.announceAlive(leaseId);
-    void this.announceFormat();
+    const { mirror, label, incarnation } = this.ports;
+    if (!mirror.ready || this.isAnnouncing) return;
+    const alive = parseAlive(mirror.get(aliveKey(label))?.value);
+    if (alive?.incarnation !== incarnation) this.announceAlive(leaseId);
+    this.announceFormat();
   }
 
-  private async announceAlive(leaseId: number): Promise<void> {
-    const { commits, settings, incarnation } = this.ports;
-    const value = aliveRecord({ incarnation, zone: settings.zone });
-    this.announcementInFlight = true;
-    await commits.commit([], [{ put: aliveKey(settings.label), value, lease: leaseId }]);
-    this.announcementInFlight = false;
+  /** Does not wait for the commit; `isAnnouncing` tells whether it is still on its way. */
+  private announceAlive(leaseId: number): void {
+    const { commits, label, zone, incarnation, log } = this.ports;
+    const value = aliveRecord({ incarnation, zone });
+    this.isAnnouncing = true;
+    commits
+      .commit([], [{ put: aliveKey(label), value, lease: leaseId }])
+      .catch((error: unknown) => {
+        log.error({ event: 'announcement-failed', err: error }, 'could not announce this controller');
+      })
+      .finally(() => {
+        this.isAnnouncing = false;
+      });
   }
 
-  /** Kept for good: a controller that has run with this format does not come back with an earlier one. */
-  private async announceFormat(): Promise<void> {
-    const { commits, settings, mirror } = this.ports;
-    const key = formatKey(settings.label);
+  /** Stored for good: a controller that has run with this format does not come back with an earlier one. */
+  private announceFormat(): void {
+    const { commits, label, mirror, log } = this.ports;
+    const key = formatKey(label);
     if (parseFormat(mirror.get(key)?.value) >= currentFormat) return;
-    await commits.commit([{ key, version: mirror.version(key) }], [{ put: key, value: formatRecord() }]);
+    commits
+      .commit([{ key, version: mirror.version(key) }], [{ put: key, value: formatRecord() }])
+      .catch((error: unknown) => {
+        log.error({ event: 'announcement-failed', err: error }, 'could not announce the format');
+      });
   }
 }
