--- a/src/controller/controller.test.ts
+++ b/src/controller/controller.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { after, before, describe, test } from 'node:test';
+
 import { Cluster, submission } from '../testing/cluster.js';
 
 // The whole service against stand-ins: what a user sees, and what must hold when parts of it fail.
--- /dev/null
+++ b/src/controller/leader-duties.test.ts
@@ -0,0 +1,27 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { Term } from '../leadership/term.js';
+import { LeaderDuties, type LeaderDutiesPorts } from './leader-duties.js';
+
+// Guards against a leader that builds on a replica which lacks what earlier leaders have committed.
+test('nothing is begun before the replica has reached the commit that won the election', async () => {
+  let blocksRead = 0;
+  const ports = {
+    mirror: { revision: 6 },
+    registry: {
+      blocks: () => {
+        blocksRead++;
+        return new Map();
+      },
+    },
+  } as unknown as LeaderDutiesPorts;
+  const duties = new LeaderDuties(ports);
+  const term = new Term(7, 0);
+  const running = duties.run(term);
+  await new Promise((resolve) => setTimeout(resolve, 60));
+  duties.markTerminated(['vm-1']);
+  term.end({ kind: 'shutdown' });
+  await running;
+  assert.equal(blocksRead, 0);
+});
--- /dev/null
+++ b/src/controller/leader-duties.ts
@@ -0,0 +1,121 @@
+/** What only the leader does: it scales the fleet of machines and assigns machines and jobs to blocks. */
+import { type Clock, sleep } from '../base/clock.js';
+import type { Log } from '../base/log.js';
+import { runRoutine } from '../base/routine.js';
+import { BlockAllocator } from '../blocks/block-allocator.js';
+import type { BlockRegistry } from '../blocks/block-registry.js';
+import type { BootedMachines } from '../blocks/booted-machines.js';
+import type { CloudClient } from '../cloud/client.js';
+import { Autoscaler } from '../ladder/autoscaler.js';
+import type { Term } from '../leadership/term.js';
+import type { MachineType } from '../model/types.js';
+import type { JobIndex } from '../placement/job-index.js';
+import type { QueueOrder } from '../placement/queue-order.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import type { Settings } from '../settings/settings.js';
+import type { StoreClient } from '../store/client.js';
+import type { CommitQueue } from '../store/commit-queue.js';
+import type { Mirror } from '../store/mirror.js';
+
+/** What the leader's duties need of the rest of the controller. */
+export interface LeaderDutiesPorts {
+  clock: Clock;
+  /** Time of day in ms. */
+  wallClock: () => number;
+  log: Log;
+  settings: Settings;
+  operator: OperatorSettings;
+  /** Tells one life of this process from the next. */
+  incarnation: string;
+  store: StoreClient;
+  mirror: Mirror;
+  /** The leader's own queue. */
+  commits: CommitQueue;
+  cloud: CloudClient;
+  registry: BlockRegistry;
+  jobIndex: JobIndex;
+  order: QueueOrder;
+  bootedMachines: Pick<BootedMachines, 'isBooted'>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
+  /** The store has served us within the time to live of a lease. */
+  isStoreReachable: () => boolean;
+}
+
+const replicaPollMs = 20;
+
+/** Runs the duties of one term after another; there is none while another controller leads. */
+export class LeaderDuties {
+  private autoscaler: Autoscaler | undefined;
+
+  constructor(private readonly ports: LeaderDutiesPorts) {}
+
+  /** Runs the duties until the term ends. They begin once the replica holds all that earlier leaders have committed. */
+  async run(term: Term): Promise<void> {
+    const { log, mirror } = this.ports;
+    while (!term.signal.aborted && mirror.revision < term.fencingToken) {
+      await sleep(replicaPollMs, term.signal);
+    }
+    if (term.signal.aborted) return;
+    const autoscaler = this.createAutoscaler(term);
+    const allocator = this.createAllocator(term, autoscaler);
+    this.autoscaler = autoscaler;
+    try {
+      await Promise.all([
+        runRoutine('block-allocator', term.signal, log, () => allocator.run()),
+        autoscaler.run(),
+      ]);
+    } finally {
+      this.autoscaler = undefined;
+    }
+  }
+
+  /** Machines that are proven terminated; without effect while this controller does not lead. */
+  markTerminated(machines: Iterable<string>): void {
+    this.autoscaler?.markTerminated(machines);
+  }
+
+  private createAutoscaler(term: Term): Autoscaler {
+    const { ports } = this;
+    return new Autoscaler({
+      clock: ports.clock,
+      wallClock: ports.wallClock,
+      log: ports.log,
+      settings: ports.settings,
+      operator: ports.operator,
+      cloud: ports.cloud,
+      jobIndex: ports.jobIndex,
+      order: ports.order,
+      mirror: ports.mirror,
+      commits: ports.commits,
+      term,
+      isFirstTerm: ports.registry.blocks().size === 0,
+      machineTypes: ports.machineTypes,
+      isStoreReachable: ports.isStoreReachable,
+      leasedMachines: () => ports.registry.leasedMachines(),
+    });
+  }
+
+  private createAllocator(term: Term, fleet: Autoscaler): BlockAllocator {
+    const { ports } = this;
+    const { quotaSharePeriodS, lookahead } = ports.operator.blocks;
+    return new BlockAllocator({
+      clock: ports.clock,
+      wallClock: ports.wallClock,
+      log: ports.log,
+      settings: ports.settings,
+      incarnation: ports.incarnation,
+      store: ports.store,
+      mirror: ports.mirror,
+      commits: ports.commits,
+      registry: ports.registry,
+      jobIndex: ports.jobIndex,
+      order: ports.order,
+      term,
+      fleet,
+      machineTypes: ports.machineTypes,
+      quotaSharePeriodMs: quotaSharePeriodS * 1000,
+      lookahead,
+      isBooted: (machine) => ports.bootedMachines.isBooted(machine),
+    });
+  }
+}
--- /dev/null
+++ b/src/controller/machine-events.test.ts
@@ -0,0 +1,27 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { MachineEvents } from './machine-events.js';
+
+test('the news are those of all own blocks within the last 20 seconds', () => {
+  const asked: number[] = [];
+  const blockState = (
+    machine: string,
+  ): ReturnType<ConstructorParameters<typeof MachineEvents>[1]>[number] => ({
+    machinesTerminatedSince: (time) => {
+      asked.push(time);
+      return [`terminated-${machine}`];
+    },
+    machinesUpSince: (time) => {
+      asked.push(time);
+      return [`booted-${machine}`];
+    },
+  });
+  const events = new MachineEvents(
+    () => 50_000,
+    () => [blockState('a'), blockState('b')],
+  );
+  assert.deepEqual(events.terminated(), ['terminated-a', 'terminated-b']);
+  assert.deepEqual(events.booted(), ['booted-a', 'booted-b']);
+  assert.deepEqual(asked, [30_000, 30_000, 30_000, 30_000]);
+});
--- /dev/null
+++ b/src/controller/peer-status-handler.ts
@@ -0,0 +1,35 @@
+/** What this controller does with the status of a peer. */
+import type { BootedMachines } from '../blocks/booted-machines.js';
+import type { Term } from '../leadership/term.js';
+import type { Mirror } from '../store/mirror.js';
+import { outcomeRecord } from '../wire/job-records.js';
+import { outcomeKey } from '../wire/keys.js';
+import type { PeerStatus } from '../wire/peer-status.js';
+import type { LeaderDuties } from './leader-duties.js';
+
+/** Where the contents of a status go. */
+export interface PeerStatusHandlerPorts {
+  bootedMachines: Pick<BootedMachines, 'markBooted'>;
+  leaderDuties: Pick<LeaderDuties, 'markTerminated'>;
+  /** The term of this controller while it leads. */
+  term: () => Pick<Term, 'fencingToken' | 'end'> | undefined;
+  mirror: Pick<Mirror, 'recordOutcome'>;
+}
+
+/** Applies statuses of peers in the order in which they are received. */
+export class PeerStatusHandler {
+  constructor(private readonly ports: PeerStatusHandlerPorts) {}
+
+  /** Takes over the peer's news of machines and cancellations; a peer that leads with a higher token ends our term. */
+  apply(status: PeerStatus): void {
+    const { bootedMachines, leaderDuties, mirror } = this.ports;
+    bootedMachines.markBooted(status.bootedMachines);
+    leaderDuties.markTerminated(status.terminatedMachines);
+    const term = this.ports.term();
+    if (term && status.fencingToken > term.fencingToken) term.end({ kind: 'superseded', by: status.from });
+    for (const [id, version] of status.cancelled) {
+      const value = outcomeRecord({ outcome: 'cancelled', tasks: 0 });
+      mirror.recordOutcome(outcomeKey(id), { value, version });
+    }
+  }
+}
--- /dev/null
+++ b/src/controller/state-access.ts
@@ -0,0 +1,49 @@
+/** All that connects a controller to the store: the client, the replica, and what is derived from the replica. */
+import type { Clock } from '../base/clock.js';
+import { BlockRegistry } from '../blocks/block-registry.js';
+import { Cancellations } from '../intake/cancellations.js';
+import { EndReader } from '../intake/end-reader.js';
+import { JobIndex } from '../placement/job-index.js';
+import type { Settings } from '../settings/settings.js';
+import { StoreClient } from '../store/client.js';
+import { Mirror } from '../store/mirror.js';
+import { type CommitQueues, createCommitQueues } from './commit-queues.js';
+import { storeProbeIntervalMs } from './store-contact-monitor.js';
+import { StoreKnowledge } from './store-knowledge.js';
+
+/** What the connection to the store is made of. */
+export interface StateAccessOptions {
+  clock: Clock;
+  settings: Settings;
+  /** Requests and queues end with it. */
+  signal: AbortSignal;
+  /** Time to live of a controller's lease in the store. */
+  leaseTtlMs: number;
+}
+
+/** Composes the modules that read and write the store. */
+export class StateAccess {
+  readonly store: StoreClient;
+  /** The replica of the store. */
+  readonly mirror: Mirror;
+  readonly commitQueues: CommitQueues;
+  readonly registry: BlockRegistry;
+  readonly jobIndex: JobIndex;
+  readonly cancellations: Cancellations;
+  readonly outcomeReader: EndReader;
+  readonly knowledge: StoreKnowledge;
+
+  constructor({ clock, settings, signal, leaseTtlMs }: StateAccessOptions) {
+    const store = new StoreClient(settings, clock, signal);
+    const mirror = new Mirror(store, store.watchGapMs, storeProbeIntervalMs);
+    const labels = [settings.label, ...settings.peers.map((peer) => peer.label)];
+    this.store = store;
+    this.mirror = mirror;
+    this.commitQueues = createCommitQueues(store, settings, signal);
+    this.registry = new BlockRegistry(mirror, labels);
+    this.jobIndex = new JobIndex(clock, (id) => mirror.outcomeOf(id));
+    this.cancellations = new Cancellations(() => mirror.initialRevision);
+    this.outcomeReader = new EndReader({ store, mirror });
+    this.knowledge = new StoreKnowledge({ clock, store, mirror, settings, leaseTtlMs });
+  }
+}
--- /dev/null
+++ b/src/controller/store-share.test.ts
@@ -0,0 +1,33 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import type { BlockRecord } from '../wire/block-records.js';
+import { storeRole } from './store-share.js';
+
+function registry(labels: string[], machines: Record<string, number>): Parameters<typeof storeRole>[0] {
+  const blocks = Object.entries(machines).map(
+    ([owner, count], block) =>
+      [
+        block,
+        { owner, machines: Array.from({ length: count }, () => ({})) } as unknown as BlockRecord,
+      ] as const,
+  );
+  return {
+    liveMembers: () => labels.map((label) => ({ label, incarnation: '', zone: 'a' })),
+    blocks: () => new Map(blocks),
+  };
+}
+
+test('the share goes by the machines in blocks of our own', () => {
+  const role = storeRole(registry(['k0', 'k1'], { k0: 1, k1: 3 }), 'k0', true);
+  assert.deepEqual(role, { leading: true, alive: 2, machines: 0.25 });
+});
+
+test('before there are machines they count as evenly spread, also where nobody is known to be alive', () => {
+  assert.deepEqual(storeRole(registry(['k0', 'k1'], { k0: 0 }), 'k0', false), {
+    leading: false,
+    alive: 2,
+    machines: 0.5,
+  });
+  assert.deepEqual(storeRole(registry([], {}), 'k0', false), { leading: false, alive: 1, machines: 1 });
+});
--- /dev/null
+++ b/src/controller/usage-log.test.ts
@@ -0,0 +1,34 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { createLog } from '../base/log.js';
+import { UsageLog } from './usage-log.js';
+
+test('changes of the store, memory and queues are logged once a period', () => {
+  const lines: Record<string, unknown>[] = [];
+  const log = createLog('k0', 'info', {
+    write: (line) => void lines.push(JSON.parse(line) as Record<string, unknown>),
+  });
+  let now = 0;
+  const usageLog = new UsageLog({
+    clock: () => now,
+    log,
+    store: { takeChangeCounts: () => ({ changes: { run: 3 }, refused: 1, conflicts: 2 }) },
+    queueLengths: () => ({ duty: 4 }),
+    openJobs: () => 5,
+    periodMs: 30_000,
+  });
+  usageLog.logIfDue();
+  now = 29_999;
+  usageLog.logIfDue();
+  assert.deepEqual(
+    lines.map(({ event }) => event),
+    ['store', 'load'],
+  );
+  const [store, load] = lines;
+  assert.deepEqual([store?.['changes'], store?.['refused'], store?.['conflicts']], [{ run: 3 }, 1, 2]);
+  assert.deepEqual([load?.['queued'], load?.['open'], typeof load?.['heapMb']], [{ duty: 4 }, 5, 'number']);
+  now = 30_000;
+  usageLog.logIfDue();
+  assert.equal(lines.length, 4);
+});
--- /dev/null
+++ b/src/controller/user-service.ts
@@ -0,0 +1,79 @@
+/** Composes what serves users: submissions, questions, cancels, and the health check of their load balancers. */
+import type { Clock } from '../base/clock.js';
+import type { Log } from '../base/log.js';
+import type { BootedMachines } from '../blocks/booted-machines.js';
+import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
+import type { OwnedBlocks } from '../blocks/owned-blocks.js';
+import type { Cascade } from '../dependencies/cascade.js';
+import { Intake } from '../intake/intake.js';
+import type { Election } from '../leadership/election.js';
+import type { PeerLinks } from '../peers/peer-links.js';
+import type { Settings } from '../settings/settings.js';
+import type { MachineTypeCatalog } from './machine-type-catalog.js';
+import { ServiceHealth } from './service-health.js';
+import type { StateAccess } from './state-access.js';
+
+/** What the users' side needs of the rest of the controller. */
+export interface UserServicePorts {
+  clock: Clock;
+  log: Log;
+  settings: Settings;
+  state: StateAccess;
+  machineTypes: Pick<MachineTypeCatalog, 'types'>;
+  bootedMachines: BootedMachines;
+  ownedBlocks: Pick<OwnedBlocks, 'blockStates'>;
+  election: Pick<Election, 'leader'>;
+  cascade: Cascade;
+  peerLinks: Pick<PeerLinks, 'lastStatus'>;
+  /** Time to live of a controller's lease in the store. */
+  leaseTtlMs: number;
+}
+
+/** Makes the handlers of the users' requests. */
+export function createIntake(ports: UserServicePorts): Intake {
+  const { state } = ports;
+  const initialDispatcher = createInitialDispatcher(ports);
+  const health = createHealth(ports);
+  return new Intake({
+    clock: ports.clock,
+    wallClock: Date.now,
+    log: ports.log,
+    settings: ports.settings,
+    store: state.store,
+    mirror: state.mirror,
+    jobIndex: state.jobIndex,
+    writes: state.commitQueues.intake,
+    confirms: state.commitQueues.confirm,
+    ends: state.outcomeReader,
+    cascade: ports.cascade,
+    machineTypes: () => ports.machineTypes.types,
+    home: (spec) => initialDispatcher.initialRanges(spec),
+    supportsDependencies: () => state.registry.isClusterUpgraded,
+    knowsCancellations: () => state.knowledge.knowsCancellations(),
+    isUp: () => health.isServing(),
+  });
+}
+
+function createInitialDispatcher(ports: UserServicePorts): InitialDispatcher {
+  return new InitialDispatcher({
+    clock: ports.clock,
+    registry: ports.state.registry,
+    jobIndex: ports.state.jobIndex,
+    machineTypes: () => ports.machineTypes.types,
+    bootedMachines: ports.bootedMachines,
+    ownBlocks: () => new Set(ports.ownedBlocks.blockStates().map(({ block }) => block)),
+    leader: () => ports.election.leader,
+  });
+}
+
+function createHealth(ports: UserServicePorts): ServiceHealth {
+  return new ServiceHealth({
+    clock: ports.clock,
+    store: ports.state.store,
+    mirror: ports.state.mirror,
+    hasMachineTypes: () => ports.machineTypes.types.size > 0,
+    peers: ports.settings.peers.map(({ label }) => label),
+    lastPeerStatus: (label) => ports.peerLinks.lastStatus(label),
+    leaseTtlMs: ports.leaseTtlMs,
+  });
+}
--- a/src/leadership/election.test.ts
+++ b/src/leadership/election.test.ts
@@ -94,23 +94,26 @@
 test('the fencing token is the revision of the commit, which is bound to the lease and conditioned on the key', async () => {
   const election = new ElectionUnderTest();
   await election.until(() => election.terms.length > 0);
-  assert.equal(election.terms[0]?.fencingToken, 7);
+  const [term] = election.terms;
+  assert.ok(term);
+  assert.equal(term.fencingToken, 7);
   assert.deepEqual(election.commits[0], {
     conditions: [{ key: 'lead', version: 0 }],
     writes: [{ put: 'lead', value: leaderRecord(ownRecord), lease: 3 }],
   });
   await election.end();
-  assert.deepEqual(election.terms[0]?.endReason, { kind: 'shutdown' });
+  assert.deepEqual(term.endReason, { kind: 'shutdown' });
 });
 
 test('a term ends as soon as the replica shows another version of the leader key', async () => {
   const election = new ElectionUnderTest();
   await election.until(() => election.terms.length > 0);
   const [term] = election.terms;
+  assert.ok(term);
   election.change({ value: leaderRecord(ownRecord), version: 7 });
-  assert.equal(term?.endReason, undefined);
+  assert.equal(term.endReason, undefined);
   election.change({ value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 8 });
-  assert.deepEqual(term?.endReason, { kind: 'leader-key-changed' });
+  assert.deepEqual(term.endReason, { kind: 'leader-key-changed' });
   await election.end();
 });
 
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -72,9 +72,9 @@
     const { random } = this.ports;
     while (!signal.aborted) {
       await sleep(pollIntervalMs, signal);
-      if (!this.isEligible) continue;
+      if (!this.isEligible()) continue;
       await sleep(random() * maxJitterPolls * pollIntervalMs, signal);
-      if (!this.isEligible) continue;
+      if (!this.isEligible()) continue;
       const term = await this.campaign(signal);
       if (term) await this.holdTerm(term, signal);
     }
@@ -84,7 +84,7 @@
     return parseLeader(this.ports.mirror.get(leaderKey)?.value);
   }
 
-  private get isEligible(): boolean {
+  private isEligible(): boolean {
     const { mirror, store, membership, label } = this.ports;
     if (!mirror.ready || store.failing || membership.leaseId === undefined) return false;
     return mayCampaign(this.storedLeader, label);
--- a/src/leadership/membership.test.ts
+++ b/src/leadership/membership.test.ts
@@ -5,7 +5,7 @@
 import { silentLog } from '../base/log.js';
 import { aliveRecord, formatRecord } from '../wire/controller-records.js';
 import type { Write } from '../wire/state.js';
-import { Membership, controllerLeaseTtlMs } from './membership.js';
+import { controllerLeaseTtlMs, Membership } from './membership.js';
 
 /** A membership with a lease of 40 ms whose store answers as the test says. */
 class MembershipUnderTest {
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -84,14 +84,15 @@
    */
   async run(signal: AbortSignal): Promise<void> {
     const { store, log, clock, leaseTtlMs } = this.ports;
+    const isStopping = (): boolean => signal.aborted;
     await sleep(Math.max(0, this.resignedUntil - clock()), signal);
-    if (signal.aborted) return;
+    if (isStopping()) return;
     try {
       const leaseId = await store.createLease(leaseTtlMs);
       this.currentLeaseId = leaseId;
       log.info({ event: 'joined', leaseId }, 'joined the cluster');
       await this.maintainLease(leaseId, signal);
-      if (!signal.aborted) log.info({ event: 'membership-lost', leaseId }, 'lease ended');
+      if (!isStopping()) log.info({ event: 'membership-lost', leaseId }, 'lease ended');
     } finally {
       this.currentLeaseId = undefined;
     }
--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -1,15 +1,16 @@
 import assert from 'node:assert/strict';
+import { createConnection, createServer, type Socket } from 'node:net';
 import { test } from 'node:test';
-import { type Socket, createConnection, createServer } from 'node:net';
+
 import { steadyClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import { Samples } from '../testing/samples.js';
 import { testSettings } from '../testing/settings.js';
-import { type PeerStatus, parsePeerStatus } from '../wire/peer-status.js';
+import { parsePeerStatus, type PeerStatus } from '../wire/peer-status.js';
 import { PeerLinks } from './peer-links.js';
 
 // Guards against links over which every status arrived and none was understood: the reader made maps of what the writer had
-// packed as objects, and all that rests on the word of peers was never in force.
+// packed as objects, and nothing that rests on the status of peers was ever in force.
 test('what a controller says of itself arrives whole at its peer, over a real connection', async () => {
   const stop = new AbortController();
   const port = 24_900;
@@ -190,3 +191,111 @@
     stop.abort();
   });
 }
+
+/** Links without sockets; `at` sets the clock, `reaches` the revision of our replica of the store. */
+function pinnedLinks(): { at: (now: number) => PeerLinks; reaches: (revision: number) => void } {
+  let now = 0;
+  let storeRevision = 40;
+  const own = new PeerLinks({
+    clock: () => now,
+    log: silentLog,
+    settings: testSettings(),
+    incarnation: 'mine',
+    onStatus: () => undefined,
+    storeRevision: () => storeRevision,
+    localStatus: () => ({
+      storeContactAgeMs: 0,
+      fencingToken: 0,
+      terminatedMachines: [],
+      bootedMachines: [],
+    }),
+    cancellationsSince: (revision) => ({ cancelledSince: revision, cancelled: [] }),
+  });
+  const at = (time: number): PeerLinks => {
+    now = time;
+    return own;
+  };
+  return { at, reaches: (revision) => void (storeRevision = revision) };
+}
+
+const statusWithoutSequence: Omit<PeerStatus, 'sequence' | 'echoedSequence'> = {
+  from: 'keel-1',
+  incarnation: 'theirs',
+  fencingToken: 0,
+  storeRevision: 40,
+  cancelledSince: 40,
+  cancelled: [],
+  terminatedMachines: [],
+  bootedMachines: [],
+  storeContactAgeMs: 40,
+  echoedIncarnation: 'mine',
+};
+
+test('a status is dated by the echo of our own message, so one that was delayed proves nothing new', () => {
+  const { at } = pinnedLinks();
+  const first = at(1000).compose('keel-1');
+  at(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
+  assert.deepEqual(at(9000).lastStatus('keel-1'), {
+    notBefore: 1000,
+    storeContactAgeMs: 40,
+    cancellationsKnownUntil: 1000,
+  });
+  const second = at(9000).compose('keel-1');
+  assert.deepEqual([second.echoedSequence, second.echoedIncarnation], [1, 'theirs']);
+  at(9000).receive({
+    ...statusWithoutSequence,
+    sequence: 3,
+    echoedSequence: second.sequence,
+    storeContactAgeMs: 50,
+  });
+  at(9000).receive({
+    ...statusWithoutSequence,
+    sequence: 2,
+    echoedSequence: first.sequence,
+    storeContactAgeMs: 60,
+  });
+  assert.deepEqual(at(9000).lastStatus('keel-1'), {
+    notBefore: 9000,
+    storeContactAgeMs: 50,
+    cancellationsKnownUntil: 9000,
+  });
+  at(9000).receive({
+    ...statusWithoutSequence,
+    from: 'stranger',
+    sequence: 9,
+    echoedSequence: second.sequence,
+  });
+  assert.equal(at(9000).lastStatus('stranger'), undefined);
+});
+
+// Guards against a list of cancellations that does not reach back to what we know: of a new incarnation of the peer, or after
+// the list was cut.
+test('cancellations count as known only where the list of the peer reaches back to our own replica', () => {
+  const { at, reaches } = pinnedLinks();
+  const echo = at(1000).compose('keel-1').sequence;
+  at(1500).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: echo });
+  const later = at(2000).compose('keel-1').sequence;
+  at(2500).receive({
+    ...statusWithoutSequence,
+    incarnation: 'next',
+    sequence: 1,
+    echoedSequence: later,
+    cancelledSince: 41,
+  });
+  assert.deepEqual(at(2500).lastStatus('keel-1'), {
+    notBefore: 2000,
+    storeContactAgeMs: 40,
+    cancellationsKnownUntil: 1000,
+  });
+  // Once our replica has reached what its new incarnation read first, nothing is missing.
+  reaches(41);
+  const last = at(3000).compose('keel-1').sequence;
+  at(3500).receive({
+    ...statusWithoutSequence,
+    incarnation: 'next',
+    sequence: 2,
+    echoedSequence: last,
+    cancelledSince: 41,
+  });
+  assert.equal(at(3500).lastStatus('keel-1')?.cancellationsKnownUntil, 3000);
+});
