--- a/src/intake/cancellations.test.ts
+++ b/src/intake/cancellations.test.ts
@@ -17,23 +17,23 @@
   assert.deepEqual(cancellations.since(20), { cancelledSince: 20, cancelled: [] });
 });
 
-// Guards against a word of the next life for what the life before told its users.
-test('it vouches for nothing that happened before its own life first read the store', () => {
-  const life: { first?: number } = {};
-  const cancellations = new Cancellations(() => life.first);
+// Guards against a new incarnation whose list passes for complete though an earlier one has confirmed cancellations.
+test('no list is complete for what happened before its own incarnation first read the store', () => {
+  const replica: { firstRevision?: number } = {};
+  const cancellations = new Cancellations(() => replica.firstRevision);
   assert.equal(cancellations.since(5).cancelledSince, Infinity);
-  life.first = 10;
+  replica.firstRevision = 10;
   cancellations.learn('req-1', 8);
   assert.deepEqual(cancellations.since(5), { cancelledSince: 10, cancelled: [] });
 });
 
-// Guards against a list that lost its oldest entries without a word.
+// Guards against a list that has silently lost its oldest entries.
 test('a list that was cut says so: it reaches back no further than what it still names', () => {
   const cancellations = new Cancellations(() => 0);
   for (let i = 1; i <= 5000; i++) cancellations.learn(`req-${i}`, i);
-  const told = cancellations.since(0);
-  assert.deepEqual([told.cancelledSince, told.cancelled.length], [4500, 500]);
-  assert.ok(told.cancelled.every(([, version]) => version > told.cancelledSince));
-  // Within what is kept and told, nothing was cut.
+  const listed = cancellations.since(0);
+  assert.deepEqual([listed.cancelledSince, listed.cancelled.length], [4500, 500]);
+  assert.ok(listed.cancelled.every(([, version]) => version > listed.cancelledSince));
+  // Within what is kept and listed, nothing was cut.
   assert.deepEqual(cancellations.since(4990).cancelled.length, 10);
 });
