--- a/src/base/http.ts
+++ b/src/base/http.ts
@@ -1,6 +1,7 @@
 import { Agent, request } from 'node:http';
 import { decode, encode } from '../wire/codec.js';
 import { onAbort } from './aborts.js';
+import { parseSocketAddress } from './socket-address.js';
 import { nextTurn } from './turns.js';
 
 export interface Answer {
@@ -20,9 +21,9 @@
   private readonly port: number;
 
   constructor(address: string, sockets: number) {
-    const colon = address.lastIndexOf(':');
-    this.host = address.slice(0, colon);
-    this.port = Number(address.slice(colon + 1));
+    const { host, port } = parseSocketAddress(address);
+    this.host = host;
+    this.port = port;
     this.agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets });
   }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
 import { BootedMachines } from '../blocks/booted-machines.js';
-import { OwnedBlocks } from '../blocks/owned-blocks.js';
+import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import { CloudClient } from '../cloud/client.js';
 import { Cascade } from '../dependencies/cascade.js';
 import type { Intake } from '../intake/intake.js';
@@ -17,6 +17,7 @@
 import { QueueOrder } from '../placement/queue-order.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
+import { createOwnedBlocks } from './block-ownership.js';
 import { queueLengths } from './commit-queues.js';
 import { Housekeeping } from './housekeeping.js';
 import { HttpService } from './http-service.js';
@@ -135,25 +136,18 @@
   }
 
   private createOwnedBlocks(): OwnedBlocks {
-    return new OwnedBlocks({
+    return createOwnedBlocks({
       clock: this.clock,
-      wallClock: Date.now,
       log: this.log,
       settings: this.settings,
       operator: this.operator,
       incarnation: this.incarnation,
       signal: this.signal,
-      store: this.state.store,
-      commits: this.state.commitQueues.duty,
-      mirror: this.state.mirror,
+      state: this.state,
       cloud: this.cloud,
-      registry: this.state.registry,
-      jobIndex: this.state.jobIndex,
       order: this.order,
-      machineTypes: () => this.machineTypes.types,
-      isStoreReachable: () => this.state.knowledge.isStoreReachable(),
-      // Only others can keep the workers' tasks then: they are leased our blocks as soon as our lease is gone.
-      onNoHeartbeats: () => this.membership.resign(this.settings.cancelDeadlineMs),
+      machineTypes: this.machineTypes,
+      membership: this.membership,
     });
   }
 
@@ -267,7 +261,7 @@
       registry: this.state.registry,
       leader: () => this.election.leader,
       mayStartTasks: () => this.state.knowledge.mayStartTasks(),
-      mayRespondToWorkers: () => responsePolicy.mayRespond(),
+      mayAnswerHeartbeats: () => responsePolicy.mayRespond(),
     });
   }
 
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -2,11 +2,11 @@
 import type { Clock } from '../base/clock.js';
 import { ConnectionLoad } from '../base/connection-load.js';
 import type { Log } from '../base/log.js';
+import { parseSocketAddress } from '../base/socket-address.js';
 import { type RequestHandler, serveWeb } from '../base/web.js';
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { Intake } from '../intake/intake.js';
-import { splitAddress } from '../peers/peer-links.js';
 import type { Settings } from '../settings/settings.js';
 import { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
@@ -21,7 +21,7 @@
   /** The label of the leader as far as it is known. */
   leader: () => string | undefined;
   mayStartTasks: () => boolean;
-  mayRespondToWorkers: () => boolean;
+  mayAnswerHeartbeats: () => boolean;
 }
 
 /** Connections that are accepted, as a part of all sockets that the process may have. */
@@ -52,7 +52,7 @@
       return createUserHandler(intake.routes, lean, log);
     };
     const options = {
-      ...splitAddress(settings.serveOn),
+      ...parseSocketAddress(settings.serveOn),
       lean,
       loadHandler,
       log,
@@ -74,7 +74,7 @@
       registry: ports.registry,
       leader: ports.leader,
       mayStartTasks: ports.mayStartTasks,
-      mayRespondToWorkers: ports.mayRespondToWorkers,
+      mayRespondToWorkers: ports.mayAnswerHeartbeats,
       areConnectionsScarce: () => load.isCrowded,
       heartbeatIntervalMs,
       maxCommitWaitMs: heartbeatIntervalMs * maxCommitWaitHeartbeats,
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -9,6 +9,7 @@
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
+import { parseSocketAddress } from '../base/socket-address.js';
 import type { Settings } from '../settings/settings.js';
 import { parsePeerStatus, type PeerStatus, peerStatusRecord } from '../wire/peer-status.js';
 
@@ -154,7 +155,7 @@
 
   private async acceptConnections(signal: AbortSignal): Promise<void> {
     const { peerOn, controllers } = this.ports.settings;
-    const { host, port } = splitAddress(peerOn);
+    const { host, port } = parseSocketAddress(peerOn);
     const server = createServer((socket) => this.acceptConnection(socket, signal));
     server.maxConnections = controllers * maxConnectionsPerController;
     await new Promise<void>((resolve, reject) => {
@@ -184,7 +185,7 @@
   }
 
   private async sendStatuses(label: string, address: string, signal: AbortSignal): Promise<void> {
-    const { host, port } = splitAddress(address);
+    const { host, port } = parseSocketAddress(address);
     const socket = createConnection({ host, port });
     socket.setTimeout(this.statusIntervalMs * idleTimeoutStatuses, () => socket.destroy());
     try {
@@ -207,9 +208,3 @@
     }
   }
 }
-
-/** Splits `host:port` as the settings have it. */
-export function splitAddress(address: string): { host: string; port: number } {
-  const colon = address.lastIndexOf(':');
-  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
-}
