--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -1,18 +1,11 @@
 /** The cancellations that this controller can have confirmed to users, as its peers are told of them. */
-import type { CancelledJob } from '../wire/peer-status.js';
+import type { ListedCancellations } from '../wire/peer-status.js';
 
 /** Cancellations that are remembered: no outage brings more. */
 const maxKept = 4000;
 /** Cancellations that one status lists; those beyond make its list incomplete. */
 const maxPerMessage = 500;
 
-/** A list of cancellations, and from where on it is complete. */
-export interface AcknowledgedCancellations {
-  /** This controller has confirmed no cancellation with a version above this that is not on the list. */
-  cancelledSince: number;
-  cancelled: CancelledJob[];
-}
-
 /**
  * All cancellations that this incarnation of the controller has learned of, whichever way. Only what it has learned can it have
  * confirmed to a user, so a peer that is without the store may go on with whatever job is not listed. What an earlier incarnation
@@ -40,7 +33,7 @@
   }
 
   /** For a peer whose replica has reached `revision`; what the list leaves out raises `cancelledSince` above it. */
-  since(revision: number): AcknowledgedCancellations {
+  since(revision: number): ListedCancellations {
     const cancelledSince = Math.max(this.firstRevision() ?? Infinity, this.droppedVersion, revision);
     // Called for every status to every peer, and mostly the peer knows all of them.
     if (this.newestVersion <= cancelledSince) return { cancelledSince, cancelled: [] };
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -11,7 +11,12 @@
 import { runRoutine } from '../base/routine.js';
 import { parseSocketAddress } from '../base/socket-address.js';
 import type { Settings } from '../settings/settings.js';
-import { parsePeerStatus, type PeerStatus, peerStatusRecord } from '../wire/peer-status.js';
+import {
+  type ListedCancellations,
+  parsePeerStatus,
+  type PeerStatus,
+  peerStatusRecord,
+} from '../wire/peer-status.js';
 
 /** What a peer last said of itself, and when at the earliest it can have said so. Moments are by our own clock, in ms. */
 export interface LastPeerStatus {
@@ -23,9 +28,6 @@
   cancellationsKnownUntil: number;
 }
 
-/** The cancellations that a peer is told of, and the revision from which on the list is complete. */
-export type ListedCancellations = Pick<PeerStatus, 'cancelledSince' | 'cancelled'>;
-
 /** What the links need of the rest of the controller. */
 export interface PeerLinksPorts {
   clock: Clock;
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -4,26 +4,33 @@
 /** A job that has ended as cancelled, and the revision of its end. */
 export type CancelledJob = [id: string, version: number];
 
-/** What a controller tells the others of itself, several times in a report interval. */
-export interface PeerStatus {
+/** Cancellations as a controller lists them for a peer, and from which revision on the list is complete. */
+export interface ListedCancellations {
+  /** The sender has confirmed no cancellation with a version above this that is not on the list. */
+  cancelledSince: number;
+  cancelled: CancelledJob[];
+}
+
+/** What a controller tells the others of itself, several times in a heartbeat interval. */
+export interface PeerStatus extends ListedCancellations {
+  /** The label of the sender. */
   from: string;
   incarnation: string;
+  /** Grows with each status that the incarnation sends. */
   sequence: number;
-  /** How long it has been without the state service, in ms. */
+  /** How long the sender has been without the store, in ms. */
   storeContactAgeMs: number;
-  /** Its token while it leads, else 0. */
+  /** The sender's fencing token while it leads, else 0. */
   fencingToken: number;
-  /** The last serial it has from the receiver in this life of the receiver, else 0. */
+  /** The last sequence number that the sender has received from this incarnation of the receiver, else 0. */
   echoedSequence: number;
+  /** The incarnation of the receiver that is echoed; empty before the first. */
   echoedIncarnation: string;
-  /** The revision that its copy of the store has reached. */
+  /** The revision that the sender's replica of the store has reached. */
   storeRevision: number;
-  /** The cancelled jobs that it has learned of with a version above `since`: all that it can have told users of. */
-  cancelled: CancelledJob[];
-  cancelledSince: number;
-  /** Machines that it has lately proven gone. */
+  /** Machines that the sender has lately proven terminated. */
   terminatedMachines: string[];
-  /** Machines that it has lately heard of for the first time. */
+  /** Machines whose first heartbeat the sender has lately received. */
   bootedMachines: string[];
 }
 
