--- a/src/ladder/autoscaler.test.ts
+++ b/src/ladder/autoscaler.test.ts
@@ -54,7 +54,7 @@
   }
 
   async end(): Promise<void> {
-    this.term.end('the test is over');
+    this.term.end({ kind: 'shutdown' });
     await this.ended;
   }
 
--- a/src/ladder/machine-releaser.test.ts
+++ b/src/ladder/machine-releaser.test.ts
@@ -17,7 +17,7 @@
   const batches: string[][] = [];
   let left = looks;
   const countLook = (): void => {
-    if (--left === 0) term.end('the test has seen enough');
+    if (--left === 0) term.end({ kind: 'shutdown' });
   };
   const releaser = new MachineReleaser(
     {
--- a/src/ladder/pool-ladders.test.ts
+++ b/src/ladder/pool-ladders.test.ts
@@ -3,7 +3,7 @@
 
 import { silentLog } from '../base/log.js';
 import { defaultOperatorSettings } from '../settings/operator.js';
-import type { CommitOutcome } from '../store/client.js';
+import type { CommitOutcome } from '../store/transactions.js';
 import { pool } from '../testing/pools.js';
 import { testSettings } from '../testing/settings.js';
 import { ladderKey, type StoredValue } from '../wire/keys.js';
--- a/src/ladder/scale-out.test.ts
+++ b/src/ladder/scale-out.test.ts
@@ -115,7 +115,7 @@
 // Guards against rentals by a leader whose term is over.
 test('nothing is rented once the term has ended', async () => {
   const { scaleOut, requests, term } = setUp(rentAll);
-  term.end('the test');
+  term.end({ kind: 'shutdown' });
   await scaleOut.addMachines(pool(), 3);
   assert.deepEqual(requests, []);
 });
--- a/src/testing/heartbeat-stage.ts
+++ b/src/testing/heartbeat-stage.ts
@@ -1,7 +1,7 @@
 /** A heartbeat handler under test, before a block whose commits are answered by the test. */
 import { silentLog } from '../base/log.js';
 import type { Reply } from '../base/replies.js';
-import type { CommitOutcome } from '../store/client.js';
+import type { CommitOutcome } from '../store/transactions.js';
 import {
   HeartbeatHandler,
   type HeartbeatHandlerPorts,
