--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -1,189 +1,128 @@
-import { setMaxListeners } from 'node:events';
-import type { Clock } from '../base/clock.js';
-import type { Log } from '../base/log.js';
-import { runRoutine } from '../base/routine.js';
-import type { CloudClient } from '../cloud/client.js';
-import type { MachineType } from '../model/types.js';
-import { BlockState } from '../placement/block-state.js';
-import type { JobIndex } from '../placement/job-index.js';
-import type { QueueOrder } from '../placement/queue-order.js';
-import { Scheduler } from '../placement/scheduler.js';
-import type { OperatorSettings } from '../settings/operator.js';
-import type { Settings } from '../settings/settings.js';
-import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+/** The blocks that are leased to this controller: follows the leases in the replica of the store. */
+import type { BlockState } from '../placement/block-state.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
+import type { MachineState } from '../placement/machine-state.js';
+import type { Scheduler } from '../placement/scheduler.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import type { Change } from '../wire/state.js';
-import { HealthMonitor } from '../workers/health-monitor.js';
-import type { MachineState } from '../placement/machine-state.js';
-import { BlockWriter } from './block-writer.js';
-import { transferBlock } from './block-assignment.js';
 import type { BlockRegistry } from './block-registry.js';
+import { BlockWriter } from './block-writer.js';
+import { LeaseRenewals } from './lease-renewals.js';
+import { OwnedBlock, type OwnedBlockPorts } from './owned-block.js';
 
-export interface OwnedBlocksPorts {
-  clock: Clock;
-  wallClock: () => number;
-  log: Log;
-  settings: Settings;
-  operator: OperatorSettings;
-  store: StoreClient;
-  commits: CommitQueue;
-  mirror: Mirror;
-  jobIndex: JobIndex;
+/** What the blocks of one controller need from it. */
+export interface OwnedBlocksPorts extends OwnedBlockPorts {
   registry: BlockRegistry;
-  cloud: CloudClient;
-  /** The store has lately answered us. */
-  isStoreReachable: () => boolean;
-  /** None of the machines of a block is heard of. */
-  onNoHeartbeats: () => void;
-  order: QueueOrder;
+  /** Identifies this run of the controller process: leases to earlier ones are renewed before use. */
   incarnation: string;
+  /** Fires when the controller stops. */
   signal: AbortSignal;
-  machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-interface OwnedBlock {
+/** A machine of an owned block, with the block's state and scheduler. */
+export interface OwnedMachine {
   blockState: BlockState;
   scheduler: Scheduler;
-  abortController: AbortController;
-  layout: LedgerLayout;
+  machine: MachineState;
 }
 
-/** The blocks that are leased to this controller, each with its state and its duties. */
+/** The blocks that are leased to this controller, each with its state and its routines. */
 export class OwnedBlocks {
   private readonly owned = new Map<number, OwnedBlock>();
-  private isRenewing = false;
-  /** Revisions of renewals, which the copy must have reached before a block is begun. */
-  private readonly renewalRevisions = new Map<number, number>();
-  /** Those of them that were for the sake of a new layout of the ledger. */
-  private readonly layoutRenewalRevisions = new Map<number, number>();
-  private readonly writer: BlockWriter;
+  private readonly renewals: LeaseRenewals;
 
   constructor(private readonly ports: OwnedBlocksPorts) {
-    this.writer = new BlockWriter(ports);
-    // A controller that is stopping must not go on judging machines that it no longer hears.
-    const endAll = (): void => {
-      for (const [block, heldBlock] of this.owned) this.stopBlock(block, heldBlock);
-    };
-    ports.signal.addEventListener('abort', endAll, { once: true });
+    this.renewals = new LeaseRenewals({ ...ports, writer: new BlockWriter(ports) });
+    // A controller that is stopping must not release machines because it no longer receives their heartbeats.
+    ports.signal.addEventListener('abort', () => this.stopAll(), { once: true });
   }
 
+  /** The states of all blocks that are owned now. */
   blockStates(): BlockState[] {
-    return [...this.owned.values()].map((heldBlock) => heldBlock.blockState);
+    return [...this.owned.values()].map((owned) => owned.blockState);
   }
 
-  findMachine(
-    machine: string,
-  ): { blockState: BlockState; scheduler: Scheduler; machine: MachineState } | undefined {
+  /** The machine by its id, if a block of this controller has it with a fencing token. */
+  findMachine(id: string): OwnedMachine | undefined {
     for (const { blockState, scheduler } of this.owned.values()) {
-      const found = blockState.machines.get(machine);
-      if (found && found.fencingToken > 0) return { blockState, scheduler, machine: found };
+      const machine = blockState.machines.get(id);
+      if (machine && machine.fencingToken > 0) return { blockState, scheduler, machine };
     }
     return undefined;
   }
 
-  /** Called after every batch of changes of the copy, which is where leases come and go. */
+  /**
+   * To be called after every batch of changes of the replica: starts the blocks whose lease to this controller has begun,
+   * stops those whose lease has ended, renews leases where that is due, and passes the changes on to the blocks' states.
+   */
   applyChanges(changes: Change[]): void {
-    const { registry, settings, incarnation, signal } = this.ports;
+    const { registry, settings, signal } = this.ports;
     if (signal.aborted) return;
     const blocks = registry.blocks();
     const layout = ledgerLayout(settings, registry.isClusterUpgraded);
-    for (const [block, heldBlock] of this.owned) {
-      const record = blocks.get(block);
-      if (record?.owner !== settings.label || record.incarnation !== incarnation)
-        this.stopBlock(block, heldBlock);
-      else if (this.isLayoutRenewed(block, heldBlock, layout)) this.stopBlock(block, heldBlock);
-      else if (heldBlock.blockState.applyChanges(changes)) heldBlock.scheduler.requestRound();
+    for (const owned of this.owned.values()) {
+      if (this.mustStop(owned, blocks.get(owned.block), layout)) this.stopBlock(owned);
+      else if (owned.blockState.applyChanges(changes)) owned.scheduler.requestRound();
     }
     for (const [block, record] of blocks) {
-      if (record.owner !== settings.label) continue;
-      const version = registry.blockVersion(block);
-      const isOfEarlierLife = record.incarnation !== incarnation;
-      const isOutdated = this.hasOutdatedLayout(this.owned.get(block), layout);
-      const isDue = isOfEarlierLife || (isOutdated && !this.layoutRenewalRevisions.has(block));
-      if (isDue && !this.isRenewing) void this.renewLease(block, record, isOutdated);
-      // Nothing may be committed in the old layout under the version of the renewal.
-      if (isOfEarlierLife || (isOutdated && this.isRenewing)) continue;
-      if (version < (this.renewalRevisions.get(block) ?? 0)) continue;
-      const heldBlock = this.owned.get(block) ?? this.startBlock(block, layout);
-      if (heldBlock.blockState.version === version) continue;
-      heldBlock.blockState.applyBlockRecord(record, version);
-      heldBlock.scheduler.requestRound();
+      if (record.owner === settings.label) this.applyLease(block, record, layout);
     }
   }
 
-  private hasOutdatedLayout(heldBlock: OwnedBlock | undefined, layout: LedgerLayout): boolean {
-    return heldBlock !== undefined && heldBlock.layout.chunkTasks !== layout.chunkTasks;
-  }
-
   /**
-   * All controllers read ledgers of the new layout by now. The block goes on as it is until its lease has been renewed, with
-   * fresh tokens and a version that leaves what is still under way without its condition, and is then begun anew as after a
-   * restart.
+   * A block whose ledger layout is outdated is kept until its lease has been renewed, with new fencing tokens and a version
+   * that makes commits in flight conflict. It is then stopped, and started again as after a restart of the process.
    */
-  private isLayoutRenewed(block: number, heldBlock: OwnedBlock, layout: LedgerLayout): boolean {
-    const relaidAt = this.layoutRenewalRevisions.get(block) ?? Infinity;
-    return this.hasOutdatedLayout(heldBlock, layout) && this.ports.registry.blockVersion(block) >= relaidAt;
+  private mustStop(owned: OwnedBlock, record: BlockRecord | undefined, layout: LedgerLayout): boolean {
+    const { settings, incarnation, registry } = this.ports;
+    if (record?.owner !== settings.label || record.incarnation !== incarnation) return true;
+    const renewalRevision = this.renewals.layoutRenewalRevision(owned.block);
+    return (
+      hasOutdatedLayout(owned, layout) &&
+      renewalRevision !== undefined &&
+      registry.blockVersion(owned.block) >= renewalRevision
+    );
   }
 
-  /**
-   * A block leased to an earlier life of this process. That life knew which reports were the latest and may have left
-   * transactions under way; fresh tokens and a new version of the block put both behind us.
-   */
-  private async renewLease(block: number, record: BlockRecord, isOutdated: boolean): Promise<void> {
-    const { settings, incarnation, log } = this.ports;
-    this.isRenewing = true;
-    const renewed = { ...record, machines: record.machines.map((m) => ({ ...m })) };
-    transferBlock(renewed, { label: settings.label, incarnation, zone: settings.zone });
-    const { outcome } = await this.writer.write(block, renewed);
-    if (outcome.kind === 'applied') {
-      this.renewalRevisions.set(block, outcome.revision);
-      if (isOutdated) this.layoutRenewalRevisions.set(block, outcome.revision);
-    }
-    log.info({ event: 'lease-renewed', block, outcome: outcome.kind }, 'lease of an earlier life renewed');
-    // Whether it was applied, the watch tells; were it not, the next change tries again.
-    this.isRenewing = false;
+  /** Applies the record of a block that is leased to this controller. */
+  private applyLease(block: number, record: BlockRecord, layout: LedgerLayout): void {
+    const { renewals } = this;
+    const isOfEarlierIncarnation = record.incarnation !== this.ports.incarnation;
+    const isOutdated = hasOutdatedLayout(this.owned.get(block), layout);
+    const isLayoutRenewalDue = isOutdated && renewals.layoutRenewalRevision(block) === undefined;
+    if ((isOfEarlierIncarnation || isLayoutRenewalDue) && !renewals.isRenewing)
+      renewals.start(block, record, isOutdated ? 'new-layout' : 'new-incarnation');
+    // Nothing may be committed in the old layout under the version of the renewal.
+    if (isOfEarlierIncarnation || (isOutdated && renewals.isRenewing)) return;
+    const version = this.ports.registry.blockVersion(block);
+    // The replica has yet to reach the renewal, and still names the fencing tokens from before it.
+    if (version < (renewals.renewalRevision(block) ?? 0)) return;
+    const { blockState, scheduler } = this.owned.get(block) ?? this.startBlock(block, layout);
+    if (blockState.version === version) return;
+    blockState.applyBlockRecord(record, version);
+    scheduler.requestRound();
   }
 
   private startBlock(block: number, layout: LedgerLayout): OwnedBlock {
-    const { ports } = this;
-    const { settings, log, clock, wallClock, mirror, order, jobIndex } = ports;
-    const stop = new AbortController();
-    const { signal } = stop;
-    // Every commit that waits for better times listens on it.
-    setMaxListeners(0, signal);
-    const blockState = new BlockState({
-      block,
-      layout,
-      heartbeatIntervalMs: settings.heartbeatIntervalMs,
-      teams: settings.teams,
-      clock,
-      wallClock,
-      queueOrder: order,
-      dependencyFactsOf: (spec) => jobIndex.dependencyFactsOf(spec),
-    });
-    blockState.load(mirror);
-    const scheduler = new Scheduler({ ...ports, blockState, signal: stop.signal });
-    const healthMonitor = new HealthMonitor({
-      ...ports,
-      blockState,
-      signal: stop.signal,
-      onTasksRequeued: () => scheduler.requestRound(),
-    });
-    const heldBlock = { blockState, scheduler, abortController: stop, layout };
-    this.owned.set(block, heldBlock);
-    void runRoutine(`scheduler-${block}`, signal, log, () => scheduler.run());
-    void runRoutine(`health-monitor-${block}`, signal, log, () => healthMonitor.run());
+    const owned = new OwnedBlock(block, layout, this.ports);
+    this.owned.set(block, owned);
+    const jobs = owned.blockState.jobs.size;
     const { chunkTasks } = layout;
-    log.info({ event: 'lease-begins', block, jobs: blockState.jobs.size, chunkTasks }, 'block is ours');
-    return heldBlock;
+    this.ports.log.info({ event: 'lease-started', block, jobs, chunkTasks }, 'lease of the block started');
+    return owned;
   }
 
-  private stopBlock(block: number, heldBlock: OwnedBlock): void {
-    heldBlock.abortController.abort();
-    this.owned.delete(block);
-    this.ports.log.info({ event: 'lease-over', block }, 'block is no longer ours');
+  private stopBlock(owned: OwnedBlock): void {
+    owned.stop();
+    this.owned.delete(owned.block);
+    this.ports.log.info({ event: 'lease-ended', block: owned.block }, 'lease of the block ended');
   }
+
+  private stopAll(): void {
+    for (const owned of this.owned.values()) this.stopBlock(owned);
+  }
+}
+
+function hasOutdatedLayout(owned: OwnedBlock | undefined, layout: LedgerLayout): boolean {
+  return owned !== undefined && owned.layout.chunkTasks !== layout.chunkTasks;
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -39,6 +39,7 @@
 import { outcomeRecord, parseOutcome } from '../wire/job-records.js';
 import { outcomeKey, jobOfOutcomeKey, leaderKey } from '../wire/keys.js';
 import type { PeerStatus } from '../wire/peer-status.js';
+import { HealthMonitor } from '../workers/health-monitor.js';
 import { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
 const storeProbeIntervalMs = 400;
@@ -160,7 +161,11 @@
     this.sharedPorts = shared;
     // Only others can keep the workers' tasks then: they are leased our blocks as soon as our grant is gone.
     const onUnheard = (): void => this.membership.resign(settings.cancelDeadlineMs);
-    this.leases = new OwnedBlocks({ ...shared, signal, onNoHeartbeats: onUnheard });
+    this.leases = new OwnedBlocks({
+      ...shared,
+      signal,
+      createHealthMonitor: (block) => new HealthMonitor({ ...shared, ...block, onNoHeartbeats: onUnheard }),
+    });
     this.membership = new Membership(shared);
     const generator = xoroshiro128plus(Number.parseInt(incarnation.slice(0, 8), 16));
     this.election = new Election({
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -128,7 +128,7 @@
   /** Some of what the controllers in this process log is known in no other way. */
   private heed(line: string, prints: boolean): void {
     if (prints) process.stderr.write(line);
-    if (!line.includes('"lease-begins"')) return;
+    if (!line.includes('"lease-started"')) return;
     const { block, chunkTasks } = JSON.parse(line) as { block: number; chunkTasks: number };
     this.chunkTasks.set(block, chunkTasks);
   }
