--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { steadyClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import { Term } from '../leadership/term.js';
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -1,227 +1,143 @@
-import { sleep } from '../base/clock.js';
+/** The leader's loop that assigns owners, machines and quota shares to blocks, and dispatches jobs to them. */
+import { type Clock, sleep } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
-import type { Autoscaler } from '../ladder/autoscaler.js';
-import { needOf } from '../placement/job-index.js';
-import type { Team } from '../settings/settings.js';
-import type { StoreClient } from '../store/client.js';
-import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
-import { leaderKey } from '../wire/keys.js';
-import type { Condition } from '../wire/state.js';
-import { BlockWriter } from './block-writer.js';
+import type { JobIndex } from '../placement/job-index.js';
+import type { Settings } from '../settings/settings.js';
+import type { CommitQueue } from '../store/commit-queue.js';
+import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
+import { assignBlocks, type MachineSet } from './block-assignment.js';
+import type { BlockRegistry } from './block-registry.js';
 import { Dispatcher, type DispatcherPorts } from './dispatcher.js';
-import { type Member, unownedBlock, assignBlocks } from './block-assignment.js';
-import { type TeamDemand, allocateQuotaShares } from './quota-shares.js';
+import { type LeaderTerm, LeaseWriter } from './lease-writer.js';
+import { LiveMembers } from './live-members.js';
+import { QuotaShareAllocator } from './quota-share-allocator.js';
+
+/** What the leader knows of rented machines beside the blocks' records. */
+export interface RentedMachines {
+  /** Machines that belong to no block yet, by id. */
+  readonly unassigned: ReadonlyMap<string, LeasedMachine>;
+  /** Machines that are proven terminated. */
+  readonly terminated: MachineSet;
+  /** Machines that are to be released: nothing more may be placed on them. */
+  readonly toDrain: ReadonlySet<string>;
+  /** Machines that are no longer listed by the cloud, and not yet proven terminated. */
+  readonly presumedTerminated: ReadonlySet<string>;
+  /** Slots that wait in the block for machines like this one. */
+  waitingSlots(block: number, machine: LeasedMachine): number;
+}
 
+/** What the allocator works with during one term of leadership. */
 export interface BlockAllocatorPorts extends DispatcherPorts {
-  store: StoreClient;
-  fleet: Autoscaler;
+  clock: Clock;
+  settings: Settings;
+  commits: CommitQueue;
+  jobIndex: JobIndex;
+  registry: BlockRegistry;
+  term: LeaderTerm;
+  store: { readonly failing: boolean };
+  fleet: RentedMachines;
+  /** Quota shares are kept for this long, unless work waits for want of a share. */
   quotaSharePeriodMs: number;
+  /** Identifies this run of the controller process. */
   incarnation: string;
 }
 
 const pollIntervalMs = 200;
-/** Changes of blocks that do not press are gathered for this part of a report interval. */
+/**
+ * How long changes of blocks that are not urgent are gathered, in heartbeat intervals. A block whose machines are on pages
+ * costs a change of each page as well.
+ */
 const batchingHeartbeats = { inline: 1 / 2, paged: 1 };
 
-/** The leader's leasing of machines and of shares of the teams' limits; the dispatching of work follows it. */
+/** Assigns blocks and dispatches jobs for one term. Each round builds on a replica that has its own last commits. */
 export class BlockAllocator {
-  /** The copy must have reached this revision before we build on it again. */
-  private committedRevision = 0;
-  private quotaSharesAllocatedAt = -Infinity;
   private blocksAssignedAt = -Infinity;
-  /** Blocks with a lease of unknown fate, and the version that it was conditioned on. */
-  private readonly uncertainLeases = new Map<number, number>();
-  private readonly aliveSince = new Map<string, number>();
+  private dispatchedRevision = 0;
+  private readonly members: LiveMembers;
+  private readonly quotaShares: QuotaShareAllocator;
+  private readonly leases: LeaseWriter;
   private readonly dispatcher: Dispatcher;
-  private readonly writer: BlockWriter;
 
   constructor(private readonly ports: BlockAllocatorPorts) {
-    this.writer = new BlockWriter(ports);
+    this.members = new LiveMembers(ports);
+    this.quotaShares = new QuotaShareAllocator(ports);
+    this.leases = new LeaseWriter(ports);
     this.dispatcher = new Dispatcher(ports);
   }
 
+  /** Runs until the term ends. Pauses while the store fails or the replica lacks the last commits. */
   async run(): Promise<void> {
-    const { term, store, mirror } = this.ports;
-    while (!term.signal.aborted) {
-      await sleep(pollIntervalMs, term.signal);
-      if (
-        term.signal.aborted ||
-        store.failing ||
-        mirror.revision < Math.max(term.fencingToken, this.committedRevision)
-      )
-        continue;
-      await this.assignBlocks();
-      await nextTurn();
-      if (mirror.revision >= this.committedRevision)
-        this.committedRevision = Math.max(this.committedRevision, await this.dispatcher.runRound());
+    const { signal } = this.ports.term;
+    while (!signal.aborted) {
+      await sleep(pollIntervalMs, signal);
+      if (this.mayDecide()) await this.runRound();
     }
   }
 
-  private get leadershipCondition(): Condition {
-    return { key: leaderKey, version: this.ports.term.fencingToken };
+  private async runRound(): Promise<void> {
+    await this.assignBlocks();
+    await nextTurn();
+    if (this.isReplicaCurrent()) this.dispatchedRevision = await this.dispatcher.runRound();
+  }
+
+  private mayDecide(): boolean {
+    const { term, store } = this.ports;
+    return !term.signal.aborted && !store.failing && this.isReplicaCurrent();
+  }
+
+  /** The replica has everything that was committed before this term, and by this allocator since. */
+  private isReplicaCurrent(): boolean {
+    const { term, mirror } = this.ports;
+    const revisions = [term.fencingToken, this.leases.committedRevision, this.dispatchedRevision];
+    return mirror.revision >= Math.max(...revisions);
   }
 
   private async assignBlocks(): Promise<void> {
-    const { settings, registry, jobIndex, fleet, clock } = this.ports;
-    if (await this.supersedeUncertainLeases()) return;
+    const { settings, registry, clock } = this.ports;
+    if (await this.leases.supersedeUncertain()) return;
     // From here to the commits nothing is awaited: the records that they build on are those of the versions they name.
     const blocks = registry.blocks();
-    const alive = this.liveMembers();
-    // What does not press is gathered: every new version of a block fails the intents that its owner has under way.
-    const pressing = blocks.size < settings.controllers || this.hasOwnerLost(blocks);
-    if (
-      !pressing &&
-      clock() - this.blocksAssignedAt < settings.heartbeatIntervalMs * this.batchingHeartbeats(blocks)
-    )
-      return;
+    const members = this.members.update();
+    // The rest is batched: every new version of a block makes the intents that its owner has in flight conflict.
+    const isUrgent = blocks.size < settings.controllers || this.hasDeadOwner(blocks);
+    if (!isUrgent && clock() - this.blocksAssignedAt < this.batchingMs(blocks)) return;
     this.blocksAssignedAt = clock();
-    const next = assignBlocks({
+    const next = this.nextBlocks(blocks, members);
+    // One operation a block: several full records together would exceed a transaction. Each is safe without the others,
+    // since no machine and no part of a limit is given away that another block still has.
+    await Promise.all(
+      [...next].map(([block, record]) => this.leases.write(block, blocks.get(block), record)),
+    );
+  }
+
+  private nextBlocks(
+    blocks: ReadonlyMap<number, BlockRecord>,
+    members: ReturnType<LiveMembers['update']>,
+  ): Map<number, BlockRecord> {
+    const { settings, jobIndex, fleet } = this.ports;
+    const labels = members.map((member) => member.label);
+    return assignBlocks({
       blockCount: settings.controllers,
       blocks,
-      liveMembers: alive,
-      stableMembers: new Set(alive.map((m) => m.label).filter((label) => this.isStable(label))),
+      liveMembers: members,
+      stableMembers: new Set(labels.filter((label) => this.members.isStable(label))),
       unassignedMachines: [...fleet.unassigned.values()],
       terminatedMachines: fleet.terminated,
       machinesWithTasks: jobIndex.machineLoads(),
       drainingMachines: new Set([...fleet.toDrain, ...fleet.presumedTerminated]),
       waitingSlots: (block, machine) => fleet.waitingSlots(block, machine),
-      quotaShares: this.quotaShares(blocks),
+      quotaShares: this.quotaShares.nextShares(blocks),
     });
-    if (next.size === 0) return;
-    // One operation a block: several full records together would be more than a transaction holds. Each is safe without
-    // the others, since no machine and no part of a limit is given away that another block still has.
-    await Promise.all([...next].map(([block, record]) => this.commitLease(block, blocks.get(block), record)));
   }
 
-  /**
-   * A lease whose fate is unknown may yet be carried out: what it gives to a block must not be given to another
-   * meanwhile. So such blocks are first written as they stand, which leaves the late one without its version.
-   */
-  private async supersedeUncertainLeases(): Promise<boolean> {
-    const { registry } = this.ports;
-    const blocks = registry.blocks();
-    for (const [block, version] of this.uncertainLeases) {
-      if (registry.blockVersion(block) !== version) this.uncertainLeases.delete(block);
-    }
-    const open = [...this.uncertainLeases.keys()];
-    await Promise.all(
-      open.map((block) => this.commitLease(block, blocks.get(block), blocks.get(block) ?? unownedBlock())),
-    );
-    return open.length > 0;
-  }
-
-  private async commitLease(
-    block: number,
-    before: BlockRecord | undefined,
-    record: BlockRecord,
-  ): Promise<void> {
-    const { settings, log, clock, term } = this.ports;
-    const { outcome, version } = await this.writer.write(block, record, [this.leadershipCondition]);
-    if (outcome.kind === 'applied') {
-      this.committedRevision = Math.max(this.committedRevision, outcome.revision);
-      this.logOwnerChange(block, before, record);
-    } else if (outcome.kind === 'unknown') {
-      this.uncertainLeases.set(block, version);
-      await sleep(settings.heartbeatIntervalMs / 4, term.signal);
-    } else if (outcome.kind === 'malformed') {
-      log.error({ event: 'block-refused', block, machines: record.machines.length }, 'block record refused');
-    } else log.debug({ event: 'lease-failed', block, outcome, at: clock() }, 'block not leased');
-  }
-
-  /** A lease of a block on pages takes changes of its pages as well. */
-  private batchingHeartbeats(blocks: ReadonlyMap<number, BlockRecord>): number {
-    const { registry } = this.ports;
+  private batchingMs(blocks: ReadonlyMap<number, BlockRecord>): number {
+    const { registry, settings } = this.ports;
     const isPaged = [...blocks.keys()].some((block) => registry.storedBlock(block)?.isInline === false);
-    return isPaged ? batchingHeartbeats.paged : batchingHeartbeats.inline;
+    const heartbeats = isPaged ? batchingHeartbeats.paged : batchingHeartbeats.inline;
+    return settings.heartbeatIntervalMs * heartbeats;
   }
 
-  private hasOwnerLost(blocks: ReadonlyMap<number, BlockRecord>): boolean {
+  private hasDeadOwner(blocks: ReadonlyMap<number, BlockRecord>): boolean {
     return [...blocks.values()].some((record) => !this.ports.registry.isAlive(record.owner));
   }
-
-  private logOwnerChange(block: number, before: BlockRecord | undefined, record: BlockRecord): void {
-    if (before?.owner === record.owner) return;
-    this.ports.log.info(
-      {
-        event: 'block-leased',
-        block,
-        owner: record.owner,
-        before: before?.owner,
-        machines: record.machines.length,
-      },
-      'block leased',
-    );
-  }
-
-  private liveMembers(): Member[] {
-    const { registry, settings, clock, incarnation } = this.ports;
-    const alive = registry.liveMembers();
-    // We are: a leader without its own key would be deposed.
-    if (!alive.some((m) => m.label === settings.label))
-      alive.push({ label: settings.label, incarnation, zone: settings.zone });
-    const labels = new Set(alive.map((m) => m.label));
-    for (const label of this.aliveSince.keys()) if (!labels.has(label)) this.aliveSince.delete(label);
-    for (const label of labels) if (!this.aliveSince.has(label)) this.aliveSince.set(label, clock());
-    return alive;
-  }
-
-  /** Back for long enough that a block given to it will not change hands again at once. */
-  private isStable(label: string): boolean {
-    const { clock, settings } = this.ports;
-    return clock() - (this.aliveSince.get(label) ?? Infinity) > settings.heartbeatIntervalMs;
-  }
-
-  /** Shares are leased for a period, and sooner only where work waits for want of one. */
-  private quotaShares(blocks: ReadonlyMap<number, BlockRecord>): Map<number, QuotaShares> {
-    const { settings, clock, quotaSharePeriodMs } = this.ports;
-    const limited = [...settings.teams.values()].some((team) => team.cpusMax > 0 || team.acceleratorsMax > 0);
-    if (!limited) return new Map();
-    const demand = this.teamDemand();
-    const starved = [...blocks].some(([block, record]) =>
-      [...settings.teams.values()].some((team) => isStarved(demand(block, team.name), record, team)),
-    );
-    if (!starved && clock() - this.quotaSharesAllocatedAt < quotaSharePeriodMs) {
-      return new Map([...blocks].map(([block, record]) => [block, record.quotaShares]));
-    }
-    this.quotaSharesAllocatedAt = clock();
-    const all = new Map<number, BlockRecord>();
-    for (let block = 0; block < settings.controllers; block++) {
-      all.set(block, blocks.get(block) ?? unownedBlock());
-    }
-    return allocateQuotaShares({ teams: settings.teams.values(), blocks: all, demand });
-  }
-
-  private teamDemand(): (block: number, team: string) => TeamDemand {
-    const { jobIndex, order, wallClock } = this.ports;
-    const entries = new Map<string, TeamDemand>();
-    const of = (block: number, team: string): TeamDemand => {
-      const key = `${block}/${team}`;
-      let entry = entries.get(key);
-      if (!entry) entries.set(key, (entry = { used: [0, 0], waiting: [] }));
-      return entry;
-    };
-    for (const { page } of jobIndex.activeTasks()) {
-      const { used } = of(page.block, page.team);
-      used[0] += page.cpus;
-      used[1] += page.accelerators;
-    }
-    for (const job of jobIndex.inQueueOrder(order, wallClock())) {
-      for (const { block, count } of jobIndex.waitingByBlock(job)) {
-        if (block !== undefined && count > 0) {
-          of(block, job.spec.team).waiting.push({ need: needOf(job.spec), count });
-        }
-      }
-    }
-    return of;
-  }
-}
-
-function isStarved(demand: TeamDemand, record: BlockRecord, team: Team): boolean {
-  const next = demand.waiting[0];
-  if (!next) return false;
-  const [cpus, accelerators] = record.quotaShares[team.name] ?? [0, 0];
-  return (
-    (team.cpusMax > 0 && demand.used[0] + next.need.cpus > cpus + 1e-6) ||
-    (team.acceleratorsMax > 0 && demand.used[1] + next.need.accelerators > accelerators + 1e-6)
-  );
 }
--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -1,41 +1,56 @@
+/** Blocks, machines and live controllers as this controller's replica of the store has them. */
 import type { Mirror } from '../store/mirror.js';
 import {
   type BlockRecord,
+  hasInlineMachines,
   type LeasedMachine,
   machinePages,
-  hasInlineMachines,
   parseBlock,
 } from '../wire/block-records.js';
 import { currentFormat, parseAlive, parseFormat } from '../wire/controller-records.js';
-import { type StoredValue, blockKey, formatKey, machinesPrefix } from '../wire/keys.js';
-import type { Member } from './block-assignment.js';
+import { aliveKey, blockKey, formatKey, machinesPrefix, type StoredValue } from '../wire/keys.js';
+
+/** A controller that is alive. */
+export interface Member {
+  label: string;
+  /** Identifies the run of its process. */
+  incarnation: string;
+  zone: string;
+}
 
-/** A block as the copy of the store has it. */
+/** A block as the replica of the store has it. */
 export interface StoredBlock {
   record: BlockRecord;
+  /** Store revision of the last change of the record. */
   version: number;
-  /** Its record names the machines itself, as earlier versions write it. */
+  /** Its record names the machines itself, as earlier versions of the program write it. */
   isInline: boolean;
-  /** Versions of the pages of its machines, by number; they count only where the record names none itself. */
+  /** Store revisions of the pages of its machines, by number; pages count only where the record names no machines itself. */
   pageVersions: ReadonlyMap<number, number>;
 }
 
+/** The machines of all blocks, by id. */
+type MachineOwners = Map<string, { machine: LeasedMachine; owner: string }>;
+
 type ParsedBlock = Omit<StoredBlock, 'pageVersions'> & { pageVersions: Map<number, number> };
 
-/** Who holds which block, and which controllers are alive, as far as this controller's copy of the store knows. */
+const blockPrefix = 'block/';
+const alivePrefix = 'alive/';
+
+/** Who owns which block, and which controllers are alive. Parses a record or a page only when it has changed. */
 export class BlockRegistry {
   private readonly parsedBlocks = new Map<number, ParsedBlock>();
-  private machineOwners = new Map<string, { block: number; machine: LeasedMachine; owner: string }>();
-  private ownersBlockVersions = '';
+  /** With the versions of the blocks that the map was made from. */
+  private machineOwners: { blockVersions: string; byId: MachineOwners } | undefined;
   private knownUpgraded = false;
 
-  /** `labels`: all controllers of the settings. */
+  /** `labels`: of all controllers of the settings. */
   constructor(
     private readonly mirror: Mirror,
     private readonly labels: string[] = [],
   ) {}
 
-  /** Every controller of the settings has run with this format, and none comes back with an earlier one after that. */
+  /** Every controller of the settings has run with the current format; none comes back with an earlier one after that. */
   get isClusterUpgraded(): boolean {
     this.knownUpgraded ||=
       this.mirror.ready &&
@@ -43,21 +58,53 @@
     return this.knownUpgraded;
   }
 
+  /** The records of all blocks. They are shared: callers copy what they change. */
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
-    for (const [key, entry] of this.mirror.entriesWithPrefix('block/')) {
-      const block = Number(key.slice('block/'.length));
+    for (const [key, entry] of this.mirror.entriesWithPrefix(blockPrefix)) {
+      const block = Number(key.slice(blockPrefix.length));
       const stored = this.parseStored(block, entry);
       if (stored) blocks.set(block, stored.record);
     }
     return blocks;
   }
 
+  /** The block with what a write of it has to be conditioned on; undefined if it has no record. */
   storedBlock(block: number): StoredBlock | undefined {
     const entry = this.mirror.get(blockKey(block));
     return entry && this.parseStored(block, entry);
   }
 
+  /** Store revision of the last change of the block's record; 0 if it has none. */
+  blockVersion(block: number): number {
+    return this.mirror.version(blockKey(block));
+  }
+
+  /** The controllers whose lease of the state service has not expired. */
+  liveMembers(): Member[] {
+    const members: Member[] = [];
+    for (const [key, entry] of this.mirror.entriesWithPrefix(alivePrefix)) {
+      const alive = parseAlive(entry.value);
+      if (alive) members.push({ label: key.slice(alivePrefix.length), ...alive });
+    }
+    return members;
+  }
+
+  /** The controller with this label is alive. */
+  isAlive(label: string): boolean {
+    return this.mirror.get(aliveKey(label)) !== undefined;
+  }
+
+  /** The machines of all blocks by id. */
+  leasedMachines(): Map<string, LeasedMachine> {
+    return new Map([...this.ownersById()].map(([id, { machine }]) => [id, machine]));
+  }
+
+  /** Label of the controller that the machine is to send its heartbeats to; undefined for a machine in no block. */
+  ownerOf(machine: string): string | undefined {
+    return this.ownersById().get(machine)?.owner;
+  }
+
   /** No page changes without its block's record, but for pages that are being prepared and do not count yet. */
   private parseStored(block: number, entry: StoredValue): StoredBlock | undefined {
     const known = this.parsedBlocks.get(block);
@@ -80,45 +127,16 @@
     return machinePages(block, this.mirror.entriesWithPrefix(machinesPrefix(block)));
   }
 
-  blockVersion(block: number): number {
-    return this.mirror.version(blockKey(block));
-  }
-
-  liveMembers(): Member[] {
-    const members: Member[] = [];
-    for (const [key, entry] of this.mirror.entriesWithPrefix('alive/')) {
-      const alive = parseAlive(entry.value);
-      if (alive) members.push({ label: key.slice('alive/'.length), ...alive });
-    }
-    return members;
-  }
-
-  isAlive(label: string): boolean {
-    return this.mirror.get(`alive/${label}`) !== undefined;
-  }
-
-  leasedMachines(): Map<string, LeasedMachine> {
-    return new Map([...this.machineOwnership()].map(([id, entry]) => [id, entry.machine]));
-  }
-
-  /** The controller that a machine is to report to. */
-  ownerOf(machine: string): string | undefined {
-    return this.machineOwnership().get(machine)?.owner;
-  }
-
-  private machineOwnership(): Map<string, { block: number; machine: LeasedMachine; owner: string }> {
+  /** Walking all machines is worth it only when a block has changed, which few changes of the replica are about. */
+  private ownersById(): MachineOwners {
     const blocks = this.blocks();
-    // Walking all machines is worth it only when a block has changed, which few changes of the copy are about.
-    const at = [...blocks.keys()].map((block) => `${block}:${this.blockVersion(block)}`).join(' ');
-    if (this.ownersBlockVersions !== at) {
-      this.ownersBlockVersions = at;
-      this.machineOwners = new Map();
-      for (const [block, record] of blocks) {
-        for (const machine of record.machines) {
-          this.machineOwners.set(machine.id, { block, machine, owner: record.owner });
-        }
-      }
+    const blockVersions = [...blocks.keys()].map((block) => `${block}:${this.blockVersion(block)}`).join(' ');
+    if (this.machineOwners?.blockVersions === blockVersions) return this.machineOwners.byId;
+    const byId: MachineOwners = new Map();
+    for (const { machines, owner } of blocks.values()) {
+      for (const machine of machines) byId.set(machine.id, { machine, owner });
     }
-    return this.machineOwners;
+    this.machineOwners = { blockVersions, byId };
+    return byId;
   }
 }
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -1,15 +1,16 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
 import { CommitQueue } from '../store/commit-queue.js';
 import { HeldStore } from '../testing/held-store.js';
 import { testSettings } from '../testing/settings.js';
 import { mirrorOf } from '../testing/stored-mirror.js';
-import { type BlockRecord, type LeasedMachine, blockRecord } from '../wire/block-records.js';
+import { type BlockRecord, blockRecord, type LeasedMachine } from '../wire/block-records.js';
 import { formatRecord } from '../wire/controller-records.js';
 import { blockKey, formatKey } from '../wire/keys.js';
-import { BlockWriter, type BlockWriteResult } from './block-writer.js';
 import { transferBlock } from './block-assignment.js';
 import { BlockRegistry } from './block-registry.js';
+import { BlockWriter, type BlockWriteResult } from './block-writer.js';
 
 const labels = ['keel-0', 'keel-1', 'keel-2'];
 const nextLimits = { value_kb: 2, txn_ops: 6 };
--- a/src/blocks/booted-machines.ts
+++ b/src/blocks/booted-machines.ts
@@ -1,38 +1,42 @@
-/** Which machines can start tasks. */
+/** Which machines have booted, so that tasks can start on them. */
 import type { MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 
-/** The protocol's usual boot takes up to so many times the type's figure. */
-const usualBootRatio = 1.5;
-/** Machines that have come up are remembered for so many times those that there are, and this many at least. */
-const rememberedMachinesRatio = 2;
-const minRememberedMachines = 1000;
-
+/** What the knowledge of booted machines is based on. */
 export interface BootedMachinesPorts {
   /** Time of day in ms. */
   wallClock: () => number;
   machineTypes: () => ReadonlyMap<string, MachineType>;
+  /** The machines of all blocks by id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** Up is what any owner has heard of, and what has had the longest time that booting usually takes. */
+/** A machine usually boots within so many times the boot time of its type. */
+const usualBootRatio = 1.5;
+/** So many times as many ids as there are machines are remembered before those of former machines are dropped. */
+const rememberedMachinesRatio = 2;
+const minRememberedMachines = 1000;
+
+/** Machines that sent a heartbeat to any owner, and those that have been rented for longer than booting usually takes. */
 export class BootedMachines {
   private readonly reportedIds = new Set<string>();
   private maxRemembered = minRememberedMachines;
 
   constructor(private readonly ports: BootedMachinesPorts) {}
 
-  markBooted(machines: Iterable<string>): void {
-    for (const id of machines) this.reportedIds.add(id);
+  /** Records machines that have sent a heartbeat to any controller. Their number in memory is bounded. */
+  markBooted(ids: Iterable<string>): void {
+    for (const id of ids) this.reportedIds.add(id);
     if (this.reportedIds.size <= this.maxRemembered) return;
     const leased = this.ports.leasedMachines();
     this.maxRemembered = Math.max(minRememberedMachines, leased.size * rememberedMachinesRatio);
     for (const id of this.reportedIds) if (!leased.has(id)) this.reportedIds.delete(id);
   }
 
+  /** Tasks placed on the machine can be expected to start at once. */
   isBooted(machine: LeasedMachine): boolean {
     if (this.reportedIds.has(machine.id)) return true;
-    const bootS = this.ports.machineTypes().get(machine.type)?.bootS ?? 0;
-    return this.ports.wallClock() - machine.rentedAt > bootS * 1000 * usualBootRatio;
+    const bootMs = (this.ports.machineTypes().get(machine.type)?.bootS ?? 0) * 1000;
+    return this.ports.wallClock() - machine.rentedAt > bootMs * usualBootRatio;
   }
 }
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -1,228 +1,178 @@
-import { type JobSpec, type MachineType, type Resources, fits, taskKind } from '../model/types.js';
+/** How many more tasks of a kind each block can take, estimated from the replica of the store. */
+import { fits, type JobSpec, type MachineType, type Resources, taskKind } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
-import type { TaskRange } from '../wire/job-records.js';
+import type { BlockRegistry } from './block-registry.js';
 
-/** What a block can still take of a job. */
+/** What a block can take of one kind of task. */
 export interface BlockSlots {
   block: number;
-  /** Tasks that fit into what is free now, less what already waits there. */
+  /** Tasks that fit into what is free now, less those that wait in the block already: negative where more wait. */
   freeSlots: number;
-  /** Tasks that fit into its empty machines: its size. */
+  /** Tasks that fit into the block's machines while these are empty: its size. */
   totalSlots: number;
 }
 
+/** What an estimate is made from. */
 export interface CapacityInput {
   blocks: ReadonlyMap<number, BlockRecord>;
+  /** The controller with this label is alive: only the blocks of live controllers have slots, unless none is alive. */
   isAlive: (label: string) => boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
-  jobIndex: JobIndex;
-  /** It has come up: tasks can start on it. */
+  jobIndex: Pick<JobIndex, 'jobs' | 'machineLoads' | 'waitingByBlock'>;
+  /** Tasks can start on the machine. */
   isBooted: (machine: LeasedMachine) => boolean;
-  /** How much more than fits now a block may hold, as a share of its size, so that it need not wait to be dispatched to. */
+  /**
+   * How much more than fits now a block may be given, as a ratio of its size, so that it need not wait for the leader
+   * whenever a task ends.
+   */
   lookahead: number;
 }
 
-/** What waits in a block at the most, as a share of its size, beside what it has room for. */
-const maxLookahead = 1;
-const noResources: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
+/** Where the input of an estimate is read from. */
+export interface CapacityPorts {
+  registry: Pick<BlockRegistry, 'blocks' | 'isAlive'>;
+  machineTypes: () => ReadonlyMap<string, MachineType>;
+  jobIndex: CapacityInput['jobIndex'];
+  isBooted: (machine: LeasedMachine) => boolean;
+}
+
+/** What a block can take of one kind of task, before what waits there is taken off. */
+interface MeasuredSlots extends BlockSlots {
+  /** Tasks of this kind may run on spot machines. */
+  spot: boolean;
+}
+
+/** The most that a block is given beyond what it has room for, as a ratio of its size. */
+const maxLookaheadRatio = 1;
+/** A task that asks for fewer CPUs than this counts as if it asked for so many, where waiting CPUs are counted in tasks. */
+const minCpusPerTask = 1e-3;
+/** Bound for tasks that ask for next to nothing. */
+const maxSlotsPerMachine = 1e6;
+/** Amounts are decimals added up in any order, so sums may differ in their last bits. */
+const roundingTolerance = 1e-6;
+
+/** An estimate as of now. `lookahead`: see `CapacityInput`. */
+export function estimateCapacity(ports: CapacityPorts, lookahead: number): CapacityEstimate {
+  const { registry, machineTypes, jobIndex, isBooted } = ports;
+  return new CapacityEstimate({
+    blocks: registry.blocks(),
+    isAlive: (label) => registry.isAlive(label),
+    machineTypes: machineTypes(),
+    jobIndex,
+    lookahead,
+    isBooted,
+  });
+}
 
-/** The blocks' room for jobs at one moment; what is dispatched in the meantime is taken off it. */
+/** The blocks' free slots at one moment, less what its user has reserved since. */
 export class CapacityEstimate {
   private readonly usedByMachine: ReadonlyMap<string, Resources>;
-  /** Room by kind of task, before what waits: walking all machines for each of many jobs would take too long. */
-  private readonly slotsByTaskKind = new Map<string, (BlockSlots & { spot: boolean })[]>();
+  /** Measured once for each kind of task: walking all machines for each of many jobs would take too long. */
+  private readonly slotsByTaskKind = new Map<string, MeasuredSlots[]>();
   /** CPUs of tasks that wait in a block, by the kind of machine that they wait for. */
   private readonly waitingCpus = new Map<string, number>();
 
-  constructor(private readonly facts: CapacityInput) {
-    this.usedByMachine = facts.jobIndex.machineLoads();
-    for (const job of facts.jobIndex.jobs.values()) {
-      for (const { block, count } of facts.jobIndex.waitingByBlock(job)) {
+  constructor(private readonly input: CapacityInput) {
+    this.usedByMachine = input.jobIndex.machineLoads();
+    for (const job of input.jobIndex.jobs.values()) {
+      for (const { block, count } of input.jobIndex.waitingByBlock(job)) {
         if (block !== undefined) this.reserve(job.spec, block, count);
       }
     }
   }
 
-  /** Roomiest first. Blocks whose owner is gone have none, unless all owners are. */
+  /** The blocks that may take tasks of the job, those with the most free slots first. */
   slotsByBlock(spec: JobSpec): BlockSlots[] {
-    const key = taskKind(spec);
-    let kind = this.slotsByTaskKind.get(key);
-    if (!kind) this.slotsByTaskKind.set(key, (kind = this.measureSlots(spec)));
-    const capacities = kind.map(({ block, freeSlots, totalSlots }) => {
-      const waiting = (this.waitingCpus.get(waitingKey(spec, block)) ?? 0) / Math.max(spec.cpus, 1e-3);
-      return { block, freeSlots: Math.floor(freeSlots - waiting), totalSlots: totalSlots };
+    const kind = taskKind(spec);
+    let measured = this.slotsByTaskKind.get(kind);
+    if (!measured) {
+      measured = this.servedBlocks().map(([block, record]) => this.measureBlock(spec, block, record));
+      this.slotsByTaskKind.set(kind, measured);
+    }
+    const slots = measured.map(({ block, freeSlots, totalSlots }) => {
+      const waitingCpus = this.waitingCpus.get(waitingKey(spec, block)) ?? 0;
+      const waitingTasks = waitingCpus / Math.max(spec.cpus, minCpusPerTask);
+      return { block, freeSlots: Math.floor(freeSlots - waitingTasks), totalSlots };
     });
-    return capacities.sort(
+    return slots.sort(
       (a, b) => b.freeSlots - a.freeSlots || b.totalSlots - a.totalSlots || a.block - b.block,
     );
   }
 
-  private measureSlots(spec: JobSpec): (BlockSlots & { spot: boolean })[] {
-    const { blocks, isAlive, machineTypes, lookahead, isBooted } = this.facts;
-    const all = [...blocks];
-    const served = all.filter(([, record]) => isAlive(record.owner));
-    return (served.length > 0 ? served : all).map(([block, record]) => {
-      const machines = record.machines.filter((m) => !m.draining && isEligible(spec, m));
-      // Work that may use cheap machines leaves the others alone as long as there are cheap ones.
-      const cheap = spec.spot ? machines.filter((m) => m.spot) : [];
-      let freeSlots = 0;
-      let totalSlots = 0;
-      for (const machine of cheap.length > 0 ? cheap : machines) {
-        const type = machineTypes.get(machine.type);
-        if (!type) continue;
-        totalSlots += slotsIn(spec, type);
-        const used = this.usedByMachine.get(machine.id) ?? noResources;
-        if (used === noResources && !isBooted(machine)) continue;
-        freeSlots += slotsIn(spec, {
-          cpus: type.cpus - used.cpus,
-          accelerators: type.accelerators - used.accelerators,
-          memoryGb: type.memoryGb - used.memoryGb,
-        });
-      }
-      return { block, freeSlots: freeSlots + totalSlots * lookahead, totalSlots, spot: spec.spot };
-    });
-  }
-
   /**
-   * The more waits beyond what all blocks have room for, the more each is given ahead: there is work for all of them until
-   * it is done, and each dispatch is a change of the store.
+   * Raises the lookahead with the backlog, up to the blocks' sizes: with more work waiting than all blocks have room for,
+   * none runs dry, and each dispatch costs a change of the store. `backlog`: jobs with their undispatched tasks. Acts on
+   * the kinds of task in the backlog and on those measured before.
    */
   extendLookahead(backlog: Iterable<{ spec: JobSpec; tasks: number }>): void {
-    const waiting = new Map<boolean, number>();
-    const sizes = new Map<boolean, number>();
+    const backlogRatios = new Map<boolean, number>();
     for (const { spec, tasks } of backlog) {
-      const size = this.slotsByBlock(spec).reduce((sum, room) => sum + room.totalSlots, 0);
-      waiting.set(spec.spot, (waiting.get(spec.spot) ?? 0) + tasks / Math.max(1, size));
-      sizes.set(spec.spot, size);
+      const totalSlots = this.slotsByBlock(spec).reduce((sum, slots) => sum + slots.totalSlots, 0);
+      backlogRatios.set(spec.spot, (backlogRatios.get(spec.spot) ?? 0) + tasks / Math.max(1, totalSlots));
     }
-    const { lookahead } = this.facts;
-    for (const kind of this.slotsByTaskKind.values()) {
-      for (const room of kind) {
-        const depth = Math.min(maxLookahead, waiting.get(room.spot) ?? 0);
-        if (depth > lookahead) room.freeSlots += room.totalSlots * (depth - lookahead);
+    const { lookahead } = this.input;
+    for (const measured of this.slotsByTaskKind.values()) {
+      for (const slots of measured) {
+        const extended = Math.min(maxLookaheadRatio, backlogRatios.get(slots.spot) ?? 0);
+        if (extended > lookahead) slots.freeSlots += slots.totalSlots * (extended - lookahead);
       }
     }
   }
 
+  /** Takes the slots of so many tasks of the job off the block's free ones. */
   reserve(spec: JobSpec, block: number, count: number): void {
     const key = waitingKey(spec, block);
     this.waitingCpus.set(key, (this.waitingCpus.get(key) ?? 0) + count * spec.cpus);
   }
 
-  /** The one block that has room for the whole job now, or none; of several a preferred one, else the roomiest. */
-  findWholeJobBlock(
-    spec: JobSpec,
-    prefers: (block: number) => boolean = () => false,
-  ): TaskRange[] | undefined {
-    const fitting = this.slotsByBlock(spec).filter((room) => room.freeSlots >= spec.tasks);
-    const best = fitting.find((room) => prefers(room.block)) ?? fitting[0];
-    return best && [{ block: best.block, first: 0, count: spec.tasks }];
-  }
-
-  /** All tasks over all blocks by their sizes, whether or not there is room. */
-  divideBySize(spec: JobSpec): TaskRange[] {
-    const capacities = this.slotsByBlock(spec);
-    const best = capacities[0];
-    if (!best) return [];
-    if (isZoneConstrained(spec)) return [{ block: best.block, first: 0, count: spec.tasks }];
-    const total = capacities.reduce((sum, room) => sum + room.totalSlots + 1, 0);
-    const parts: TaskRange[] = [];
-    let first = 0;
-    for (const [i, room] of capacities.entries()) {
-      const rest = spec.tasks - first;
-      const count =
-        i === capacities.length - 1
-          ? rest
-          : Math.min(rest, Math.round((spec.tasks * (room.totalSlots + 1)) / total));
-      if (count > 0) parts.push({ block: room.block, first, count });
-      first += count;
-    }
-    return parts;
+  private servedBlocks(): [number, BlockRecord][] {
+    const blocks = [...this.input.blocks];
+    const served = blocks.filter(([, record]) => this.input.isAlive(record.owner));
+    return served.length > 0 ? served : blocks;
   }
 
-  /**
-   * Dispatches tasks that no block has yet to where there is room for them, and takes that room. Undefined: there is none.
-   * `most`: how many parts the job may have.
-   */
-  dispatch(spec: JobSpec, parts: TaskRange[], most = Infinity): TaskRange[] | undefined {
-    const capacities = this.slotsByBlock(spec);
-    if (isZoneConstrained(spec)) {
-      const best = capacities[0];
-      // Tasks that are bound to each other by zone go to one block, all of them, as soon as any could start.
-      if (parts.length > 0 || !best || best.freeSlots <= 0) return undefined;
-      this.reserve(spec, best.block, spec.tasks);
-      return [{ block: best.block, first: 0, count: spec.tasks }];
+  private measureBlock(spec: JobSpec, block: number, record: BlockRecord): MeasuredSlots {
+    const { machineTypes, lookahead, isBooted } = this.input;
+    let freeSlots = 0;
+    let totalSlots = 0;
+    for (const machine of eligibleMachines(spec, record.machines)) {
+      const type = machineTypes.get(machine.type);
+      if (!type) continue;
+      totalSlots += slotsIn(spec, type);
+      const used = this.usedByMachine.get(machine.id);
+      if (used) freeSlots += slotsIn(spec, remaining(type, used));
+      else if (isBooted(machine)) freeSlots += slotsIn(spec, type);
     }
-    const gaps = undispatchedRanges(parts, spec.tasks);
-    const more: TaskRange[] = [];
-    for (const room of capacities) {
-      let free = room.freeSlots;
-      while (free > 0) {
-        const gap = gaps[0];
-        if (!gap) break;
-        const count = Math.min(free, gap.count);
-        more.push({ block: room.block, first: gap.first, count });
-        this.reserve(spec, room.block, count);
-        free -= count;
-        gap.first += count;
-        gap.count -= count;
-        if (gap.count === 0) gaps.shift();
-      }
-    }
-    return more.length > 0 ? limitTaskRanges(parts, more, most, spec.tasks) : undefined;
-  }
-}
-
-/** The parts with as many of the further ones as there may be; where there is no place for any, a neighbour gets a gap. */
-function limitTaskRanges(parts: TaskRange[], more: TaskRange[], most: number, tasks: number): TaskRange[] {
-  for (let taken = more.length; taken > 0; taken--) {
-    const merged = mergeTaskRanges([...parts, ...more.slice(0, taken)]);
-    if (merged.length <= most) return merged;
+    return { block, freeSlots: freeSlots + totalSlots * lookahead, totalSlots, spot: spec.spot };
   }
-  const [gap] = undispatchedRanges(parts, tasks);
-  const neighbour = parts.find((part) => part.first + part.count === gap?.first) ?? parts[0];
-  return gap && neighbour ? mergeTaskRanges([...parts, { block: neighbour.block, ...gap }]) : parts;
 }
 
-/** Tasks whose zones depend on each other. */
-export function isZoneConstrained(spec: Pick<JobSpec, 'colocated' | 'spread'>): boolean {
-  return spec.colocated || spec.spread;
-}
-
-/** The tasks that no range covers. */
-export function undispatchedRanges(parts: TaskRange[], tasks: number): { first: number; count: number }[] {
-  const gaps: { first: number; count: number }[] = [];
-  let at = 0;
-  for (const { first, count } of [...parts].sort((a, b) => a.first - b.first)) {
-    if (first > at) gaps.push({ first: at, count: first - at });
-    at = Math.max(at, first + count);
-  }
-  if (at < tasks) gaps.push({ first: at, count: tasks - at });
-  return gaps;
+function waitingKey(spec: JobSpec, block: number): string {
+  return `${block}/${spec.spot ? 'spot' : 'ordinary'}`;
 }
 
-export function countUndispatchedTasks(parts: TaskRange[], tasks: number): number {
-  return undispatchedRanges(parts, tasks).reduce((sum, gap) => sum + gap.count, 0);
+/** Work that may use spot machines leaves the others alone as long as the block has spot machines. */
+function eligibleMachines(spec: JobSpec, machines: LeasedMachine[]): LeasedMachine[] {
+  const eligible = machines.filter((machine) => !machine.draining && isEligible(spec, machine));
+  const spotMachines = spec.spot ? eligible.filter((machine) => machine.spot) : [];
+  return spotMachines.length > 0 ? spotMachines : eligible;
 }
 
-/** Joins neighbouring ranges of the same block; the order of the first stays, since its block asks for the end. */
-export function mergeTaskRanges(parts: TaskRange[]): TaskRange[] {
-  const merged: TaskRange[] = [];
-  for (const part of parts) {
-    const before = merged.find((m) => m.block === part.block && m.first + m.count === part.first);
-    const after = merged.find((m) => m.block === part.block && part.first + part.count === m.first);
-    if (before) before.count += part.count;
-    else if (after) {
-      after.first = part.first;
-      after.count += part.count;
-    } else merged.push({ ...part });
-  }
-  return merged;
+function isEligible(spec: JobSpec, machine: LeasedMachine): boolean {
+  return (
+    (spec.machineTypes === null || spec.machineTypes.includes(machine.type)) &&
+    (spec.zone === null || spec.zone === machine.zone) &&
+    (spec.spot || !machine.spot)
+  );
 }
 
-function waitingKey(spec: JobSpec, block: number): string {
-  return `${block}/${spec.spot ? 'spot' : 'ordinary'}`;
+function remaining(type: MachineType, used: Resources): Resources {
+  return {
+    cpus: type.cpus - used.cpus,
+    accelerators: type.accelerators - used.accelerators,
+    memoryGb: type.memoryGb - used.memoryGb,
+  };
 }
 
 function slotsIn(need: Resources, free: Resources): number {
@@ -232,13 +182,5 @@
     need.accelerators > 0 ? free.accelerators / need.accelerators : Infinity,
     need.memoryGb > 0 ? free.memoryGb / need.memoryGb : Infinity,
   ];
-  return Math.min(1e6, Math.floor(Math.min(...ratios) + 1e-6));
-}
-
-function isEligible(spec: JobSpec, machine: LeasedMachine): boolean {
-  return (
-    (spec.machineTypes === null || spec.machineTypes.includes(machine.type)) &&
-    (spec.zone === null || spec.zone === machine.zone) &&
-    (spec.spot || !machine.spot)
-  );
+  return Math.min(maxSlotsPerMachine, Math.floor(Math.min(...ratios) + roundingTolerance));
 }
--- /dev/null
+++ b/src/blocks/job-dispatch.test.ts
@@ -0,0 +1,132 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import type { JobSpec } from '../model/types.js';
+import { JobIndex } from '../placement/job-index.js';
+import { type QueuedJob, QueueOrder, withoutDependencies } from '../placement/queue-order.js';
+import { leasedMachine, ownedBlock } from '../testing/block-records.js';
+import { jobSpec } from '../testing/block-stage.js';
+import { machineType } from '../testing/cloud-standin.js';
+import { parseMachineTypes } from '../wire/cloud.js';
+import type { TaskRange } from '../wire/job-records.js';
+import { CapacityEstimate } from './capacity-estimate.js';
+import { dispatchToFreeSlots, dispatchToOneBlock } from './job-dispatch.js';
+
+const spec = (id: string, tasks: number, change: Partial<JobSpec> = {}): JobSpec => ({
+  ...jobSpec(id, tasks),
+  ...change,
+});
+
+function estimate(isBooted: (id: string) => boolean = () => true): CapacityEstimate {
+  const jobIndex = new JobIndex(() => 0);
+  const machineTypes = new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type]));
+  const blocks = new Map([
+    [0, ownedBlock('k0', leasedMachine('m1'))],
+    [1, ownedBlock('k1', leasedMachine('m2'), leasedMachine('m3'))],
+  ]);
+  return new CapacityEstimate({
+    blocks,
+    isAlive: () => true,
+    machineTypes,
+    jobIndex,
+    lookahead: 0,
+    isBooted: ({ id }) => isBooted(id),
+  });
+}
+
+test('a job goes whole to the roomiest block, and to none where none has room for all of it', () => {
+  assert.deepEqual(dispatchToOneBlock(estimate(), spec('req-1', 8)), { block: 1, first: 0, count: 8 });
+  assert.equal(dispatchToOneBlock(estimate(), spec('req-1', 9)), undefined);
+});
+
+// Guards against jobs that wait for a machine to boot while another block has room.
+test('a block whose machines are still booting has no room, and one that is preferred is taken if it has', () => {
+  const capacity = estimate((id) => id === 'm1');
+  assert.deepEqual(dispatchToOneBlock(capacity, spec('req-1', 4)), { block: 0, first: 0, count: 4 });
+  assert.equal(dispatchToOneBlock(capacity, spec('req-2', 5)), undefined);
+  assert.deepEqual(
+    dispatchToOneBlock(estimate(), spec('req-3', 4), (block) => block === 0),
+    { block: 0, first: 0, count: 4 },
+  );
+});
+
+test('a job too big for one block is dispatched as far as there is room, and what is dispatched takes that room', () => {
+  const capacity = estimate();
+  assert.deepEqual(dispatchToFreeSlots(capacity, spec('req-1', 11), []), [
+    { block: 1, first: 0, count: 8 },
+    { block: 0, first: 8, count: 3 },
+  ]);
+  assert.deepEqual(dispatchToFreeSlots(capacity, spec('req-2', 4), []), [{ block: 0, first: 0, count: 1 }]);
+  assert.equal(dispatchToFreeSlots(capacity, spec('req-3', 4), []), undefined);
+});
+
+test('zone-constrained tasks are dispatched to one block, all or none', () => {
+  assert.deepEqual(dispatchToFreeSlots(estimate(), spec('req-1', 20, { colocated: true }), []), [
+    { block: 1, first: 0, count: 20 },
+  ]);
+});
+
+// Guards against the largest jobs being starved: they need room in many places, and small ones fit anywhere.
+test('a job of many tasks begins within four minutes and comes to its end while small ones take all the room', () => {
+  const large = { spec: spec('req-1', 60, { acceptedAt: 0 }), taskRanges: [] as TaskRange[] };
+  const order = new QueueOrder([]);
+  const jobs = [large];
+  const dispatched = (job: { taskRanges: TaskRange[] }): number =>
+    job.taskRanges.reduce((sum, range) => sum + range.count, 0);
+  const queued = (job: (typeof jobs)[number]): QueuedJob => {
+    return {
+      spec: job.spec,
+      dependencyFacts: withoutDependencies(job.spec),
+      waiting: job.spec.tasks - dispatched(job),
+      started: dispatched(job) > 0,
+    };
+  };
+  let begunS = Infinity;
+  let nowS = 0;
+  for (; dispatched(large) < 60 && nowS < 900; nowS += 10) {
+    // Every round all that ran has ended, and as many small jobs come as would fill the room.
+    for (let i = 0; i < 3; i++) {
+      jobs.push({ spec: spec(`req-${100 + nowS + i}`, 4, { acceptedAt: nowS * 1000 }), taskRanges: [] });
+    }
+    const capacity = estimate();
+    const open = jobs.filter((job) => dispatched(job) < job.spec.tasks);
+    for (const job of order.sorted(open, queued, nowS * 1000)) {
+      job.taskRanges = dispatchToFreeSlots(capacity, job.spec, job.taskRanges) ?? job.taskRanges;
+    }
+    if (dispatched(large) > 0) begunS = Math.min(begunS, nowS);
+  }
+  assert.ok(begunS < 240, `began after ${begunS} s`);
+  assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
+});
+
+// Guards against dispatches task by task: with 25 changes a second a third of them were dispatches of what had no room.
+test('the more waits beyond all room, the more a block is given ahead, up to its size once over', () => {
+  const large = spec('req-1', 500);
+  const given = (backlog: number): number => {
+    const capacity = estimate();
+    if (backlog > 0) capacity.extendLookahead([{ spec: large, tasks: backlog }]);
+    return (dispatchToFreeSlots(capacity, large, []) ?? []).reduce((sum, range) => sum + range.count, 0);
+  };
+  const [without, some, much] = [given(0), given(12), given(500)];
+  assert.equal(without, 12);
+  assert.ok(some > without && some <= without * 2, `${some} of ${without}`);
+  assert.equal(much, without * 2);
+});
+
+// Guards against a record that outgrows a value of the store: its next write would be refused for good.
+test('a job gets no more ranges than its record holds, and then its tasks go to a block that has some already', () => {
+  const taskRanges = [{ block: 0, first: 2, count: 2 }];
+  const dispatch = (maxRanges: number): TaskRange[] | undefined =>
+    dispatchToFreeSlots(estimate(), spec('req-1', 14), taskRanges, maxRanges);
+  const [all, two, one] = [dispatch(3), dispatch(2), dispatch(1)];
+  assert.deepEqual(all, [
+    { block: 0, first: 2, count: 2 },
+    { block: 1, first: 0, count: 2 },
+    { block: 1, first: 4, count: 6 },
+  ]);
+  assert.deepEqual(two, [
+    { block: 0, first: 2, count: 2 },
+    { block: 1, first: 0, count: 2 },
+  ]);
+  assert.deepEqual(one, [{ block: 0, first: 0, count: 4 }]);
+});
--- /dev/null
+++ b/src/blocks/lease-writer.test.ts
@@ -0,0 +1,88 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { steadyClock } from '../base/clock.js';
+import { silentLog } from '../base/log.js';
+import type { CommitOutcome } from '../store/client.js';
+import { leasedMachine, ownedBlock } from '../testing/block-records.js';
+import { testSettings } from '../testing/settings.js';
+import { type BlockRecord, parseBlock } from '../wire/block-records.js';
+import { blockKey, leaderKey } from '../wire/keys.js';
+import type { Condition, Write } from '../wire/state.js';
+import { LeaseWriter } from './lease-writer.js';
+
+const fencingToken = 3;
+const storedVersion = 7;
+
+interface Commit {
+  conditions: Condition[];
+  writes: Write[];
+}
+
+/** A lease writer whose commits are answered with the outcomes in turn. */
+function stage(outcomes: CommitOutcome[]): {
+  leases: LeaseWriter;
+  commits: Commit[];
+  stored: { version: number };
+} {
+  const commits: Commit[] = [];
+  const stored = { version: storedVersion };
+  const term = new AbortController();
+  const registry = {
+    isClusterUpgraded: false,
+    blocks: (): Map<number, BlockRecord> => new Map([[0, ownedBlock('k0', leasedMachine('m1'))]]),
+    blockVersion: () => stored.version,
+    storedBlock: () => undefined,
+  };
+  const leases = new LeaseWriter({
+    clock: steadyClock,
+    log: silentLog,
+    settings: { ...testSettings(), heartbeatIntervalMs: 1 },
+    registry,
+    term: { fencingToken, signal: term.signal },
+    commits: {
+      commit: (conditions, writes) => {
+        commits.push({ conditions, writes });
+        const outcome = outcomes.shift();
+        assert.ok(outcome);
+        return Promise.resolve(outcome);
+      },
+    },
+  });
+  return { leases, commits, stored };
+}
+
+const current = ownedBlock('k0', leasedMachine('m1'));
+const next = ownedBlock('k1', leasedMachine('m1'), leasedMachine('m2'));
+
+test('a record is written by the leader only, and over the version that it is based on', async () => {
+  const { leases, commits } = stage([{ kind: 'applied', revision: 9 }]);
+  await leases.write(0, current, next);
+  assert.deepEqual(commits[0]?.conditions, [
+    { key: leaderKey, version: fencingToken },
+    { key: blockKey(0), version: storedVersion },
+  ]);
+  assert.equal(leases.committedRevision, 9);
+  assert.equal(await leases.supersedeUncertain(), false);
+});
+
+// Guards against a machine in two blocks: a late commit gives it to one when it has been given to another.
+test('a write of unknown result is followed by one of the block as it stands, over the same version', async () => {
+  const { leases, commits, stored } = stage([{ kind: 'unknown' }, { kind: 'unknown' }]);
+  await leases.write(0, current, next);
+  assert.equal(await leases.supersedeUncertain(), true);
+  const [lost, superseding] = commits;
+  assert.deepEqual(superseding?.conditions, lost?.conditions);
+  const [write] = superseding?.writes ?? [];
+  assert.ok(write && 'put' in write);
+  const { owner, machines } = parseBlock(write.value, 0) ?? { owner: undefined, machines: [] };
+  assert.equal(owner, 'k0');
+  assert.deepEqual(
+    machines.map(({ id }) => id),
+    ['m1'],
+  );
+  // With another version, whichever commit has brought it, the lost one can no longer be executed.
+  stored.version = 12;
+  assert.equal(await leases.supersedeUncertain(), false);
+  assert.equal(commits.length, 2);
+});
--- /dev/null
+++ b/src/blocks/live-members.test.ts
@@ -0,0 +1,45 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { testSettings } from '../testing/settings.js';
+import type { Member } from './block-registry.js';
+import { LiveMembers } from './live-members.js';
+
+const settings = testSettings();
+const other: Member = { label: 'other', incarnation: 'b', zone: 'z' };
+
+/** Live members by a clock and a registry that the test sets. */
+function stage(): { members: LiveMembers; at: (ms: number, alive: Member[]) => string[] } {
+  let now = 0;
+  let alive: Member[] = [];
+  const registry = { liveMembers: () => [...alive] };
+  const members = new LiveMembers({ clock: () => now, settings, registry, incarnation: 'a' });
+  const at = (ms: number, membersThen: Member[]): string[] => {
+    now = ms;
+    alive = membersThen;
+    return members.update().map(({ label }) => label);
+  };
+  return { members, at };
+}
+
+test('the leader is alive whether or not the replica has its own key', () => {
+  const { at } = stage();
+  assert.deepEqual(at(0, [other]), ['other', settings.label]);
+  const own = { label: settings.label, incarnation: 'a', zone: settings.zone };
+  assert.deepEqual(at(1, [own]), [settings.label]);
+});
+
+test('a member is stable after a heartbeat interval without a break', () => {
+  const { members, at } = stage();
+  const interval = settings.heartbeatIntervalMs;
+  at(0, [other]);
+  assert.equal(members.isStable('other'), false);
+  at(interval, [other]);
+  assert.equal(members.isStable('other'), false);
+  at(interval + 1, [other]);
+  assert.equal(members.isStable('other'), true);
+  at(interval + 2, []);
+  assert.equal(members.isStable('other'), false);
+  at(interval + 3, [other]);
+  assert.equal(members.isStable('other'), false);
+});
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -7,7 +7,7 @@
 import type { Change } from '../wire/state.js';
 import type { BlockRegistry } from './block-registry.js';
 import { BlockWriter } from './block-writer.js';
-import { LeaseRenewals } from './lease-renewals.js';
+import { LeaseRenewals, type RenewalReason } from './lease-renewals.js';
 import { OwnedBlock, type OwnedBlockPorts } from './owned-block.js';
 
 /** What the blocks of one controller need from it. */
@@ -87,13 +87,12 @@
   /** Applies the record of a block that is leased to this controller. */
   private applyLease(block: number, record: BlockRecord, layout: LedgerLayout): void {
     const { renewals } = this;
-    const isOfEarlierIncarnation = record.incarnation !== this.ports.incarnation;
-    const isOutdated = hasOutdatedLayout(this.owned.get(block), layout);
-    const isLayoutRenewalDue = isOutdated && renewals.layoutRenewalRevision(block) === undefined;
-    if ((isOfEarlierIncarnation || isLayoutRenewalDue) && !renewals.isRenewing)
-      renewals.start(block, record, isOutdated ? 'new-layout' : 'new-incarnation');
+    const reason = this.renewalReason(block, record, layout);
+    const isRenewed = reason === 'new-layout' && renewals.layoutRenewalRevision(block) !== undefined;
+    if (reason !== undefined && !isRenewed && !renewals.isRenewing) renewals.start(block, record, reason);
+    if (reason === 'new-incarnation') return;
     // Nothing may be committed in the old layout under the version of the renewal.
-    if (isOfEarlierIncarnation || (isOutdated && renewals.isRenewing)) return;
+    if (reason === 'new-layout' && renewals.isRenewing) return;
     const version = this.ports.registry.blockVersion(block);
     // The replica has yet to reach the renewal, and still names the fencing tokens from before it.
     if (version < (renewals.renewalRevision(block) ?? 0)) return;
@@ -103,6 +102,12 @@
     scheduler.requestRound();
   }
 
+  /** Why the block cannot be used under its present lease; undefined: it can. */
+  private renewalReason(block: number, record: BlockRecord, layout: LedgerLayout): RenewalReason | undefined {
+    if (record.incarnation !== this.ports.incarnation) return 'new-incarnation';
+    return hasOutdatedLayout(this.owned.get(block), layout) ? 'new-layout' : undefined;
+  }
+
   private startBlock(block: number, layout: LedgerLayout): OwnedBlock {
     const owned = new OwnedBlock(block, layout, this.ports);
     this.owned.set(block, owned);
--- /dev/null
+++ b/src/blocks/quota-share-allocator.ts
@@ -0,0 +1,71 @@
+/** When the leader divides the limits of teams anew among the blocks, and by which demand. */
+import type { Clock } from '../base/clock.js';
+import { type JobIndex, needOf } from '../placement/job-index.js';
+import type { QueueOrder } from '../placement/queue-order.js';
+import type { Settings } from '../settings/settings.js';
+import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
+import { unownedBlock } from './block-assignment.js';
+import { allocateQuotaShares, isLimited, isStarved, type TeamDemand } from './quota-shares.js';
+
+/** What the division of the teams' limits works with. */
+export interface QuotaShareAllocatorPorts {
+  clock: Clock;
+  /** Time of day in ms. */
+  wallClock: () => number;
+  settings: Pick<Settings, 'teams' | 'controllers'>;
+  jobIndex: JobIndex;
+  order: QueueOrder;
+  /** Shares are kept for this long, unless work waits for want of a share. */
+  quotaSharePeriodMs: number;
+}
+
+/** Keeps the shares for a period, or until the waiting work of some block exceeds its share. */
+export class QuotaShareAllocator {
+  private allocatedAt = -Infinity;
+
+  constructor(private readonly ports: QuotaShareAllocatorPorts) {}
+
+  /** The shares to write now, by block; empty where no team has a limit. */
+  nextShares(blocks: ReadonlyMap<number, BlockRecord>): Map<number, QuotaShares> {
+    const { settings, clock, quotaSharePeriodMs } = this.ports;
+    const limitedTeams = [...settings.teams.values()].filter(isLimited);
+    if (limitedTeams.length === 0) return new Map();
+    const demand = this.teamDemand();
+    const isAnyStarved = [...blocks].some(([block, record]) =>
+      limitedTeams.some((team) => isStarved(demand(block, team.name), record, team)),
+    );
+    if (!isAnyStarved && clock() - this.allocatedAt < quotaSharePeriodMs) {
+      return new Map([...blocks].map(([block, record]) => [block, record.quotaShares]));
+    }
+    this.allocatedAt = clock();
+    const all = new Map<number, BlockRecord>();
+    for (let block = 0; block < settings.controllers; block++) {
+      all.set(block, blocks.get(block) ?? unownedBlock());
+    }
+    return allocateQuotaShares({ teams: limitedTeams, blocks: all, demand });
+  }
+
+  /** What each team's tasks use and wait for in each block, as the replica of the store has it. */
+  private teamDemand(): (block: number, team: string) => TeamDemand {
+    const { jobIndex, order, wallClock } = this.ports;
+    const demands = new Map<string, TeamDemand>();
+    const demandOf = (block: number, team: string): TeamDemand => {
+      const key = `${block}/${team}`;
+      let demand = demands.get(key);
+      if (!demand) demands.set(key, (demand = { used: [0, 0], waiting: [] }));
+      return demand;
+    };
+    for (const { page } of jobIndex.activeTasks()) {
+      const { used } = demandOf(page.block, page.team);
+      used[0] += page.cpus;
+      used[1] += page.accelerators;
+    }
+    for (const job of jobIndex.inQueueOrder(order, wallClock())) {
+      for (const { block, count } of jobIndex.waitingByBlock(job)) {
+        if (block !== undefined && count > 0)
+          demandOf(block, job.spec.team).waiting.push({ need: needOf(job.spec), count });
+      }
+    }
+    return demandOf;
+  }
+}
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -1,88 +1,137 @@
+/** How the limits of teams are divided among the blocks. */
 import type { Resources } from '../model/types.js';
 import { withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
 
-type QuotaAmount = [cpus: number, accelerators: number];
+/** Amounts of the resources that teams have limits of. */
+export type QuotaAmount = [cpus: number, accelerators: number];
 
-/** What a block's tasks of one team take, and would take if it were admitted. */
+/** The indexes of an amount: CPUs and accelerators are divided independently. */
+const axes = [0, 1] as const;
+type Axis = (typeof axes)[number];
+
+/** What a block's tasks of one team take, and would take if the team's limit admitted them. */
 export interface TeamDemand {
   used: QuotaAmount;
-  /** Waiting work in the order in which it is to be admitted, one entry a job. */
+  /** Waiting tasks in the order in which they are to be admitted, one entry a job. */
   waiting: { need: Resources; count: number }[];
 }
 
+/** What a division of the teams' limits is made from. */
 export interface QuotaShareInput {
   teams: Iterable<Team>;
+  /** All blocks, with the shares that they have. */
   blocks: ReadonlyMap<number, BlockRecord>;
-  /** By block and team; complete up to the present versions of the blocks, which is what makes growing safe. */
+  /** By block and team; complete up to the present versions of the blocks, which is what makes growing a share safe. */
   demand: (block: number, team: string) => TeamDemand;
 }
 
+interface BlockShare {
+  block: number;
+  demand: TeamDemand;
+  current: QuotaAmount;
+  wanted: QuotaAmount;
+  next: QuotaAmount;
+}
+
+/** Differences of amounts below this come from rounding. */
+const roundingTolerance = 1e-6;
+
+/** The team has a limit of its own, which is divided into shares. */
+export function isLimited(team: Team): boolean {
+  return team.cpusMax > 0 || team.acceleratorsMax > 0;
+}
+
+/** Work of the team waits in the block that would exceed the block's share. */
+export function isStarved(demand: TeamDemand, record: BlockRecord, team: Team): boolean {
+  const next = demand.waiting[0];
+  if (!next) return false;
+  const [cpus, accelerators] = record.quotaShares[team.name] ?? [0, 0];
+  return (
+    (team.cpusMax > 0 && demand.used[0] + next.need.cpus > cpus + roundingTolerance) ||
+    (team.acceleratorsMax > 0 && demand.used[1] + next.need.accelerators > accelerators + roundingTolerance)
+  );
+}
+
 /**
- * The limits of teams, leased in shares. A block may use its share and no more, but a share may be cut below what
- * its tasks take at the moment. So the sum over the blocks of the larger of share and use must stay within the
- * limit: a share only grows by what is left of it, and others are cut first to make that room.
+ * The next shares of each block, by team. A block may use its share and no more, but a share may be cut below what its
+ * tasks take at the moment. So the sum over the blocks of the larger of share and use stays within the limit: a share only
+ * grows by what is left of that, and others are cut first, in an earlier commit, to make room.
  */
-export function allocateQuotaShares(facts: QuotaShareInput): Map<number, QuotaShares> {
-  const next = new Map<number, QuotaShares>([...facts.blocks].map(([block]) => [block, {}]));
-  for (const team of facts.teams) {
-    if (team.cpusMax === 0 && team.acceleratorsMax === 0) continue;
-    const blocks = [...facts.blocks].map(([block, record]) => {
-      const demand = facts.demand(block, team.name);
-      const now: QuotaAmount = record.quotaShares[team.name] ?? [0, 0];
-      return { block, demand, now, wish: [0, 0] as QuotaAmount };
-    });
-    computeWantedShares(blocks, team);
-    const limits: QuotaAmount = [team.cpusMax, team.acceleratorsMax];
-    const shares = blocks.map(() => [0, 0] as QuotaAmount);
-    for (const axis of [0, 1] as const) {
-      const limit = limits[axis];
-      if (limit === 0) continue;
-      const bound = blocks.reduce((sum, b) => sum + Math.max(b.now[axis], b.demand.used[axis]), 0);
-      let room = limit - bound;
-      for (const [i, b] of blocks.entries()) {
-        const wish = b.wish[axis];
-        const growth = Math.min(Math.max(0, wish - b.now[axis]), Math.max(0, room));
-        // Cut only where another block lacks: a share that nobody else wants may stay for what comes next.
-        const lacking = blocks.some((o) => o !== b && o.wish[axis] > o.now[axis] + 1e-6);
-        const kept = lacking ? Math.min(b.now[axis], Math.max(wish, 0)) : b.now[axis];
-        const share = shares[i];
-        if (share) share[axis] = Math.max(kept, 0) + growth;
-        room -= growth;
-      }
-    }
-    for (const [i, b] of blocks.entries()) {
-      const share = shares[i];
-      const shareOf = next.get(b.block);
-      if (share && shareOf) shareOf[team.name] = share;
+export function allocateQuotaShares(input: QuotaShareInput): Map<number, QuotaShares> {
+  const shares = new Map<number, QuotaShares>([...input.blocks.keys()].map((block) => [block, {}]));
+  for (const team of input.teams) {
+    if (!isLimited(team)) continue;
+    for (const { block, next } of divideLimit(team, input)) {
+      const ofBlock = shares.get(block);
+      if (ofBlock) ofBlock[team.name] = next;
     }
   }
-  return next;
+  return shares;
 }
 
-/** Wishes: what is used, then waiting work whole task by whole task, then an even part of what remains. */
-function computeWantedShares(blocks: { demand: TeamDemand; wish: QuotaAmount }[], team: Team): void {
+function divideLimit(team: Team, { blocks, demand }: QuotaShareInput): BlockShare[] {
+  const shares = [...blocks].map(([block, record]): BlockShare => {
+    const current = record.quotaShares[team.name] ?? [0, 0];
+    return { block, demand: demand(block, team.name), current, wanted: [0, 0], next: [0, 0] };
+  });
+  computeWantedShares(shares, team);
+  const limits: QuotaAmount = [team.cpusMax, team.acceleratorsMax];
+  for (const axis of axes) if (limits[axis] > 0) divideAxis(shares, limits[axis], axis);
+  return shares;
+}
+
+function divideAxis(shares: BlockShare[], limit: number, axis: Axis): void {
+  const committed = shares.reduce(
+    (sum, { current, demand }) => sum + Math.max(current[axis], demand.used[axis]),
+    0,
+  );
+  let available = limit - committed;
+  for (const share of shares) {
+    const current = share.current[axis];
+    const wanted = share.wanted[axis];
+    const growth = Math.min(Math.max(0, wanted - current), Math.max(0, available));
+    // Cut only where another block wants more: otherwise the share stays for what comes next.
+    const isWantedElsewhere = shares.some(
+      (other) => other !== share && other.wanted[axis] > other.current[axis] + roundingTolerance,
+    );
+    const kept = isWantedElsewhere ? Math.min(current, Math.max(wanted, 0)) : current;
+    share.next[axis] = Math.max(kept, 0) + growth;
+    available -= growth;
+  }
+}
+
+/** A block wants what it uses, then what its waiting tasks take one by one, then an even part of what is left. */
+function computeWantedShares(shares: BlockShare[], team: Team): void {
   const total: QuotaAmount = [0, 0];
-  for (const b of blocks) {
-    b.wish = [...b.demand.used];
-    total[0] += b.wish[0];
-    total[1] += b.wish[1];
+  for (const share of shares) {
+    share.wanted = [...share.demand.used];
+    total[0] += share.wanted[0];
+    total[1] += share.wanted[1];
   }
-  for (const b of blocks) {
-    for (const { need, count } of b.demand.waiting) {
-      for (let i = 0; i < count; i++) {
-        if (!withinLimit(total[0], need.cpus, team.cpusMax)) break;
-        if (!withinLimit(total[1], need.accelerators, team.acceleratorsMax)) break;
-        b.wish[0] += need.cpus;
-        b.wish[1] += need.accelerators;
-        total[0] += need.cpus;
-        total[1] += need.accelerators;
-      }
-    }
+  for (const { demand, wanted } of shares) {
+    for (const { need, count } of demand.waiting) addWaiting(wanted, total, team, { need, count });
+  }
+  for (const { wanted } of shares) {
+    wanted[0] += Math.max(0, team.cpusMax - total[0]) / shares.length;
+    wanted[1] += Math.max(0, team.acceleratorsMax - total[1]) / shares.length;
   }
-  for (const b of blocks) {
-    b.wish[0] += Math.max(0, team.cpusMax - total[0]) / blocks.length;
-    b.wish[1] += Math.max(0, team.acceleratorsMax - total[1]) / blocks.length;
+}
+
+/** Adds so many tasks as the team's limit admits beside the total, to what the block wants and to the total. */
+function addWaiting(
+  wanted: QuotaAmount,
+  total: QuotaAmount,
+  team: Team,
+  { need, count }: { need: Resources; count: number },
+): void {
+  for (let i = 0; i < count; i++) {
+    if (!withinLimit(total[0], need.cpus, team.cpusMax)) return;
+    if (!withinLimit(total[1], need.accelerators, team.acceleratorsMax)) return;
+    wanted[0] += need.cpus;
+    wanted[1] += need.accelerators;
+    total[0] += need.cpus;
+    total[1] += need.accelerators;
   }
 }
