--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -134,32 +134,32 @@
     assert.ok(machines.every(({ fencingToken }) => fencingToken === revision));
   });
 
-  test('names a new machine, one that leaves and one less with a change of few pages, the others keep their tokens', async () => {
+  test('adds, drains and removes a machine with a change of few pages, and the others keep their tokens', async () => {
     const stage = await paged(4000, { value_kb: 32, txn_ops: 20 });
     const next = await stage.read();
-    const gone = next.machines.pop()?.id;
-    const leaving = next.machines[0];
-    assert.ok(leaving);
-    leaving.draining = true;
+    const removed = next.machines.pop()?.id;
+    const draining = next.machines[0];
+    assert.ok(draining);
+    draining.draining = true;
     next.machines.push(machine(5000, { fencingToken: 0 }));
     await stage.write(next);
     assert.ok(stage.store.largestWrites <= 4);
     const { machines } = await stage.read();
     assert.equal(machines.length, 4000);
     assert.equal(
-      machines.some(({ id }) => id === gone),
+      machines.some(({ id }) => id === removed),
       false,
     );
     assert.deepEqual(
       machines.filter((one) => one.draining).map(({ id }) => id),
-      [leaving.id],
+      [draining.id],
     );
-    const fresh = machines.find(({ id }) => id === 'vm-005000');
-    assert.ok(fresh && fresh.fencingToken > 1);
-    assert.ok(machines.filter((one) => one !== fresh).every(({ fencingToken: token }) => token === 1));
+    const added = machines.find(({ id }) => id === 'vm-005000');
+    assert.ok(added && added.fencingToken > 1);
+    assert.ok(machines.filter((one) => one !== added).every(({ fencingToken }) => fencingToken === 1));
   });
 
-  // Guards against intents on a machine that is to be given back: each step has a version of its own.
+  // Guards against intents on a draining machine: each step has a version of its own.
   test('of which more pages change than a transaction holds changes in steps that all renew its version', async () => {
     const stage = await paged(1300);
     const next = await stage.read();
@@ -188,7 +188,7 @@
     };
     const { outcome } = await stage.write(next);
     assert.equal(outcome.kind, 'conflict');
-    const left = (await stage.read()).machines.filter(({ draining: leaving }) => leaving).length;
+    const left = (await stage.read()).machines.filter(({ draining }) => draining).length;
     assert.ok(left > 0 && left < 1300);
   });
 });
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -11,7 +11,7 @@
 export interface DispatchWriterPorts {
   log: Log;
   settings: Pick<Settings, 'state'>;
-  commits: CommitQueue;
+  commits: Pick<CommitQueue, 'commit'>;
   /** The leader's term: its fencing token is a condition of every commit. */
   term: { readonly fencingToken: number };
 }
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -46,16 +46,10 @@
   }
 
   /**
-   * Starts a renewal and returns at once. Its result is seen in the replica of the store; a renewal that was not applied is
-   * started again by the caller with the next change of the replica. A failure is logged.
+   * Renews the lease of the block, whose record stays as it is. Settles when the commit is decided; the result is seen in
+   * the replica of the store, and a renewal that was not applied is left to the caller to repeat.
    */
-  start(block: number, record: BlockRecord, reason: RenewalReason): void {
-    this.renew(block, record, reason).catch((error: unknown) => {
-      this.ports.log.error({ event: 'duty-failed', duty: 'lease-renewal', block, err: error }, 'duty failed');
-    });
-  }
-
-  private async renew(block: number, record: BlockRecord, reason: RenewalReason): Promise<void> {
+  async renew(block: number, record: BlockRecord, reason: RenewalReason): Promise<void> {
     const { settings, incarnation, log, writer } = this.ports;
     this.isUnderWay = true;
     try {
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -89,7 +89,7 @@
     const { renewals } = this;
     const reason = this.renewalReason(block, record, layout);
     const isRenewed = reason === 'new-layout' && renewals.layoutRenewalRevision(block) !== undefined;
-    if (reason !== undefined && !isRenewed && !renewals.isRenewing) renewals.start(block, record, reason);
+    if (reason !== undefined && !isRenewed && !renewals.isRenewing) this.renewLease(block, record, reason);
     if (reason === 'new-incarnation') return;
     // Nothing may be committed in the old layout under the version of the renewal.
     if (reason === 'new-layout' && renewals.isRenewing) return;
@@ -102,6 +102,17 @@
     scheduler.requestRound();
   }
 
+  /** Nobody waits for the renewal, so a failure that it does not account for is logged before it ends the process. */
+  private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
+    this.renewals.renew(block, record, reason).catch((error: unknown) => {
+      this.ports.log.error(
+        { event: 'unexpected-failure', work: 'lease-renewal', err: error },
+        'work has failed',
+      );
+      throw error;
+    });
+  }
+
   /** Why the block cannot be used under its present lease; undefined: it can. */
   private renewalReason(block: number, record: BlockRecord, layout: LedgerLayout): RenewalReason | undefined {
     if (record.incarnation !== this.ports.incarnation) return 'new-incarnation';
--- /dev/null
+++ b/src/blocks/quota-share-allocator.test.ts
@@ -0,0 +1,78 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import type { IndexedJob } from '../placement/job-index.js';
+import { QueueOrder } from '../placement/queue-order.js';
+import { ownedBlock } from '../testing/block-records.js';
+import { jobSpec } from '../testing/block-stage.js';
+import { testSettings } from '../testing/settings.js';
+import type { BlockRecord } from '../wire/block-records.js';
+import { QuotaShareAllocator } from './quota-share-allocator.js';
+
+const quotaSharePeriodMs = 1000;
+const unlimited = { cpus: 0, cpusMax: 0, accelerators: 0, acceleratorsMax: 0 };
+
+/** Shares of the team `red` in two blocks, with so many tasks of 2 CPUs waiting in the first. */
+function stage(cpusMax: number): {
+  shares: (nowMs: number, blocks: Map<number, BlockRecord>, waiting: number) => (number | undefined)[];
+} {
+  let now = 0;
+  let waiting = 0;
+  const job: IndexedJob = {
+    id: 'req-1',
+    version: 1,
+    readySeenAt: 0,
+    taskRanges: [],
+    spec: jobSpec('req-1', 9),
+  };
+  const allocator = new QuotaShareAllocator({
+    clock: () => now,
+    wallClock: () => now,
+    settings: {
+      ...testSettings(),
+      controllers: 2,
+      teams: new Map([['red', { name: 'red', ...unlimited, cpusMax }]]),
+    },
+    jobIndex: {
+      activeTasks: () => [],
+      inQueueOrder: () => [job],
+      waitingByBlock: () => [{ block: 0, count: waiting }],
+    },
+    order: new QueueOrder([]),
+    quotaSharePeriodMs,
+  });
+  const shares = (
+    nowMs: number,
+    blocks: Map<number, BlockRecord>,
+    waitingThen: number,
+  ): (number | undefined)[] => {
+    now = nowMs;
+    waiting = waitingThen;
+    const next = allocator.nextShares(blocks);
+    return [0, 1].map((block) => next.get(block)?.['red']?.[0]);
+  };
+  return { shares };
+}
+
+function blocksWith(first: number, second: number): Map<number, BlockRecord> {
+  const blockWith = (owner: string, cpus: number): BlockRecord => {
+    return { ...ownedBlock(owner), quotaShares: { red: [cpus, 0] } };
+  };
+  return new Map([
+    [0, blockWith('k0', first)],
+    [1, blockWith('k1', second)],
+  ]);
+}
+
+test('without a limit there are no shares', () => {
+  assert.deepEqual(stage(0).shares(0, blocksWith(1, 1), 1), [undefined, undefined]);
+});
+
+test('shares stay for a period, and are divided anew sooner where waiting work exceeds the share of its block', () => {
+  const { shares } = stage(12);
+  assert.deepEqual(shares(0, new Map(), 0), [6, 6]);
+  assert.deepEqual(shares(quotaSharePeriodMs - 1, blocksWith(4, 4), 1), [4, 4]);
+  assert.deepEqual(shares(quotaSharePeriodMs, blocksWith(4, 4), 1), [7, 5]);
+  // A share of one CPU does not admit the waiting task of two. The other block's is cut first, to make room.
+  assert.deepEqual(shares(quotaSharePeriodMs + 1, blocksWith(1, 11), 1), [1, 5]);
+});
--- a/src/blocks/quota-share-allocator.ts
+++ b/src/blocks/quota-share-allocator.ts
@@ -4,7 +4,6 @@
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
-import { unownedBlock } from './block-assignment.js';
 import { allocateQuotaShares, isLimited, isStarved, type TeamDemand } from './quota-shares.js';
 
 /** What the division of the teams' limits works with. */
@@ -13,7 +12,7 @@
   /** Time of day in ms. */
   wallClock: () => number;
   settings: Pick<Settings, 'teams' | 'controllers'>;
-  jobIndex: JobIndex;
+  jobIndex: Pick<JobIndex, 'activeTasks' | 'inQueueOrder' | 'waitingByBlock'>;
   order: QueueOrder;
   /** Shares are kept for this long, unless work waits for want of a share. */
   quotaSharePeriodMs: number;
@@ -32,17 +31,17 @@
     if (limitedTeams.length === 0) return new Map();
     const demand = this.teamDemand();
     const isAnyStarved = [...blocks].some(([block, record]) =>
-      limitedTeams.some((team) => isStarved(demand(block, team.name), record, team)),
+      limitedTeams.some((team) => isStarved(demand(block, team.name), record.quotaShares, team)),
     );
     if (!isAnyStarved && clock() - this.allocatedAt < quotaSharePeriodMs) {
       return new Map([...blocks].map(([block, record]) => [block, record.quotaShares]));
     }
     this.allocatedAt = clock();
-    const all = new Map<number, BlockRecord>();
+    const currentShares = new Map<number, QuotaShares>();
     for (let block = 0; block < settings.controllers; block++) {
-      all.set(block, blocks.get(block) ?? unownedBlock());
+      currentShares.set(block, blocks.get(block)?.quotaShares ?? {});
     }
-    return allocateQuotaShares({ teams: limitedTeams, blocks: all, demand });
+    return allocateQuotaShares({ teams: limitedTeams, currentShares, demand });
   }
 
   /** What each team's tasks use and wait for in each block, as the replica of the store has it. */
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '../model/types.js';
 import { withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
+import type { QuotaShares } from '../wire/block-records.js';
 
 /** Amounts of the resources that teams have limits of. */
 export type QuotaAmount = [cpus: number, accelerators: number];
@@ -21,8 +21,8 @@
 /** What a division of the teams' limits is made from. */
 export interface QuotaShareInput {
   teams: Iterable<Team>;
-  /** All blocks, with the shares that they have. */
-  blocks: ReadonlyMap<number, BlockRecord>;
+  /** The shares that each block has; there is an entry for every block that may get one. */
+  currentShares: ReadonlyMap<number, QuotaShares>;
   /** By block and team; complete up to the present versions of the blocks, which is what makes growing a share safe. */
   demand: (block: number, team: string) => TeamDemand;
 }
@@ -43,11 +43,11 @@
   return team.cpusMax > 0 || team.acceleratorsMax > 0;
 }
 
-/** Work of the team waits in the block that would exceed the block's share. */
-export function isStarved(demand: TeamDemand, record: BlockRecord, team: Team): boolean {
+/** Work of the team waits in the block that would exceed the block's share. `shares`: those of the block. */
+export function isStarved(demand: TeamDemand, shares: QuotaShares, team: Team): boolean {
   const next = demand.waiting[0];
   if (!next) return false;
-  const [cpus, accelerators] = record.quotaShares[team.name] ?? [0, 0];
+  const [cpus, accelerators] = shares[team.name] ?? [0, 0];
   return (
     (team.cpusMax > 0 && demand.used[0] + next.need.cpus > cpus + roundingTolerance) ||
     (team.acceleratorsMax > 0 && demand.used[1] + next.need.accelerators > accelerators + roundingTolerance)
@@ -60,7 +60,7 @@
  * grows by what is left of that, and others are cut first, in an earlier commit, to make room.
  */
 export function allocateQuotaShares(input: QuotaShareInput): Map<number, QuotaShares> {
-  const shares = new Map<number, QuotaShares>([...input.blocks.keys()].map((block) => [block, {}]));
+  const shares = new Map<number, QuotaShares>([...input.currentShares.keys()].map((block) => [block, {}]));
   for (const team of input.teams) {
     if (!isLimited(team)) continue;
     for (const { block, next } of divideLimit(team, input)) {
@@ -71,9 +71,9 @@
   return shares;
 }
 
-function divideLimit(team: Team, { blocks, demand }: QuotaShareInput): BlockShare[] {
-  const shares = [...blocks].map(([block, record]): BlockShare => {
-    const current = record.quotaShares[team.name] ?? [0, 0];
+function divideLimit(team: Team, { currentShares, demand }: QuotaShareInput): BlockShare[] {
+  const shares = [...currentShares].map(([block, ofBlock]): BlockShare => {
+    const current = ofBlock[team.name] ?? [0, 0];
     return { block, demand: demand(block, team.name), current, wanted: [0, 0], next: [0, 0] };
   });
   computeWantedShares(shares, team);
