--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { steadyClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import { Term } from '../leadership/term.js';
@@ -77,7 +78,7 @@
     quotaSharePeriodMs: 1000,
     settings: { ...testSettings(), teams: new Map() },
     jobIndex: { jobs: empty, machineLoads: () => empty, inQueueOrder: () => [], activeTasks: () => [] },
-    autoscaler: {
+    rentedMachines: {
       inventory: {
         unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
         terminated: new Set(),
--- a/src/controller/leader-duties.ts
+++ b/src/controller/leader-duties.ts
@@ -2,7 +2,7 @@
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
-import { BlockAllocator } from '../blocks/block-allocator.js';
+import { BlockAllocator, type RentedMachines } from '../blocks/block-allocator.js';
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import type { CloudClient } from '../cloud/client.js';
@@ -111,7 +111,7 @@
       jobIndex: ports.jobIndex,
       order: ports.order,
       term,
-      autoscaler,
+      rentedMachines: rentedMachinesOf(autoscaler),
       machineTypes: ports.machineTypes,
       quotaSharePeriodMs: quotaSharePeriodS * 1000,
       lookahead,
@@ -119,3 +119,15 @@
     });
   }
 }
+
+/** The autoscaler's view of rented machines, as the block allocator takes it. */
+function rentedMachinesOf(autoscaler: Autoscaler): RentedMachines {
+  const { unassigned, terminated, toDrain, presumedTerminated } = autoscaler.inventory;
+  return {
+    unassigned,
+    terminated,
+    toDrain,
+    presumedTerminated,
+    waitingSlots: (block, machine) => autoscaler.waitingSlots(block, machine),
+  };
+}
