--- a/src/dependencies/cascade.ts
+++ b/src/dependencies/cascade.ts
@@ -1,13 +1,21 @@
 /** Carries cancellations on to the jobs that need a cancelled one. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
 import { outcomeKey } from '../wire/keys.js';
+import type { DependencyGraph } from './dependency-graph.js';
+
+/** What the cascade reads of the open jobs. */
+export interface OpenJobs {
+  readonly dependencies: Pick<DependencyGraph, 'unresolved' | 'doomed'>;
+  isOpen(id: string): boolean;
+  /** The record of an open job, as far as the cascade needs it, with its version. */
+  openJob(id: string): { spec: { tasks: number }; version: number } | undefined;
+}
 
 export interface CascadePorts {
   clock: Clock;
@@ -16,7 +24,7 @@
   settings: Settings;
   store: Pick<StoreClient, 'failing'>;
   mirror: Mirror;
-  jobIndex: JobIndex;
+  jobIndex: OpenJobs;
   /** Changes that are no user's request. */
   commits: CommitQueue;
   isLeading: () => boolean;
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -1,43 +1,43 @@
-import { type DependencyState, DependencyGraph } from '../dependencies/dependency-graph.js';
+/** All open jobs and all tasks on machines: the same on every controller, a moment late. */
+import { DependencyGraph, type DependencyState } from '../dependencies/dependency-graph.js';
 import type { JobSpec, Resources } from '../model/types.js';
 import type { Mirror } from '../store/mirror.js';
-import { groupBy } from '../base/group-by.js';
-import { rangesSize } from '../base/ranges.js';
-import { type OutcomeRecord, type JobRecord, parseOutcome, parseJobRecord } from '../wire/job-records.js';
-import { jobOfOutcomeKey, parseLedgerKey } from '../wire/keys.js';
-import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
+import { type JobRecord, type OutcomeRecord, parseJobRecord, parseOutcome } from '../wire/job-records.js';
+import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
-import { withoutSuperseded } from './superseded-entries.js';
-import type { DependencyFacts, QueueOrder, QueuedJob } from './queue-order.js';
+import { type ActiveTask, type IndexedEntry, type JobProgress, LedgerIndex } from './ledger-index.js';
+import type { DependencyFacts, QueuedJob, QueueOrder } from './queue-order.js';
 
-/** What a block has on record of a job. */
-export interface IndexedEntry extends LedgerEntry {
-  block: number;
-  doneCount: number;
-}
+export { type IndexedEntry, needOf } from './ledger-index.js';
 
+/** An open job. */
 export interface IndexedJob extends JobRecord {
   id: string;
+  /** Version of its record. */
   version: number;
-  /** When this controller first saw it ready to run, by its own clock. */
+  /** Steady time in ms at which this controller first saw it ready to run. */
   readySeenAt: number;
 }
 
-/** All open jobs and all tasks on machines, as the store has them: the same on every controller, a moment late. */
+/** Waiting tasks of a job that belong to one block, or to none yet. */
+export interface WaitingTasks {
+  block: number | undefined;
+  count: number;
+}
+
+/**
+ * Follows the records of jobs, their outcomes and the ledgers of all blocks as the replica of the store brings them. A job is
+ * ready once all jobs that it depends on are done.
+ */
 export class JobIndex {
-  /** Open jobs whose dependencies are done: all others take nothing of anything. */
+  /** Open jobs that are ready: all others take nothing of anything. */
   readonly jobs = new Map<string, IndexedJob>();
+  readonly dependencies: DependencyGraph;
   /** Open jobs that wait for others to be done. */
   private readonly blocked = new Map<string, IndexedJob>();
-  readonly dependencies: DependencyGraph;
-  private readonly entriesByPage = new Map<string, IndexedEntry[]>();
-  /** Entries by job; those of an ended job stay until its tasks have left their machines. */
-  private readonly entriesByJob = new Map<string, Set<IndexedEntry>>();
-  private cachedLoads: Map<string, Resources> | undefined;
-  /** Pages that have changed since anybody asked: of several versions only the last has to be read. */
-  private readonly changedPages = new Map<string, unknown>();
-
-  /** `endOf`: ends of jobs that this controller knows already. */
+  private readonly ledgers = new LedgerIndex();
+
+  /** `clock` tells steady time in ms; `outcomeOf` knows outcomes that are not among the changes. */
   constructor(
     private readonly clock: () => number,
     outcomeOf?: (id: string) => OutcomeRecord | undefined,
@@ -45,98 +45,73 @@
     this.dependencies = new DependencyGraph(clock, outcomeOf);
   }
 
+  /** Starts anew from the replica. */
   load(mirror: Mirror): void {
     this.jobs.clear();
     this.blocked.clear();
     this.dependencies.clear();
-    this.entriesByPage.clear();
-    this.entriesByJob.clear();
-    this.changedPages.clear();
-    this.cachedLoads = undefined;
-    for (const [key, entry] of mirror.entriesWithPrefix('job/'))
-      this.applyValue(key, entry.value, entry.version);
-    for (const [key, entry] of mirror.entriesWithPrefix('run/'))
-      this.applyValue(key, entry.value, entry.version);
+    this.ledgers.clear();
+    for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
+      this.applyValue(key, value, version);
+    for (const [key, { value, version }] of mirror.entriesWithPrefix('run/'))
+      this.applyValue(key, value, version);
   }
 
+  /** Follows changes of the store. */
   applyChanges(changes: Change[]): void {
-    for (const change of changes) {
-      if (!change.deleted) this.applyValue(change.key, change.value, change.version);
-      else if (change.key.startsWith('job/')) this.remove(change.key.slice('job/'.length));
-      else if (change.key.startsWith('run/')) this.changedPages.set(change.key, undefined);
+    for (const { key, value, version, deleted } of changes) {
+      if (!deleted) this.applyValue(key, value, version);
+      else if (key.startsWith('job/')) this.remove(key.slice('job/'.length));
+      else if (key.startsWith('run/')) this.ledgers.setPage(key, undefined);
     }
   }
 
-  /** The record of the job is known here, whether or not it is ready. */
+  /** Whether the record of the job is known here, be it ready or not. */
   isOpen(id: string): boolean {
     return this.jobs.has(id) || this.blocked.has(id);
   }
 
-  /** An open job by its id, whether or not it is ready. */
+  /** An open job by its id, be it ready or not. */
   openJob(id: string): IndexedJob | undefined {
     return this.jobs.get(id) ?? this.blocked.get(id);
   }
 
-  /** A job with these dependencies could run at once. */
+  /** Whether a job with these dependencies could run at once. */
   isReadyAfter(dependencies: Iterable<string>): boolean {
     return this.dependencies.areDone(dependencies);
   }
 
+  /** Whether the job can still become ready, and what it waits for. */
   dependencyState(id: string): DependencyState {
     return this.dependencies.stateOf(id, (other) => this.isOpen(other));
   }
 
+  /** What follows for a job from those that it needs and those that need it. */
   dependencyFactsOf(spec: JobSpec): DependencyFacts {
     return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.demandOn(spec) };
   }
 
+  /** All that blocks have on record of the job, without entries that smaller ones have superseded. */
   entriesOf(id: string): Iterable<IndexedEntry> {
-    this.parseChangedPages();
-    const entries = this.entriesByJob.get(id);
-    if (!entries) return [];
-    return haveOneChunkSize(entries) ? entries : newestOfEachBlock(entries);
-  }
-
-  *activeTasks(): Iterable<{ id: string; page: IndexedEntry; machine: string }> {
-    this.parseChangedPages();
-    for (const id of this.entriesByJob.keys()) {
-      for (const page of this.entriesOf(id)) {
-        for (const [, , machine] of page.active) yield { id, page, machine };
-      }
-    }
+    return this.ledgers.entriesOf(id);
+  }
+
+  /** All tasks that are or may be on machines, those of ended jobs among them. */
+  activeTasks(): Iterable<ActiveTask> {
+    return this.ledgers.activeTasks();
   }
 
   /** What the tasks on each machine take of it; machines without any are not in it. */
   machineLoads(): ReadonlyMap<string, Resources> {
-    this.parseChangedPages();
-    if (this.cachedLoads) return this.cachedLoads;
-    const loads = new Map<string, Resources>();
-    for (const { page, machine } of this.activeTasks()) {
-      const load = loads.get(machine);
-      if (!load) loads.set(machine, needOf(page));
-      else {
-        load.cpus += page.cpus;
-        load.accelerators += page.accelerators;
-        load.memoryGb += page.memoryGb;
-      }
-    }
-    this.cachedLoads = loads;
-    return loads;
-  }
-
-  /** Done, and on machines, of what one block has of a job or of all of it. */
-  progress(id: string, block?: number): { done: number; active: number } {
-    let done = 0;
-    let active = 0;
-    for (const entry of this.entriesOf(id)) {
-      if (block !== undefined && entry.block !== block) continue;
-      done += entry.doneCount;
-      active += entry.active.length;
-    }
-    return { done, active };
+    return this.ledgers.machineLoads();
   }
 
-  /** Open jobs in the order of work, or those of them that are given. */
+  /** How far one block, or all of them, are with the job. */
+  progress(id: string, block?: number): JobProgress {
+    return this.ledgers.progress(id, block);
+  }
+
+  /** The given jobs, by default all that are ready, in the order in which they are to start; `now` is the time of day. */
   inQueueOrder(
     queueOrder: QueueOrder,
     now: number,
@@ -145,43 +120,43 @@
     return queueOrder.sorted(jobs, (job) => this.asQueuedJob(job), now);
   }
 
+  /** What the job's place in the queue depends on. */
   asQueuedJob({ id, spec }: IndexedJob): QueuedJob {
     const { done, active } = this.progress(id);
-    const chain = this.dependencyFactsOf(spec);
-    return { spec, dependencyFacts: chain, waiting: spec.tasks - done - active, started: done + active > 0 };
+    return {
+      spec,
+      dependencyFacts: this.dependencyFactsOf(spec),
+      waiting: spec.tasks - done - active,
+      started: done + active > 0,
+    };
   }
 
-  /** Waiting tasks of the job by block; those that are not dispatched yet belong to none. */
-  waitingByBlock(job: IndexedJob): { block: number | undefined; count: number }[] {
+  /** The job's waiting tasks by block, without blocks that have none; those that are not dispatched yet come first. */
+  waitingByBlock({ id, spec, taskRanges }: IndexedJob): WaitingTasks[] {
     const dispatched = new Map<number, number>();
-    let undispatched = job.spec.tasks;
-    for (const { block, count } of job.taskRanges) {
+    let undispatched = spec.tasks;
+    for (const { block, count } of taskRanges) {
       dispatched.set(block, (dispatched.get(block) ?? 0) + count);
       undispatched -= count;
     }
-    const waiting: { block: number | undefined; count: number }[] = [];
+    const waiting: WaitingTasks[] = [];
     if (undispatched > 0) waiting.push({ block: undefined, count: undispatched });
     for (const [block, count] of dispatched) {
-      const { done, active } = this.progress(job.id, block);
+      const { done, active } = this.progress(id, block);
       if (count > done + active) waiting.push({ block, count: count - done - active });
     }
     return waiting;
   }
 
   private applyValue(key: string, value: unknown, version: number): void {
-    if (key.startsWith('job/')) {
-      const record = parseJobRecord(value);
-      if (!record) return;
-      this.setJob(record, version);
-      return;
-    }
-    const ended = jobOfOutcomeKey(key);
-    const end = ended === undefined ? undefined : parseOutcome(value);
-    if (ended !== undefined && end) this.applyOutcome(ended, end);
-    if (key.startsWith('run/')) this.changedPages.set(key, value);
+    if (key.startsWith('job/')) this.applyJobRecord(value, version);
+    else if (key.startsWith('run/')) this.ledgers.setPage(key, value);
+    else this.applyOutcomeRecord(key, value);
   }
 
-  private setJob(record: JobRecord, version: number): void {
+  private applyJobRecord(value: unknown, version: number): void {
+    const record = parseJobRecord(value);
+    if (!record) return;
     const { id } = record.spec;
     this.dependencies.add(record.spec);
     const readySeenAt = this.jobs.get(id)?.readySeenAt ?? this.clock();
@@ -190,8 +165,11 @@
     else this.blocked.set(id, job);
   }
 
-  private applyOutcome(id: string, end: OutcomeRecord): void {
-    for (const ready of this.dependencies.noteEnd(id, end)) {
+  private applyOutcomeRecord(key: string, value: unknown): void {
+    const ended = jobOfOutcomeKey(key);
+    const outcome = ended === undefined ? undefined : parseOutcome(value);
+    if (ended === undefined || !outcome) return;
+    for (const ready of this.dependencies.noteEnd(ended, outcome)) {
       const job = this.blocked.get(ready);
       if (!job) continue;
       this.blocked.delete(ready);
@@ -204,52 +182,4 @@
     this.blocked.delete(id);
     this.dependencies.remove(id);
   }
-
-  private parseChangedPages(): void {
-    for (const [key, value] of this.changedPages) {
-      const block = parseLedgerKey(key)?.block ?? -1;
-      this.setPage(
-        key,
-        parseLedgerPage(value).map((e) => ({ ...e, block, doneCount: rangesSize(e.done) })),
-      );
-    }
-    this.changedPages.clear();
-  }
-
-  private setPage(key: string, entries: IndexedEntry[]): void {
-    this.cachedLoads = undefined;
-    for (const old of this.entriesByPage.get(key) ?? []) {
-      const ofJob = this.entriesByJob.get(old.id);
-      ofJob?.delete(old);
-      if (ofJob?.size === 0) this.entriesByJob.delete(old.id);
-    }
-    if (entries.length > 0) this.entriesByPage.set(key, entries);
-    else this.entriesByPage.delete(key);
-    for (const entry of entries) {
-      const ofJob = this.entriesByJob.get(entry.id);
-      if (ofJob) ofJob.add(entry);
-      else this.entriesByJob.set(entry.id, new Set([entry]));
-    }
-  }
-}
-
-/** Asked for each job many times in a round, so nothing is allocated. */
-function haveOneChunkSize(entries: ReadonlySet<IndexedEntry>): boolean {
-  let first: IndexedEntry | undefined;
-  for (const entry of entries) {
-    first ??= entry;
-    if (entry.chunkTasks !== first.chunkTasks) return false;
-  }
-  return true;
-}
-
-function newestOfEachBlock(entries: Iterable<IndexedEntry>): IndexedEntry[] {
-  return [...groupBy(entries, ({ block }) => block).values()]
-    .flatMap((ofBlock) => withoutSuperseded(ofBlock))
-    .map((entry) => ({ ...entry, doneCount: rangesSize(entry.done) }));
-}
-
-export function needOf(from: Pick<JobSpec, 'cpus' | 'accelerators' | 'memoryGb'>): Resources {
-  const { cpus, accelerators, memoryGb } = from;
-  return { cpus, accelerators, memoryGb };
 }
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -1,18 +1,25 @@
+/** Classes of jobs that miss their objectives. */
 import type { Objective } from '../settings/settings.js';
 import type { QueuedJob } from './queue-order.js';
 
 /** An objective that more of a class's open jobs have missed than it allows. */
 export interface LateClass {
   jobClass: string;
+  /** Kind and measure of the objective, for people to read. */
   objective: string;
+  /** How many jobs of the class are open. */
   open: number;
+  /** How many of them have missed the objective. */
   late: number;
 }
 
 /** Shares are decimals, so what they allow may differ in its last bits. */
 const shareTolerance = 1e-6;
 
-/** Which classes run late, by the objectives of the settings: the people on call are to hear of it before users do. */
+/**
+ * The classes that miss their objectives at `now`, the time of day in ms: people on call are to hear of it before users
+ * complain.
+ */
 export function lateClasses(
   objectives: Iterable<Objective>,
   jobs: Iterable<QueuedJob>,
@@ -24,19 +31,19 @@
     if (known) known.push(job);
     else byClass.set(job.spec.jobClass, [job]);
   }
-  const slipping: LateClass[] = [];
+  const result: LateClass[] = [];
   for (const objective of objectives) {
     const open = byClass.get(objective.jobClass ?? '') ?? [];
     const late = open.filter((job) => missesObjective(objective, job, now)).length;
     if (late === 0 || late <= open.length * (1 - (objective.share ?? 1)) + shareTolerance) continue;
-    slipping.push({
+    result.push({
       jobClass: objective.jobClass ?? '',
       objective: describeObjective(objective),
       open: open.length,
       late,
     });
   }
-  return slipping;
+  return result;
 }
 
 function missesObjective(
--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -2,7 +2,9 @@
 import type { Settings } from '../settings/settings.js';
 import { compactTasksPerChunk, entryBytes, minPageBytes, tasksPerChunk } from '../wire/ledger-records.js';
 
+/** The layout of one block's ledger. */
 export interface LedgerLayout {
+  /** The most that a page may take in the store. */
   pageBytes: number;
   /** Consecutive tasks of a job that share an entry. */
   chunkTasks: number;
@@ -12,10 +14,11 @@
 
 type LayoutSettings = Pick<Settings, 'state' | 'controllers'>;
 
-/** Changes a second that a controller's share allows for each page that its round is spread over. */
+/** A value is split into pages only if a controller's share of the changes allows so many a second for each of them. */
 const minChangesPerSecondPerPage = 8;
+/** More pages would cost more changes than they save in reading. */
 const maxPagesPerValue = 8;
-/** Pages are not made smaller than this for the readers' sake: so many chunks of so many tasks. */
+/** Pages are not made smaller than so many chunks of so many tasks. */
 const typicalPage = { chunks: 4, tasksPerChunk: 16 };
 
 /**
@@ -25,10 +28,11 @@
 function pagesPerValue(
   { state, controllers }: LayoutSettings,
   valueBytes: number,
-  minPageBytes: number,
+  smallestPageBytes: number,
 ): number {
-  const most = Math.min(maxPagesPerValue, Math.floor(valueBytes / minPageBytes));
-  return Math.max(1, Math.min(most, Math.floor(state.writeRps / controllers / minChangesPerSecondPerPage)));
+  const pagesThatFit = Math.min(maxPagesPerValue, Math.floor(valueBytes / smallestPageBytes));
+  const pagesThatPay = Math.floor(state.writeRps / controllers / minChangesPerSecondPerPage);
+  return Math.max(1, Math.min(pagesThatFit, pagesThatPay));
 }
 
 /** The layout of earlier versions, which knew nothing of coming limits. */
@@ -38,12 +42,15 @@
   return { pageBytes, chunkTasks: tasksPerChunk(pageBytes), isLegacy: true };
 }
 
-/** `upgraded`: all controllers read entries that say how many tasks they cover; until then the old layout has to stay. */
+/**
+ * The layout for these settings. `upgraded`: all controllers read entries that say how many tasks they cover; until then the
+ * layout of earlier versions has to stay.
+ */
 export function ledgerLayout(settings: LayoutSettings, upgraded: boolean): LedgerLayout {
-  const inherited = legacyLayout(settings);
+  const legacy = legacyLayout(settings);
   const { valueBytes, presentValueBytes } = settings.state;
-  if (!upgraded || valueBytes === presentValueBytes) return inherited;
-  const leastBytes = typicalPage.chunks * entryBytes(typicalPage.tasksPerChunk);
-  const pageBytes = valueBytes / pagesPerValue(settings, valueBytes, leastBytes);
+  if (!upgraded || valueBytes === presentValueBytes) return legacy;
+  const smallestPageBytes = typicalPage.chunks * entryBytes(typicalPage.tasksPerChunk);
+  const pageBytes = valueBytes / pagesPerValue(settings, valueBytes, smallestPageBytes);
   return { pageBytes, chunkTasks: compactTasksPerChunk(pageBytes), isLegacy: false };
 }
--- a/src/placement/superseded-entries.ts
+++ b/src/placement/superseded-entries.ts
@@ -7,14 +7,14 @@
   end: number;
 }
 
-/** Entries of earlier versions, which do not say how many tasks they cover, are the largest. */
+/** How many tasks the entry covers; entries of earlier versions, which do not say so, count as the largest. */
 export function chunkTasksOf({ chunkTasks }: Pick<LedgerEntry, 'chunkTasks'>): number {
   return chunkTasks ?? Infinity;
 }
 
 /**
- * The entries of one job in one block without what smaller ones cover: a block is moved to a smaller size entry by entry,
- * and each smaller entry says all there is to know of its tasks.
+ * The entries of one job in one block, without the tasks that smaller entries cover: a ledger is moved to smaller entries one
+ * by one, and each smaller entry says all there is to know of its tasks.
  */
 export function withoutSuperseded<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
@@ -31,11 +31,11 @@
 }
 
 function withoutTasksIn<E extends LedgerEntry>(entry: E, covered: IndexInterval[]): E {
-  const isLeft = (index: number): boolean => !covered.some(({ first, end }) => index >= first && index < end);
+  const isKept = (index: number): boolean => !covered.some(({ first, end }) => index >= first && index < end);
   return {
     ...entry,
-    active: entry.active.filter(([index]) => isLeft(index)),
-    waiting: entry.waiting.filter(([index]) => isLeft(index)),
-    done: toRanges([...fromRanges(entry.done)].filter(isLeft)),
+    active: entry.active.filter(([index]) => isKept(index)),
+    waiting: entry.waiting.filter(([index]) => isKept(index)),
+    done: toRanges([...fromRanges(entry.done)].filter(isKept)),
   };
 }
