--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -1,162 +1,141 @@
+/** All that the owner of a block knows of its jobs, tasks and machines. */
 import type { Clock } from '../base/clock.js';
-import { RecentNames } from '../base/recent-names.js';
-import { type JobSpec, type Heartbeat, taskKey } from '../model/types.js';
+import type { Heartbeat, JobSpec } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { Mirror } from '../store/mirror.js';
-import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
-import { parseOutcome, parseJobRecord } from '../wire/job-records.js';
+import type { BlockRecord } from '../wire/block-records.js';
+import { type Outcome, parseJobRecord, parseOutcome } from '../wire/job-records.js';
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
-import { MachineState } from './machine-state.js';
-import { type Reconciliation, reconcile } from './reconciliation.js';
-import { type JobLedgerOptions, JobState, type Task } from './job-state.js';
+import { BlockMachines } from './block-machines.js';
+import { JobRecorder } from './job-recorder.js';
+import { JobState, keyOfTask, type OwningBlock, type Task } from './job-state.js';
 import { Ledger } from './ledger.js';
-import { chunkTasksOf } from './superseded-entries.js';
-import { type StoredPage, keepStoredChunkSize, newestEntries, storedPages } from './stored-pages.js';
 import type { LedgerLayout } from './ledger-layout.js';
-import { type DependencyFacts, QueueOrder, type QueuedJob, withoutDependencies } from './queue-order.js';
-import { TeamUsage } from './placement-round.js';
+import type { MachineState } from './machine-state.js';
+import { type DependencyFacts, QueueOrder } from './queue-order.js';
+import { type Finding, reconcile, type Reconciliation } from './reconciliation.js';
+import { keepStoredChunkSize, newestEntries, type StoredPage, storedPages } from './stored-pages.js';
+import { chunkTasksOf } from './superseded-entries.js';
+import { TeamQuotas } from './team-quotas.js';
+import { TeamUsage } from './team-usage.js';
+import { WaitingQueue } from './waiting-queue.js';
 
+/** What the state of a block begins with. */
 export interface BlockStateOptions {
+  /** Number of the block. */
   block: number;
   /** How the ledger is laid out; where it has smaller entries already, these keep their size. */
   layout: LedgerLayout;
   heartbeatIntervalMs: number;
   clock: Clock;
+  /** Time of day in ms, by which jobs are dated; by default that of the machine. */
   wallClock?: () => number;
+  /** By default jobs have no objectives. */
   queueOrder?: QueueOrder;
-  /** What follows for a job from those that it needs and those that need it. */
+  /** What follows for a job from those that it needs and those that need it; by default nothing does. */
   dependencyFactsOf?: (spec: JobSpec) => DependencyFacts;
   /** The teams of the settings: the block may use a share of the limits that they have. */
   teams: ReadonlyMap<string, Team>;
 }
 
-/** Causes that speak against the machine or the job, rather than being our own doing. */
-const failureCauses = new Set(['error']);
-const maxRetryPauseMs = 60_000;
-const faultyAfterFailedJobs = 2;
-/** The order of work is looked at again after this part of a report interval: it changes with time alone. */
+/** Causes of a task's end that speak against the machine or the job, rather than being our own doing. */
+const failureCauses: ReadonlySet<string> = new Set(['error']);
+/** The cause by which a worker refuses to start a task, since it knows no such job or task. */
+const unknownTaskCause = 'no_such';
+/** The queue of waiting jobs is sorted again after this part of a heartbeat interval. */
 const resortAfterHeartbeats = 0.25;
-/** Machines that are gone are remembered for so many report intervals: the leader takes them out of the record meanwhile. */
+/** How long terminated machines are remembered: the leader takes them out of the block's record meanwhile. */
 const rememberTerminatedHeartbeats = 60;
 
-/** All that a block's owner knows of its jobs and machines, rebuilt from the store when the lease begins. */
+/**
+ * Rebuilt from the store when the lease of the block begins; from then on it follows the block's record, the records and
+ * outcomes of jobs, and the heartbeats of machines. No task leaves a machine here without evidence, and what changes is
+ * marked for the ledger at once.
+ */
 export class BlockState {
   /** The jobs of which this block has tasks. */
   readonly jobs = new Map<string, JobState>();
-  readonly machines = new Map<string, MachineState>();
-  /** Proven gone, however long the block's record or a late report still speaks of them. */
-  private readonly terminated: RecentNames;
-  /** Machines with tasks that they should not have: their teams are charged for them all the same. */
-  private readonly machinesWithOrphans = new Set<MachineState>();
+  readonly ledger: Ledger;
+  private readonly blockMachines: BlockMachines;
+  private readonly quotas: TeamQuotas;
+  private readonly queue: WaitingQueue;
   private readonly completedJobs = new Set<JobState>();
-  private sortedWaitingJobs: JobState[] | undefined;
-  private sortedAt = -Infinity;
-  private readonly queueOrder: QueueOrder;
+  private readonly owningBlock: OwningBlock;
   private layout: LedgerLayout;
-  readonly ledger: Ledger;
   private blockVersion = 0;
-  private quotaShares: QuotaShares = {};
 
   constructor(private readonly options: BlockStateOptions) {
-    this.queueOrder = options.queueOrder ?? new QueueOrder([]);
-    this.layout = options.layout;
-    this.terminated = new RecentNames(
-      options.clock,
-      options.heartbeatIntervalMs * rememberTerminatedHeartbeats,
-    );
-    this.ledger = new Ledger(options.layout.pageBytes);
+    const { block, clock, heartbeatIntervalMs, layout, teams } = options;
+    this.layout = layout;
+    this.ledger = new Ledger(layout.pageBytes);
+    this.owningBlock = { block, createRecorder: (job) => new JobRecorder(job, this.ledger, this.layout) };
+    this.blockMachines = new BlockMachines(clock, heartbeatIntervalMs * rememberTerminatedHeartbeats);
+    this.quotas = new TeamQuotas(teams);
+    this.queue = new WaitingQueue({
+      jobs: this.jobs,
+      order: options.queueOrder ?? new QueueOrder([]),
+      dependencyFactsOf: options.dependencyFactsOf,
+      clock,
+      wallClock: options.wallClock ?? Date.now,
+      maxAgeMs: heartbeatIntervalMs * resortAfterHeartbeats,
+    });
   }
 
+  /** Number of the block. */
   get block(): number {
     return this.options.block;
   }
 
+  /** Version of the block's record that this state follows; 0 before the first. */
   get version(): number {
     return this.blockVersion;
   }
 
+  /** The block's machines by name, whether the block's record or only its ledger names them. */
+  get machines(): ReadonlyMap<string, MachineState> {
+    return this.blockMachines.byId;
+  }
+
+  /** Takes over the jobs and the ledger of the block as the replica of the store has them. Called once, first of all. */
   load(mirror: Mirror): void {
     const pages = storedPages(mirror, this.block);
     this.layout = keepStoredChunkSize(this.options.layout, pages);
-    for (const [key, entry] of mirror.entriesWithPrefix('job/'))
-      this.applyJobRecord(key, entry.value, entry.version);
-    this.loadLedger(pages);
+    for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
+      this.applyJobRecord(key, value, version);
+    for (const page of pages) this.loadPage(page);
+    for (const { entry, page } of newestEntries(pages)) this.loadEntry(entry, page);
     for (const job of this.jobs.values()) {
-      const end = mirror.outcomeOf(job.id);
-      if (end) this.endJob(job, end.outcome);
+      const record = mirror.outcomeOf(job.id);
+      if (record) this.endJob(job, record.outcome);
     }
   }
 
-  /** The leader's word on what belongs to the block. */
+  /** Takes over the block's record, in which the leader says what machines and shares of limits the block has. */
   applyBlockRecord(record: BlockRecord, version: number): void {
     this.blockVersion = version;
-    this.quotaShares = record.quotaShares;
-    const listed = new Set(record.machines.map((m) => m.id));
-    for (const leased of record.machines) {
-      if (this.terminated.has(leased.id)) continue;
-      const machine = this.ensureMachine(leased.id);
-      machine.info = { id: leased.id, type: leased.type, zone: leased.zone, spot: leased.spot };
-      machine.rentedAt = leased.rentedAt;
-      machine.draining = leased.draining;
-      machine.setFencingToken(leased.fencingToken);
-    }
-    for (const machine of this.machines.values()) {
-      // A machine is taken out of a block only when it is empty. Should it not be, its tasks keep their place until
-      // the cloud proves them gone.
-      if (listed.has(machine.id)) continue;
-      if (machine.tasks.size === 0) this.forgetMachine(machine.id);
-      else machine.draining = true;
-    }
+    this.quotas.shares = record.quotaShares;
+    this.blockMachines.applyRecord(record);
     this.withdrawDisallowedIntents();
   }
 
   /**
-   * Follows what the other controllers commit: new jobs, their parts, cancels. Pages are written by us only. True: it
-   * concerns this block.
+   * Follows what other controllers commit of jobs: their records, the ranges of their tasks, their outcomes. The ledger of the
+   * block is not among it: only its owner writes it. True if any of it concerns this block.
    */
   applyChanges(changes: Change[]): boolean {
     let concerned = false;
     for (const change of changes) {
-      let job: JobState | undefined;
-      if (change.deleted) {
-        // The record goes with the end of the job, and after a gap in the watch it may be all that we get to see.
-        if (!change.key.startsWith('job/')) continue;
-        job = this.jobs.get(change.key.slice('job/'.length));
-        if (job) this.endJob(job, 'cancelled');
-      } else if (change.key.startsWith('job/')) {
-        job = this.applyJobRecord(change.key, change.value, change.version);
-      } else {
-        const end = parseOutcome(change.value);
-        job = this.jobs.get(jobOfOutcomeKey(change.key) ?? '');
-        if (job && end) this.endJob(job, end.outcome);
-      }
+      const job = this.applyChange(change);
       concerned ||= job !== undefined;
     }
     return concerned;
   }
 
-  /** Open jobs with waiting tasks, in the order of work. Nearly every report asks, so it is kept for a while. */
+  /** Open jobs with waiting tasks, those first that are to start first. */
   waitingJobs(): JobState[] {
-    const { clock, wallClock, heartbeatIntervalMs } = this.options;
-    if (this.sortedWaitingJobs && clock() - this.sortedAt < heartbeatIntervalMs * resortAfterHeartbeats)
-      return this.sortedWaitingJobs;
-    const open = [...this.jobs.values()].flatMap((job) =>
-      job.waitingCount > 0 && job.spec ? [{ job, spec: job.spec }] : [],
-    );
-    const chainOf = this.options.dependencyFactsOf ?? withoutDependencies;
-    const queued = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
-      spec,
-      dependencyFacts: chainOf(spec),
-      waiting: job.waitingCount,
-      started: job.activeCount + job.doneCount > 0,
-    });
-    this.sortedWaitingJobs = this.queueOrder
-      .sorted(open, queued, (wallClock ?? Date.now)())
-      .map(({ job }) => job);
-    this.sortedAt = clock();
-    return this.sortedWaitingJobs;
+    return this.queue.jobs();
   }
 
   /** Jobs of which the last task here has completed since this was last asked. */
@@ -166,120 +145,114 @@
     return completed;
   }
 
-  endJob(job: JobState, end: 'done' | 'cancelled'): void {
-    this.sortedWaitingJobs = undefined;
-    job.outcome ??= end;
+  /** Nothing more of the job is started. Machines with tasks of it whose response is held hear of it at once. */
+  endJob(job: JobState, outcome: Outcome): void {
+    this.queue.invalidate();
+    job.outcome ??= outcome;
     this.withdrawIntents(job);
-    for (const task of job.tasks.values()) this.machines.get(task.machine)?.sendHeldResponse?.();
+    for (const task of job.tasks.values()) this.machineOf(task)?.sendHeldResponse?.();
   }
 
+  /** Whether the cloud has lately proven the machine gone. */
   isTerminated(machine: string): boolean {
-    return this.terminated.has(machine);
+    return this.blockMachines.isTerminated(machine);
   }
 
-  /** What was proven gone since then, for the leader. */
+  /** Machines proven gone since this steady time, for the leader. */
   machinesTerminatedSince(time: number): string[] {
-    return this.terminated.since(time);
+    return this.blockMachines.terminatedSince(time);
   }
 
-  /** What was first heard of since then, for all who dispatch tasks to blocks. */
+  /** Machines whose first heartbeat came since this steady time, for all who dispatch tasks to blocks. */
   machinesUpSince(time: number): string[] {
-    return [...this.machines.values()]
-      .filter((m) => m.hasSentHeartbeat && m.firstHeartbeatAt >= time)
-      .map((m) => m.id);
+    return this.blockMachines.upSince(time);
   }
 
-  applyHeartbeat(machine: MachineState, report: Heartbeat, mayStart: boolean): Reconciliation {
+  /** Brings machine and tasks in line with the heartbeat, and returns what it proves and what to answer. */
+  applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
-    const result = reconcile(machine, report, {
-      now,
-      mayStart,
-      jobs: this.jobs,
-    });
-    if (machine.orphanedTasks.length > 0) this.machinesWithOrphans.add(machine);
-    else this.machinesWithOrphans.delete(machine);
-    for (const finding of result.findings) {
-      if (finding.kind === 'seen') {
-        finding.task.phase = 'seen';
-        finding.task.running = finding.running;
-        if (finding.running) finding.task.runningSince ??= now;
-        if (finding.running && finding.task.job.spec) machine.cachedImages.add(finding.task.job.spec.image);
-      } else if (finding.kind === 'completed') {
-        const task = finding.job.tasks.get(finding.index);
-        // One that the leader has taken back meanwhile stays on its machine's books until it is ours again.
-        if (!finding.job.finishTask(finding.index, now)) continue;
-        if (finding.job.isComplete) this.completedJobs.add(finding.job);
-        if (task && task.machine !== '') this.machines.get(task.machine)?.tasks.delete(taskKey(refOf(task)));
-      } else this.applyTaskLeft(machine, finding.task, finding.cause, now);
-    }
+    const result = reconcile(machine, heartbeat, { now, mayStart, jobs: this.jobs });
+    this.blockMachines.noteOrphans(machine);
+    for (const finding of result.findings) this.applyFinding(machine, finding, now);
     return result;
   }
 
-  /** Proven by the cloud: the machine and everything on it are gone. */
+  /** Has the tasks of a machine wait again that the cloud has proven gone; returns them. */
   removeTerminated(id: string): Task[] {
-    this.terminated.add(id);
-    const lost = [...(this.machines.get(id)?.tasks.values() ?? [])];
-    for (const task of lost) this.unassign(task);
-    this.forgetMachine(id);
-    return lost;
+    const tasks = [...(this.machines.get(id)?.tasks.values() ?? [])];
+    for (const task of tasks) this.unassign(task);
+    this.blockMachines.removeTerminated(id);
+    return tasks;
   }
 
+  /** The machine that the task is on or is to start on, as far as the block knows it. */
+  machineOf({ machine }: Task): MachineState | undefined {
+    return machine === undefined ? undefined : this.machines.get(machine);
+  }
+
+  /** Counts a task among those of the machine that was chosen for it. */
   addTask(task: Task, machine: MachineState): void {
-    machine.tasks.set(taskKey(refOf(task)), task);
+    machine.tasks.set(keyOfTask(task), task);
   }
 
+  /** Has a task wait again of which it is proven that no machine has it. */
   unassign(task: Task): void {
-    this.sortedWaitingJobs = undefined;
-    this.machines.get(task.machine)?.tasks.delete(taskKey(refOf(task)));
+    this.queue.invalidate();
+    this.machineOf(task)?.tasks.delete(keyOfTask(task));
     task.job.unassignTask(task, this.options.clock());
   }
 
-  /** Counts every task that is or may be on a machine, whether seen, unseen, saving or unreachable. */
+  /** What every task takes that is or may be on a machine: seen or not, saving its state, or out of reach. */
   teamUsage(): TeamUsage {
     const usage = new TeamUsage();
     for (const job of this.jobs.values())
       if (job.activeCount > 0) usage.add(job.team, job.need, job.activeCount);
-    for (const machine of this.machinesWithOrphans) {
-      for (const stray of machine.orphanedTasks) if (stray.team !== '') usage.add(stray.team, stray.need);
-    }
+    this.blockMachines.addOrphanUsage(usage);
     return usage;
   }
 
-  /** Without a share of a limit, the block may use none of it. */
-  private withinShares(team: Team): Team {
-    const [cpus, accelerators] = this.quotaShares[team.name] ?? [0, 0];
-    // A limit of 0 means none; a share of 0 of a limit must not be mistaken for that.
-    const part = (limit: number, share: number): number =>
-      limit === 0 ? 0 : Math.max(share, Number.MIN_VALUE);
-    return {
-      ...team,
-      cpusMax: part(team.cpusMax, cpus),
-      acceleratorsMax: part(team.acceleratorsMax, accelerators),
-    };
+  /** The team with what this block may use of its limits; undefined where the settings do not know it. */
+  teamWithinShares(name: string): Team | undefined {
+    return this.quotas.teamWithinShare(name);
+  }
+
+  private applyFinding(machine: MachineState, finding: Finding, now: number): void {
+    switch (finding.kind) {
+      case 'seen':
+        this.applyTaskSeen(machine, finding.task, finding.running, now);
+        break;
+      case 'completed':
+        this.applyTaskCompleted(finding.job, finding.index, now);
+        break;
+      case 'left':
+        this.applyTaskLeft(machine, finding.task, finding.cause, now);
+        break;
+    }
   }
 
-  private forgetMachine(id: string): void {
-    const machine = this.machines.get(id);
-    if (machine) this.machinesWithOrphans.delete(machine);
-    this.machines.delete(id);
+  private applyTaskSeen(machine: MachineState, task: Task, running: boolean, now: number): void {
+    task.phase = 'seen';
+    task.running = running;
+    if (!running) return;
+    task.runningSince ??= now;
+    if (task.job.spec) machine.cachedImages.add(task.job.spec.image);
+  }
+
+  private applyTaskCompleted(job: JobState, index: number, now: number): void {
+    const task = job.tasks.get(index);
+    // One that the leader has recalled meanwhile stays with its machine until it is this block's again.
+    if (!job.finishTask(index, now)) return;
+    if (job.isComplete) this.completedJobs.add(job);
+    if (task) this.machineOf(task)?.tasks.delete(keyOfTask(task));
   }
 
   private applyTaskLeft(machine: MachineState, task: Task, cause: string, now: number): void {
     const { job } = task;
     this.unassign(task);
     if (job.outcome) return;
-    if (failureCauses.has(cause)) {
-      machine.failedJobs.add(job.id);
-      // One job's failure says little of a machine; several jobs failing on it do.
-      if (machine.failedJobs.size >= faultyAfterFailedJobs) machine.faulty = true;
-    }
-    if (failureCauses.has(cause) || cause === 'no_such') {
-      job.failureCount++;
-      // A job that fails everywhere is retried with growing pauses and holds up nobody.
-      job.retryAt =
-        now +
-        Math.min(maxRetryPauseMs, this.options.heartbeatIntervalMs * 2 ** Math.min(job.failureCount - 1, 10));
-    }
+    const isFailure = failureCauses.has(cause);
+    if (isFailure) machine.noteFailedJob(job.id);
+    if (isFailure || cause === unknownTaskCause) job.noteFailure(now, this.options.heartbeatIntervalMs);
   }
 
   /**
@@ -292,7 +265,7 @@
     const usage = this.teamUsage();
     for (const task of placing) {
       const { team, need } = task.job;
-      const machine = this.machines.get(task.machine);
+      const machine = this.machineOf(task);
       const mayBeUsed = machine !== undefined && !machine.draining;
       if (mayBeUsed && !usage.exceedsLimit(this.teamWithinShares(team))) continue;
       usage.add(team, need, -1);
@@ -300,40 +273,43 @@
     }
   }
 
-  /** The team with what this block may use of its limits; undefined where the settings do not know it. */
-  teamWithinShares(name: string): Team | undefined {
-    const team = this.options.teams.get(name);
-    return team && this.withinShares(team);
-  }
-
   /** Drops intents that are not committed and now never will be; where that commit is under way, it decides. */
   private withdrawIntents(job: JobState): void {
     for (const task of [...job.tasks.values()]) {
-      if (task.phase === 'placing' && job.pageOf(task.index)?.isCommitting !== true) this.unassign(task);
+      if (task.phase === 'placing' && job.recorder.pageOf(task.index)?.isCommitting !== true)
+        this.unassign(task);
     }
   }
 
-  private ensureMachine(id: string): MachineState {
-    let machine = this.machines.get(id);
-    if (!machine) {
-      machine = new MachineState(id, this.options.clock());
-      this.machines.set(id, machine);
-    }
-    return machine;
+  /** Returns the job of this block that the change concerns. */
+  private applyChange({ key, value, version, deleted }: Change): JobState | undefined {
+    if (deleted) return this.applyDeletion(key);
+    if (key.startsWith('job/')) return this.applyJobRecord(key, value, version);
+    const record = parseOutcome(value);
+    const job = this.jobs.get(jobOfOutcomeKey(key) ?? '');
+    if (job && record) this.endJob(job, record.outcome);
+    return job;
+  }
+
+  /** The record goes with the end of the job, and after a gap in the watch it may be all that we get to see. */
+  private applyDeletion(key: string): JobState | undefined {
+    if (!key.startsWith('job/')) return undefined;
+    const job = this.jobs.get(key.slice('job/'.length));
+    if (job) this.endJob(job, 'cancelled');
+    return job;
   }
 
   private applyJobRecord(key: string, value: unknown, version: number): JobState | undefined {
     const record = parseJobRecord(value);
     if (!record || key !== `job/${record.spec.id}`) return undefined;
     const { spec, taskRanges } = record;
-    const { block } = this;
     let job = this.jobs.get(spec.id);
     if (!job) {
-      if (!taskRanges.some((part) => part.block === block)) return undefined;
-      job = JobState.fromSpec(spec, version, this.ledgerOptions);
+      if (!taskRanges.some(({ block }) => block === this.block)) return undefined;
+      job = JobState.fromSpec(spec, version, this.owningBlock);
       this.jobs.set(spec.id, job);
     }
-    this.sortedWaitingJobs = undefined;
+    this.queue.invalidate();
     job.assignRanges(taskRanges, version);
     // Ranges that the leader took back had not started; intents for them that are under way will fail.
     for (const task of [...job.tasks.values()]) {
@@ -343,42 +319,21 @@
   }
 
   /** Pages with entries of another size are retired: their tasks are recorded anew in entries of this layout. */
-  private loadLedger(pages: StoredPage[]): void {
-    for (const page of pages) this.addPage(page);
-    for (const { entry, page } of newestEntries(pages)) this.loadEntry(entry, page);
-  }
-
-  private addPage({ index, version, entries }: StoredPage): void {
-    if (entries.every((entry) => chunkTasksOf(entry) === this.storedChunkTasks))
+  private loadPage({ index, version, entries }: StoredPage): void {
+    const chunkTasks = this.layout.isLegacy ? Infinity : this.layout.chunkTasks;
+    if (entries.every((entry) => chunkTasksOf(entry) === chunkTasks))
       this.ledger.page(index).version = version;
-    else
-      this.ledger.retiredPages.set(index, { index, version, unwrittenChunks: new Set(), isDropping: false });
+    else this.ledger.retirePage(index, version);
   }
 
-  private loadEntry(entry: LedgerEntry, { index }: StoredPage): void {
+  private loadEntry(entry: LedgerEntry, page: StoredPage): void {
     let job = this.jobs.get(entry.id);
     if (!job) {
-      job = JobState.fromLedgerEntry(entry, this.ledgerOptions);
+      job = JobState.fromLedgerEntry(entry, this.owningBlock);
       this.jobs.set(entry.id, job);
     }
-    const retired = this.ledger.retiredPages.get(index);
-    const adopted = retired && job.adoptEntry(entry, this.options.clock());
-    for (const chunk of adopted?.chunks ?? []) retired?.unwrittenChunks.add(chunk);
-    const active = adopted?.active ?? job.loadEntry(entry, this.ledger.page(index));
-    for (const task of active) this.addTask(task, this.ensureMachine(task.machine));
+    const active = job.applyEntry(entry);
+    job.recorder.restore(entry, page.index, this.options.clock());
+    for (const task of active) this.addTask(task, this.blockMachines.ensure(task.machine));
   }
-
-  /** The size that entries of this layout have in the ledger. */
-  private get storedChunkTasks(): number {
-    return this.layout.isLegacy ? Infinity : this.layout.chunkTasks;
-  }
-
-  private get ledgerOptions(): JobLedgerOptions {
-    const { block, ledger, layout } = this;
-    return { block, ledger, chunkTasks: layout.chunkTasks, sizedEntries: !layout.isLegacy };
-  }
-}
-
-function refOf(task: Task): { job: string; index: number } {
-  return { job: task.job.id, index: task.index };
 }
--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -1,6 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { createBlockStage } from '../testing/block-stage.js';
+
+import { createBlockStage, emptyReport, machineToken } from '../testing/block-stage.js';
+import type { MachineState } from './machine-state.js';
 
 const twoTasks = { cpus: 4, accelerators: 0 };
 
@@ -54,3 +56,37 @@
   await stage.place('m2');
   assert.deepEqual([stage.task()?.machine, stage.task()?.phase], ['m2', 'placed']);
 });
+
+// Guards against a job that waits for ever: its new version was read before the refusal of the old one came.
+test('a job whose intents were turned down is placed again under the version that has been read since', async () => {
+  const seen: number[] = [];
+  const stage = createBlockStage((conditions, { putJob }) => {
+    seen.push(conditions.find((c) => c.key === 'job/req-1')?.version ?? 0);
+    if (seen.length > 1) return { kind: 'applied', revision: 9 };
+    putJob(5);
+    return { kind: 'conflict', failed: ['job/req-1'], revision: 6 };
+  });
+  await stage.place('m1');
+  await stage.place('m1');
+  assert.deepEqual(seen, [3, 5]);
+  assert.equal(stage.task()?.phase, 'placed');
+});
+
+// Guards against a start that no commit speaks of: the machine went while its intent was on the way.
+test('a commit confirms the attempt that it was made for, and no later one', async () => {
+  let commits = 0;
+  const stage = createBlockStage((_conditions, { blockState, scheduler }) => {
+    if (commits++ === 0) {
+      blockState.removeTerminated('m1');
+      const other = blockState.machines.get('m2') as MachineState;
+      blockState.applyHeartbeat(other, { ...emptyReport('m2', 1), fencingToken: machineToken }, true);
+      scheduler.placeOn(other);
+      assert.deepEqual([stage.task()?.machine, stage.task()?.phase], ['m2', 'placing']);
+      return { kind: 'applied', revision: 8 };
+    }
+    assert.equal(stage.task()?.phase, 'placing');
+    return { kind: 'applied', revision: 9 };
+  });
+  await stage.place('m1');
+  assert.deepEqual([commits, stage.task()?.attempt, stage.task()?.phase], [2, 2, 'placed']);
+});
--- /dev/null
+++ b/src/placement/job-recorder.ts
@@ -0,0 +1,120 @@
+/** Records the tasks of one job in chunks, which share the pages of the block's ledger with those of other jobs. */
+import { fromRanges, toRanges } from '../base/ranges.js';
+import { compactEntryBytes, entryBytes, type LedgerEntry } from '../wire/ledger-records.js';
+import { isAssigned, type JobState, type Task } from './job-state.js';
+import type { BuiltEntry, Chunk, EntryBuilder, Ledger, LedgerPage, RetiredPage } from './ledger.js';
+import type { LedgerLayout } from './ledger-layout.js';
+import type { TaskRecorder, WriteUrgency } from './task-recorder.js';
+
+/** What of a ledger's layout concerns its entries. */
+export type EntryLayout = Pick<LedgerLayout, 'chunkTasks' | 'isLegacy'>;
+
+/** Knows which chunks of the ledger record the job, and builds their entries from its state. */
+export class JobRecorder implements TaskRecorder, EntryBuilder {
+  private readonly chunks = new Map<number, Chunk>();
+
+  constructor(
+    readonly job: JobState,
+    private readonly ledger: Ledger,
+    private readonly layout: EntryLayout,
+  ) {}
+
+  /** Has the chunk of the task written anew; it gets its place in the ledger when this first happens. */
+  markDirty(index: number, urgency: WriteUrgency, now: number): void {
+    this.markChunkDirty(index, urgency, now);
+  }
+
+  /** The page that records the task; none before there is anything to record of its chunk. */
+  pageOf(index: number): LedgerPage | undefined {
+    return this.chunks.get(this.chunkOf(index))?.page;
+  }
+
+  /** Takes over where an entry of the stored ledger stands, or has its tasks recorded anew if its page is retired. */
+  restore(entry: LedgerEntry, pageIndex: number, now: number): void {
+    const retired = this.ledger.retiredPages.get(pageIndex);
+    if (retired) this.recordAnew(entry, retired, now);
+    else this.addStoredChunk(entry, this.ledger.page(pageIndex));
+  }
+
+  /** Drops the job's chunks from their pages. */
+  remove(now: number): void {
+    for (const chunk of this.chunks.values()) {
+      chunk.page.removeChunk(chunk);
+      chunk.page.markDirty('deferred', now);
+    }
+    this.ledger.markWritten(this.chunks.values());
+    this.chunks.clear();
+  }
+
+  /** The entry as it should stand in the store. */
+  buildEntry(chunk: number): BuiltEntry {
+    const active: LedgerEntry['active'] = [];
+    const waiting: LedgerEntry['waiting'] = [];
+    for (const task of this.tasksOf(chunk)) {
+      if (isAssigned(task)) active.push([task.index, task.attempt, task.machine]);
+      else if (task.attempt > 0) waiting.push([task.index, task.attempt]);
+    }
+    const done = this.doneTasksOf(chunk);
+    const { id, team, need } = this.job;
+    const size = this.layout.isLegacy ? {} : { chunkTasks: this.layout.chunkTasks };
+    return { entry: { id, chunk, team, ...need, active, waiting, done: toRanges(done), ...size }, done };
+  }
+
+  /** Tasks of the chunk whose intent is not committed yet. */
+  placingTasksOf(chunk: number): Task[] {
+    return [...this.tasksOf(chunk)].filter((task) => task.phase === 'placing');
+  }
+
+  private *tasksOf(chunk: number): Iterable<Task> {
+    for (const task of this.job.tasks.values()) if (this.chunkOf(task.index) === chunk) yield task;
+  }
+
+  private doneTasksOf(chunk: number): number[] {
+    const first = chunk * this.layout.chunkTasks;
+    const end = Math.min(first + this.layout.chunkTasks, this.job.spec?.tasks ?? 0);
+    const done: number[] = [];
+    for (let index = first; index < end; index++) if (this.job.isDone(index)) done.push(index);
+    return done;
+  }
+
+  private recordAnew(entry: LedgerEntry, retired: RetiredPage, now: number): void {
+    const indices = [
+      ...entry.active.map(([index]) => index),
+      ...entry.waiting.map(([index]) => index),
+      ...fromRanges(entry.done),
+    ];
+    for (const index of indices) retired.unwrittenChunks.add(this.markChunkDirty(index, 'deferred', now));
+  }
+
+  private addStoredChunk(entry: LedgerEntry, page: LedgerPage): void {
+    const tasks = this.job.spec ? this.maxChunkTasks : entry.active.length + entry.waiting.length;
+    const bytes = this.reservedBytesFor(entry.chunk, tasks);
+    this.chunks.set(entry.chunk, this.ledger.addChunk(this, entry.chunk, bytes, page));
+  }
+
+  private markChunkDirty(index: number, urgency: WriteUrgency, now: number): Chunk {
+    const chunkIndex = this.chunkOf(index);
+    let chunk = this.chunks.get(chunkIndex);
+    if (!chunk) {
+      const bytes = this.reservedBytesFor(chunkIndex, this.maxChunkTasks);
+      chunk = this.ledger.addChunk(this, chunkIndex, bytes);
+      this.chunks.set(chunkIndex, chunk);
+    }
+    chunk.entry = undefined;
+    chunk.page.markDirty(urgency, now);
+    return chunk;
+  }
+
+  private chunkOf(index: number): number {
+    return Math.floor(index / this.layout.chunkTasks);
+  }
+
+  private get maxChunkTasks(): number {
+    return Math.min(this.layout.chunkTasks, this.job.spec?.tasks ?? this.layout.chunkTasks);
+  }
+
+  /** What the entry of a chunk needs room for. */
+  private reservedBytesFor(chunk: number, tasks: number): number {
+    return this.layout.isLegacy ? entryBytes(tasks) : compactEntryBytes(this.buildEntry(chunk).entry, tasks);
+  }
+}
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -1,137 +1,162 @@
-import type { JobSpec, Resources } from '../model/types.js';
+/** The tasks that one block has of a job, and what each of them is at. */
+import { fromRanges } from '../base/ranges.js';
+import { type JobSpec, type Resources, taskKey } from '../model/types.js';
 import type { Outcome, TaskRange } from '../wire/job-records.js';
-import { fromRanges, toRanges } from '../base/ranges.js';
-import { type LedgerEntry, compactEntryBytes, entryBytes } from '../wire/ledger-records.js';
-import type { Chunk, WriteUrgency, Ledger, LedgerPage } from './ledger.js';
+import type { LedgerEntry } from '../wire/ledger-records.js';
+import type { TaskRecorder } from './task-recorder.js';
 
 /**
- * `placing`: chosen in memory only, no machine may hear of it. `placed`: the intent is committed, so the machine
- * may have the task. `seen`: the machine has reported it.
+ * `waiting`: on no machine. `placing`: a machine is chosen in memory only, and must not hear of it. `placed`: the intent is
+ * committed, so the machine may have been told to start the task. `seen`: the machine has reported it.
  */
 export type TaskPhase = 'waiting' | 'placing' | 'placed' | 'seen';
 
+/** A task that has been started at least once, or is about to be. */
 export interface Task {
   readonly job: JobState;
+  /** Its number within the job, from 0. */
   readonly index: number;
+  /** How often it has been placed; workers tell its attempts apart by this number. */
   attempt: number;
   phase: TaskPhase;
-  machine: string;
+  /** The machine that it is on or is to start on; undefined while it waits. */
+  machine: string | undefined;
   running: boolean;
-  /** When its machine was first told to start it. */
+  /** Steady time in ms at which its machine was first told to start it. */
   startSentAt: number | undefined;
-  /** When it was first seen running. */
+  /** Steady time in ms at which it was first seen running. */
   runningSince: number | undefined;
-  /** To be stopped, since it runs far longer than its like: it starts again elsewhere. */
+  /** To be stopped, since it runs far longer than other tasks of its job: it starts again elsewhere. */
   stopping: boolean;
 }
 
+/** A task that is, may be or is about to be on a machine. */
+export interface AssignedTask extends Task {
+  phase: Exclude<TaskPhase, 'waiting'>;
+  machine: string;
+}
+
+/** The block that has the tasks of a job, and how it records them. */
+export interface OwningBlock {
+  /** Number of the block. */
+  readonly block: number;
+  createRecorder: (job: JobState) => TaskRecorder;
+}
+
+/** What the state of a job begins with. */
 export interface JobStateOptions {
   id: string;
+  /** Unknown once the job's record has gone. */
   spec: JobSpec | undefined;
   team: string;
+  /** What one task takes of its machine and of its team's limit. */
   need: Resources;
-  /** Version of the job's record; it is gone once the job has ended. */
+  /** Version of the job's record; 0 once the record has gone. */
   version: number;
-  block: number;
-  chunkTasks: number;
-  /** Entries say how many tasks they cover. */
-  sizedEntries?: boolean;
-  ledger: Ledger;
+  owner: OwningBlock;
+}
+
+/** The pause after repeated failures of a job's tasks doubles from one heartbeat interval up to this. */
+const maxRetryPauseMs = 60_000;
+const maxRetryPauseDoublings = 10;
+
+/** Whether the task is, may be or is about to be on a machine. */
+export function isAssigned(task: Task): task is AssignedTask {
+  return task.phase !== 'waiting';
 }
 
-/** Where and how the job is recorded. */
-export type JobLedgerOptions = Pick<JobStateOptions, 'block' | 'chunkTasks' | 'sizedEntries' | 'ledger'>;
+/** The name of the task among those of its machine. */
+export function keyOfTask({ job, index }: Task): string {
+  return taskKey({ job: job.id, index });
+}
 
 /**
  * What one block has of a job: for most jobs all its tasks, else the ranges that the leader has dispatched to it. Tasks
- * that never started exist only as numbers, so 100,000 of them cost little.
+ * that never started exist only as numbers, so 100,000 of them cost little. Whatever changes of a task is marked for the
+ * ledger in the same step.
  */
 export class JobState {
   readonly id: string;
   readonly spec: JobSpec | undefined;
   readonly team: string;
   readonly need: Resources;
-  readonly block: number;
-  private readonly chunkTasks: number;
-  private readonly sizedEntries: boolean;
-  private readonly ledger: Ledger;
+  readonly recorder: TaskRecorder;
+  /** Version of the job's record that this state follows. */
   version: number;
-  /** The version of its record that the store has turned down: no task is placed until the watch brings a newer one. */
-  rejectedVersion = -1;
-  /** The block of the job's first range is the one that asks for its end. */
+  /** The version of its record that the store has turned down: no task is placed until a newer one is read. */
+  rejectedVersion: number | undefined;
+  /** Of the blocks that have tasks of the job, the one with its first range commits its outcome. */
   holdsFirstRange = false;
   /** All of the job's tasks are this block's. */
   holdsAllTasks = false;
+  /** Tasks that are or were on a machine and are not done, and those about to start, by index. */
   readonly tasks = new Map<number, Task>();
-  readonly chunks = new Map<number, Chunk>();
-  private ranges: TaskRange[] = [];
-  private taskCount = 0;
-  private readonly doneTasks = new Set<number>();
-  private readonly committedDoneTasks = new Set<number>();
+  /** Set once the job has ended. */
   outcome: Outcome | undefined;
-  /** The end is being committed. */
+  /** A commit of the job's outcome is under way. */
   isCommittingOutcome = false;
-  /** No task of the job is started before then: it has failed lately. */
+  /** Steady time in ms before which no task of the job is started, since tasks have failed lately. */
   retryAt = 0;
-  failureCount = 0;
-  /** Completed tasks that were seen running, and the longest that one of them ran. */
+  /** Completed tasks that were seen running. */
   completedRuns = 0;
+  /** The longest that one of them ran, in ms. */
   maxRunMs = 0;
+  private readonly block: number;
+  private ranges: TaskRange[] = [];
+  private taskCount = 0;
+  private readonly doneTasks = new Set<number>();
+  private readonly committedDoneTasks = new Set<number>();
+  private failureCount = 0;
+  /** No task with a lower number has yet to start for the first time. */
   private nextUnstarted = 0;
-  private tasksOnMachines = 0;
-
-  constructor(facts: JobStateOptions) {
-    this.id = facts.id;
-    this.spec = facts.spec;
-    this.team = facts.team;
-    this.need = facts.need;
-    this.version = facts.version;
-    this.block = facts.block;
-    this.chunkTasks = facts.chunkTasks;
-    this.sizedEntries = facts.sizedEntries ?? false;
-    this.ledger = facts.ledger;
+  private assignedCount = 0;
+
+  constructor({ id, spec, team, need, version, owner }: JobStateOptions) {
+    this.id = id;
+    this.spec = spec;
+    this.team = team;
+    this.need = need;
+    this.version = version;
+    this.block = owner.block;
+    this.recorder = owner.createRecorder(this);
   }
 
-  static fromSpec(spec: JobSpec, version: number, ledgerOptions: JobLedgerOptions): JobState {
+  /** An open job as its record has it, so far without any tasks of this block. */
+  static fromSpec(spec: JobSpec, version: number, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = spec;
-    return new JobState({
-      id,
-      spec,
-      team,
-      need: { cpus, accelerators, memoryGb },
-      version,
-      ...ledgerOptions,
-    });
+    return new JobState({ id, spec, team, need: { cpus, accelerators, memoryGb }, version, owner });
   }
 
   /** A job whose record has gone: it has ended, yet tasks of it may still be on machines. */
-  static fromLedgerEntry(entry: LedgerEntry, ledgerOptions: JobLedgerOptions): JobState {
+  static fromLedgerEntry(entry: LedgerEntry, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = entry;
     const need = { cpus, accelerators, memoryGb };
-    const job = new JobState({ id, spec: undefined, team, need, version: 0, ...ledgerOptions });
+    const job = new JobState({ id, spec: undefined, team, need, version: 0, owner });
     job.outcome = 'cancelled';
     return job;
   }
 
-  /** The leader's word on which tasks are this block's. */
-  assignRanges(parts: TaskRange[], version: number): void {
+  /** Follows the job's record, in which the leader assigns its tasks to blocks. */
+  assignRanges(allRanges: TaskRange[], version: number): void {
     this.version = version;
-    this.ranges = parts.filter((part) => part.block === this.block).sort((a, b) => a.first - b.first);
+    this.ranges = allRanges.filter(({ block }) => block === this.block).sort((a, b) => a.first - b.first);
     this.taskCount = this.ranges.reduce((sum, range) => sum + range.count, 0);
-    this.holdsFirstRange = parts[0]?.block === this.block;
+    this.holdsFirstRange = allRanges[0]?.block === this.block;
     this.holdsAllTasks = this.taskCount === this.spec?.tasks;
     this.nextUnstarted = this.ranges[0]?.first ?? 0;
     // A task whose intent was never committed is nothing but a number, and may now be another block's: were it kept,
     // two blocks would start it.
     for (const task of this.tasks.values()) {
-      if (task.phase === 'waiting' && !this.holdsTask(task.index)) this.tasks.delete(task.index);
+      if (!isAssigned(task) && !this.holdsTask(task.index)) this.tasks.delete(task.index);
     }
   }
 
+  /** How many tasks are, may be or are about to be on machines. */
   get activeCount(): number {
-    return this.tasksOnMachines;
+    return this.assignedCount;
   }
 
+  /** How many of the block's tasks are done, committed or not. */
   get doneCount(): number {
     return this.doneTasks.size;
   }
@@ -141,61 +166,40 @@
     return this.spec !== undefined && this.taskCount > 0 && this.doneTasks.size === this.taskCount;
   }
 
+  /** All tasks that this block has of the job are done, and the ledger in the store says so. */
   get isCompleteCommitted(): boolean {
     return this.isComplete && this.committedDoneTasks.size === this.taskCount;
   }
 
-  /** Tasks that neither run nor are done. */
+  /** How many tasks are neither on machines nor done; none once the job has ended. */
   get waitingCount(): number {
     if (this.outcome || !this.spec) return 0;
-    return this.taskCount - this.doneTasks.size - this.tasksOnMachines;
+    return this.taskCount - this.doneTasks.size - this.assignedCount;
   }
 
+  /** Whether the task is done, committed or not. */
   isDone(index: number): boolean {
     return this.doneTasks.has(index);
   }
 
-  /** Only what is committed as done may be forgotten by its machine. */
+  /** Whether the ledger in the store has the task as done: only then may its machine be told to forget it. */
   isDoneCommitted(index: number): boolean {
     return this.committedDoneTasks.has(index);
   }
 
+  /** Notes that the ledger in the store has these tasks as done. */
   markDoneCommitted(indices: number[]): void {
     for (const index of indices) this.committedDoneTasks.add(index);
   }
 
-  /** Takes over what the store has, and returns the tasks that are on machines. */
-  loadEntry(entry: LedgerEntry, page: LedgerPage): Task[] {
-    const tasks = this.spec ? this.chunkSize : entry.active.length + entry.waiting.length;
-    this.chunks.set(
-      entry.chunk,
-      this.ledger.addChunk(this, entry.chunk, this.reservedBytesFor(entry.chunk, tasks), page),
-    );
-    return this.applyEntry(entry);
-  }
-
-  /**
-   * Takes over what an entry of another size says, and returns the tasks that are on machines with the chunks that have to
-   * record it from now on.
-   */
-  adoptEntry(entry: LedgerEntry, now: number): { active: Task[]; chunks: Set<Chunk> } {
-    const active = this.applyEntry(entry);
-    const indices = [
-      ...entry.active.map(([index]) => index),
-      ...entry.waiting.map(([index]) => index),
-      ...fromRanges(entry.done),
-    ];
-    const chunks = new Set(indices.map((index) => this.markChunkDirty(index, 'soon', now)));
-    return { active, chunks };
-  }
-
-  private applyEntry(entry: LedgerEntry): Task[] {
+  /** Takes over what an entry of the stored ledger says, and returns the tasks that are on machines. */
+  applyEntry(entry: LedgerEntry): AssignedTask[] {
     for (const index of fromRanges(entry.done)) {
       this.doneTasks.add(index);
       this.committedDoneTasks.add(index);
     }
     for (const [index, attempt] of entry.waiting) this.ensureTask(index, attempt);
-    const active: Task[] = [];
+    const active: AssignedTask[] = [];
     for (const [index, attempt, machine] of entry.active) {
       const task = this.ensureTask(index, attempt);
       this.assign(task, machine, 'placed');
@@ -204,44 +208,34 @@
     return active;
   }
 
-  /** The next task to start, without taking it: a returned one first, else one that never started. */
+  /** The next task to start, which stays waiting: one that has come back from a machine first. */
   nextWaitingTask(): Task | undefined {
-    for (const task of this.tasks.values())
-      if (task.phase === 'waiting' && this.holdsTask(task.index)) return task;
-    for (const { first, count } of this.ranges) {
-      if (this.nextUnstarted >= first + count) continue;
-      if (this.nextUnstarted < first) this.nextUnstarted = first;
-      while (
-        this.nextUnstarted < first + count &&
-        (this.doneTasks.has(this.nextUnstarted) || this.tasks.has(this.nextUnstarted))
-      )
-        this.nextUnstarted++;
-      if (this.nextUnstarted < first + count) return this.ensureTask(this.nextUnstarted, 0);
-    }
-    return undefined;
+    return this.nextReturnedTask() ?? this.nextUnstartedTask();
   }
 
+  /** Chooses a machine for a waiting task; no machine may hear of it before the ledger has been committed. */
   placeTask(task: Task, machine: string, now: number): void {
     task.attempt++;
     this.assign(task, machine, 'placing');
-    this.markChunkDirty(task.index, 'now', now);
+    this.recorder.markDirty(task.index, 'immediate', now);
   }
 
-  /** The task has left its machine, by evidence. */
+  /** Has the task wait again. Called only on evidence that it is on no machine; does nothing if it waits already. */
   unassignTask(task: Task, now: number): void {
     if (task.phase === 'waiting') return;
     task.phase = 'waiting';
-    task.machine = '';
+    task.machine = undefined;
     task.running = false;
-    this.tasksOnMachines--;
+    this.assignedCount--;
     if (!this.holdsTask(task.index)) this.tasks.delete(task.index);
-    this.markChunkDirty(task.index, 'soon', now);
+    this.recorder.markDirty(task.index, 'deferred', now);
   }
 
+  /** Notes that the task has completed. False if that was known, or the task is not this block's (any more). */
   finishTask(index: number, now: number): boolean {
     if (!this.holdsTask(index) || this.isDone(index)) return false;
     const task = this.tasks.get(index);
-    if (task && task.phase !== 'waiting') this.tasksOnMachines--;
+    if (task && isAssigned(task)) this.assignedCount--;
     if (task?.runningSince !== undefined) {
       this.completedRuns++;
       this.maxRunMs = Math.max(this.maxRunMs, now - task.runningSince);
@@ -249,36 +243,17 @@
     this.tasks.delete(index);
     this.doneTasks.add(index);
     this.failureCount = 0;
-    // Other blocks' owners wait for the last task of this block's part.
-    this.markChunkDirty(index, this.isComplete && !this.holdsAllTasks ? 'now' : 'soon', now);
+    // The block that commits the job's outcome waits until all others have recorded that their tasks are done.
+    const urgency = this.isComplete && !this.holdsAllTasks ? 'immediate' : 'deferred';
+    this.recorder.markDirty(index, urgency, now);
     return true;
   }
 
-  /** The page that records the task, once there is anything to record of its chunk. */
-  pageOf(index: number): LedgerPage | undefined {
-    return this.chunks.get(this.chunkOf(index))?.page;
-  }
-
-  /** The entry as it should stand in the store, and the completed tasks that it names. */
-  buildEntry(chunk: number): { entry: LedgerEntry; done: number[] } {
-    const first = chunk * this.chunkTasks;
-    const last = Math.min(first + this.chunkTasks, this.spec?.tasks ?? 0);
-    const active: LedgerEntry['active'] = [];
-    const waiting: LedgerEntry['waiting'] = [];
-    const done: number[] = [];
-    for (let index = first; index < last; index++) if (this.doneTasks.has(index)) done.push(index);
-    for (const task of this.tasksOf(chunk)) {
-      if (task.phase !== 'waiting') active.push([task.index, task.attempt, task.machine]);
-      else if (task.attempt > 0) waiting.push([task.index, task.attempt]);
-    }
-    const { id, team, need, sizedEntries } = this;
-    const size = sizedEntries ? { chunkTasks: this.chunkTasks } : {};
-    return { entry: { id, chunk, team, ...need, active, waiting, done: toRanges(done), ...size }, done };
-  }
-
-  /** Tasks of the chunk that are, were or are about to be on a machine, and are not done. */
-  *tasksOf(chunk: number): Iterable<Task> {
-    for (const task of this.tasks.values()) if (this.chunkOf(task.index) === chunk) yield task;
+  /** A task has failed: the job's next start waits, longer with each failure, so that it does not hold up others. */
+  noteFailure(now: number, firstPauseMs: number): void {
+    const doublings = Math.min(this.failureCount, maxRetryPauseDoublings);
+    this.failureCount++;
+    this.retryAt = now + Math.min(maxRetryPauseMs, firstPauseMs * 2 ** doublings);
   }
 
   /** Tasks whose intent is not committed yet. */
@@ -286,43 +261,29 @@
     return [...this.tasks.values()].filter((task) => task.phase === 'placing');
   }
 
-  /** An ended job without tasks on machines needs no record of its run. */
-  removeFromLedger(now: number): void {
-    for (const chunk of this.chunks.values()) {
-      chunk.page.removeChunk(chunk);
-      chunk.page.markDirty('soon', now);
-    }
-    this.ledger.markWritten(this.chunks.values());
-    this.chunks.clear();
-  }
-
+  /** Whether the leader has assigned the task to this block. */
   holdsTask(index: number): boolean {
     return this.ranges.some((range) => index >= range.first && index < range.first + range.count);
   }
 
-  private chunkOf(index: number): number {
-    return Math.floor(index / this.chunkTasks);
-  }
-
-  /** What the entry of a chunk needs room for. */
-  private reservedBytesFor(chunk: number, tasks: number): number {
-    return this.sizedEntries ? compactEntryBytes(this.buildEntry(chunk).entry, tasks) : entryBytes(tasks);
+  private nextReturnedTask(): Task | undefined {
+    for (const task of this.tasks.values()) if (!isAssigned(task) && this.holdsTask(task.index)) return task;
+    return undefined;
   }
 
-  private get chunkSize(): number {
-    return Math.min(this.chunkTasks, this.spec?.tasks ?? this.chunkTasks);
+  private nextUnstartedTask(): Task | undefined {
+    for (const { first, count } of this.ranges) {
+      const end = first + count;
+      if (this.nextUnstarted >= end) continue;
+      if (this.nextUnstarted < first) this.nextUnstarted = first;
+      while (this.nextUnstarted < end && this.hasStarted(this.nextUnstarted)) this.nextUnstarted++;
+      if (this.nextUnstarted < end) return this.ensureTask(this.nextUnstarted, 0);
+    }
+    return undefined;
   }
 
-  private markChunkDirty(index: number, urgency: Exclude<WriteUrgency, 'clean'>, now: number): Chunk {
-    const at = this.chunkOf(index);
-    let chunk = this.chunks.get(at);
-    if (!chunk) {
-      chunk = this.ledger.addChunk(this, at, this.reservedBytesFor(at, this.chunkSize));
-      this.chunks.set(at, chunk);
-    }
-    chunk.entry = undefined;
-    chunk.page.markDirty(urgency, now);
-    return chunk;
+  private hasStarted(index: number): boolean {
+    return this.doneTasks.has(index) || this.tasks.has(index);
   }
 
   private ensureTask(index: number, attempt: number): Task {
@@ -333,7 +294,7 @@
         index,
         attempt,
         phase: 'waiting',
-        machine: '',
+        machine: undefined,
         running: false,
         startSentAt: undefined,
         runningSince: undefined,
@@ -344,8 +305,8 @@
     return task;
   }
 
-  private assign(task: Task, machine: string, phase: 'placing' | 'placed'): void {
-    if (task.phase === 'waiting') this.tasksOnMachines++;
+  private assign(task: Task, machine: string, phase: 'placing' | 'placed'): asserts task is AssignedTask {
+    if (task.phase === 'waiting') this.assignedCount++;
     task.phase = phase;
     task.machine = machine;
     task.startSentAt = undefined;
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
 import { jobSpec } from '../testing/block-stage.js';
 import { HeldStore } from '../testing/held-store.js';
 import { testSettings } from '../testing/settings.js';
@@ -11,7 +12,7 @@
 import { BlockState } from './block-state.js';
 import { JobIndex } from './job-index.js';
 import { type LedgerLayout, ledgerLayout } from './ledger-layout.js';
-import { snapshotPage } from './ledger.js';
+import { snapshotPage } from './page-snapshot.js';
 
 const id = 'req-000398';
 const tasks = 300;
@@ -135,6 +136,7 @@
     await store.commit('duty', [], [{ put: ledgerKey(0, 0), value }]);
     const blockState = await blockStateOf(store, ledgerLayout(settings, false));
     assert.equal(blockState.ledger.retiredPages.size, 0);
-    assert.deepEqual(blockState.jobs.get(id)?.buildEntry(0).entry.chunkTasks, 10);
+    const [chunk] = blockState.ledger.page(0).chunks;
+    assert.deepEqual(chunk?.builder.buildEntry(0).entry.chunkTasks, 10);
   });
 });
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -1,6 +1,8 @@
+/** One rented machine as the owner of its block sees it. */
 import type { MachineType, ReportedTask, Resources } from '../model/types.js';
 import type { Task } from './job-state.js';
 
+/** What the block's record says of a machine; type and zone are empty while only a ledger names it. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -8,42 +10,61 @@
   spot: boolean;
 }
 
-/** One rented machine as its block's owner sees it. */
+/** Why the owner of a block has decided to terminate a machine. */
+export type ReleaseReason = 'never came up' | 'deaf' | 'faulty' | 'silent';
+
+/** A task that a machine has and should not have. */
+export interface OrphanedTask {
+  task: ReportedTask;
+  need: Resources;
+  /** Unknown if the block has no record of its job. */
+  team: string | undefined;
+}
+
+/** A machine on which tasks of so many jobs have failed is taken for faulty: one job's failures say little of it. */
+const faultyAfterFailedJobs = 2;
+
+/** What the block's record, the machine's heartbeats and the placing of tasks say of a machine. Times are steady, in ms. */
 export class MachineState {
   info: MachineInfo;
-  /** What entitles us to command it; a worker that has seen it drops everything older. */
+  /** Entitles us to command the machine; a worker that has seen it drops commands with a lower one. */
   fencingToken = 0;
+  /** Address of its worker, empty before the first heartbeat. */
   address = '';
+  /** Agent epoch and sequence of the latest heartbeat; epochs grow with each start of a worker, sequences within one. */
   agentEpoch = 0;
   sequence = -1;
-  /** Its last report carried our token: what it says counts as truth. */
+  /** Its last heartbeat carried our fencing token: what it says of tasks counts as truth. */
   reconciled = false;
-  /** When we first answered a report that did not carry our token yet; none since a report has carried it. */
+  /** When we first answered a heartbeat without our fencing token; undefined again once a heartbeat has carried it. */
   fencingTokenOfferedAt: number | undefined;
-  /** It has reported to this owner. */
+  /** It has sent a heartbeat to this owner. */
   hasSentHeartbeat = false;
   firstHeartbeatAt = 0;
-  /** To be given back or leased to another: nothing more is placed on it. */
+  /** To be terminated or leased to another block: nothing more is placed on it. */
   draining = false;
+  /** Nothing more is placed on it, and it is terminated once it is empty. */
   faulty = false;
-  /** Its release has been decided; the cloud's answer will be the proof that it is gone. */
-  releaseReason = '';
+  /** Set once its termination has been decided; the cloud's answer will be the proof that it is gone. */
+  releaseReason: ReleaseReason | undefined;
+  /** Seconds until the cloud takes it back, from when its worker was told; null unless it has been. */
   preemptionNoticeS: number | null = null;
-  /** Time of day of its rental. */
+  /** Time of day of its rental in ms. */
   rentedAt = 0;
-  /** The last sign of life, or when we began to expect one. */
+  /** The last heartbeat, or when we began to expect one. */
   lastHeartbeatAt: number;
   readonly leasedAt: number;
-  /** Set while the answer to its report is held: calling it lets the answer go, with whatever there is to say by then. */
+  /** Set while the response to its heartbeat is held: sends it, with whatever there is to say by then. */
   sendHeldResponse: (() => void) | undefined;
   /** When its worker was last told to forget anything. */
   lastForgetAt = 0;
   /** Tasks that are on it, or that it may have been told to start, or that are about to be placed on it. */
   readonly tasks = new Map<string, Task>();
-  /** Reported tasks that it should not have, until they are gone: they still take room. */
-  orphanedTasks: { task: ReportedTask; need: Resources; team: string }[] = [];
+  /** Reported tasks that it should not have: they take room until they are gone. */
+  orphanedTasks: OrphanedTask[] = [];
+  /** Images that it has fetched. */
   readonly cachedImages = new Set<string>();
-  readonly failedJobs = new Set<string>();
+  private readonly failedJobs = new Set<string>();
 
   constructor(id: string, now: number) {
     this.info = { id, type: '', zone: '', spot: false };
@@ -51,10 +72,12 @@
     this.leasedAt = now;
   }
 
+  /** Name of the machine in the cloud. */
   get id(): string {
     return this.info.id;
   }
 
+  /** Takes over the token of a lease; with another one than before, the machine has to be reconciled again. */
   setFencingToken(fencingToken: number): void {
     if (fencingToken === this.fencingToken) return;
     this.fencingToken = fencingToken;
@@ -62,7 +85,25 @@
     this.fencingTokenOfferedAt = undefined;
   }
 
-  /** We were held up for so long ourselves: that is no time in which it could have been heard. */
+  /** Whether tasks may be placed on it, if its last heartbeat is no older than this. */
+  isUsable(now: number, maxHeartbeatAgeMs: number): boolean {
+    return (
+      this.reconciled &&
+      this.releaseReason === undefined &&
+      !this.draining &&
+      !this.faulty &&
+      this.preemptionNoticeS === null &&
+      now - this.lastHeartbeatAt < maxHeartbeatAgeMs
+    );
+  }
+
+  /** A task of the job has failed on the machine. */
+  noteFailedJob(job: string): void {
+    this.failedJobs.add(job);
+    if (this.failedJobs.size >= faultyAfterFailedJobs) this.faulty = true;
+  }
+
+  /** The controller was held up for so long itself: that time counts neither as silence nor as disobedience. */
   addGrace(graceMs: number): void {
     this.lastHeartbeatAt += graceMs;
     if (this.fencingTokenOfferedAt !== undefined) this.fencingTokenOfferedAt += graceMs;
@@ -70,8 +111,8 @@
   }
 
   /**
-   * Since when it has reported without doing what it was told: its reports reach us and our answers do not reach it.
-   * Such a machine would take tasks for ever and start none.
+   * Since when it has sent heartbeats without doing what it was told: its requests reach us and our responses do not reach
+   * it. Such a machine would take tasks for ever and start none.
    */
   oneWayPartitionSince(): number | undefined {
     let since = this.reconciled ? undefined : this.fencingTokenOfferedAt;
@@ -82,6 +123,7 @@
     return since;
   }
 
+  /** What of it is left beside its tasks and orphaned tasks; below 0 if it has too many. */
   freeResources(machineType: MachineType): Resources {
     let { cpus, accelerators, memoryGb } = machineType;
     const subtract = (need: Resources): void => {
--- /dev/null
+++ b/src/placement/placement-round.test.ts
@@ -0,0 +1,95 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { type JobSpec, taskKey } from '../model/types.js';
+import { jobSpec } from '../testing/block-stage.js';
+import { machineType } from '../testing/cloud-standin.js';
+import { createJobState, createMachineState } from '../testing/job-states.js';
+import { testSettings } from '../testing/settings.js';
+import { parseMachineTypes } from '../wire/cloud.js';
+import type { JobState } from './job-state.js';
+import type { MachineState } from './machine-state.js';
+import { type Placement, type PlacementRound, placeTasks } from './placement-round.js';
+import { TeamUsage } from './team-usage.js';
+
+/** A whole round in which everything may be used, unless `change` says otherwise. */
+function runRound(
+  jobs: JobState[],
+  machines: Iterable<MachineState>,
+  change: Partial<PlacementRound> = {},
+): Placement[] {
+  return placeTasks({
+    now: 0,
+    jobs,
+    machines,
+    spotTypes: new Set<string>(),
+    isPartial: false,
+    machineTypes: new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type])),
+    teamOf: (name) => testSettings().teams.get(name),
+    teamUsage: () => new TeamUsage(),
+    maxTasks: 10,
+    isUsable: () => true,
+    ...change,
+  });
+}
+
+// Guards against ordinary machines filled with work that could have waited for a spot machine.
+test('work that may use spot machines leaves ordinary ones alone while there is a spot machine, even a full one', () => {
+  const machines = [createMachineState('m1', { spot: true }), createMachineState('m2')];
+  const job = createJobState({ ...jobSpec('req-1', 6), spot: true });
+  const place = (): string[] => {
+    const spotTypes = new Set(machines.some((machine) => machine.info.spot) ? ['c8'] : []);
+    const placements = runRound([job], machines, { spotTypes, maxTasks: 9 });
+    for (const { task, machine } of placements) machine.tasks.set(`${task.job.id}/${task.index}`, task);
+    return placements.map(({ machine }) => machine.id);
+  };
+  assert.deepEqual(place(), ['m1', 'm1', 'm1', 'm1']);
+  assert.deepEqual(place(), []);
+  machines.shift();
+  assert.deepEqual(place(), ['m2', 'm2']);
+});
+
+// Guards against a round that leaves machines out too early: what is full for one job may have room for a smaller one.
+test('a round goes on to smaller jobs after larger ones have found no room, and past teams at their limit', () => {
+  const jobs = [
+    { ...jobSpec('req-1', 1), cpus: 6, team: 'blue' },
+    { ...jobSpec('req-2', 1), cpus: 6, team: 'blue' },
+    { ...jobSpec('req-3', 1), cpus: 1, team: 'red' },
+    { ...jobSpec('req-4', 1), cpus: 1, team: 'blue' },
+  ].map((spec) => createJobState(spec));
+  const usage = new TeamUsage();
+  usage.add('red', { cpus: 32, accelerators: 0, memoryGb: 0 });
+  const placements = runRound(jobs, [createMachineState('m1')], { maxTasks: 9, teamUsage: () => usage });
+  assert.deepEqual(
+    placements.map(({ task }) => task.job.id),
+    ['req-1', 'req-4'],
+  );
+});
+
+// Guards against a round that walked the block's machines twice though their iterator is spent after the first time: it saw
+// no task of the job anywhere, and what had to stay in the zone of its others started in any.
+test('a round keeps colocated and spread jobs to the zones that follow from tasks placed before', () => {
+  const zonesOf = (change: Partial<JobSpec>, placedOn: string[]): string[] => {
+    const job = createJobState({ ...jobSpec('req-1', 4), ...change });
+    const machines = new Map(
+      ['a', 'b', ''].map((zone) => [`m-${zone}`, createMachineState(`m-${zone}`, { zone })]),
+    );
+    for (const id of placedOn) {
+      const task = job.nextWaitingTask();
+      assert.ok(task);
+      job.placeTask(task, id, 0);
+      machines.get(id)?.tasks.set(taskKey({ job: job.id, index: task.index }), task);
+    }
+    const placements = runRound([job], machines.values(), {
+      teamOf: () => testSettings().teams.get('blue'),
+      // One whose zone is not known yet takes nothing.
+      isUsable: (machine) => machine.info.zone !== '',
+    });
+    return placements.map(({ machine }) => machine.info.zone);
+  };
+  assert.deepEqual(zonesOf({ colocated: true }, ['m-b']), ['b', 'b', 'b']);
+  assert.deepEqual(zonesOf({ spread: true }, ['m-a', 'm-a']), ['b', 'b']);
+  // Where one of them is, nobody knows: it may be in either zone.
+  assert.deepEqual(zonesOf({ spread: true }, ['m-']), ['a', 'b']);
+  assert.deepEqual(zonesOf({ colocated: true }, ['m-']), []);
+});
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,189 +1,230 @@
-import { type JobSpec, type MachineType, type Resources, fits, withinLimit } from '../model/types.js';
+/** Chooses machines for waiting tasks. */
+import { fits, type JobSpec, type MachineType, type Resources } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import type { MachineState } from './machine-state.js';
 import type { JobState, Task } from './job-state.js';
+import type { MachineState } from './machine-state.js';
+import type { TeamUsage } from './team-usage.js';
 
+export { TeamUsage } from './team-usage.js';
+
+/** What one round starts from. */
 export interface PlacementRound {
+  /** Steady time in ms. */
   now: number;
-  /** With waiting tasks, in the order of work. */
+  /** Jobs with waiting tasks, those first that are to start first. */
   jobs: JobState[];
   machines: Iterable<MachineState>;
-  /** Types of which the block has cheap machines, with room or without. */
+  /** Types of which the block has usable spot machines, with room or without. */
   spotTypes: ReadonlySet<string>;
-  /** A round for some of the block's machines only: jobs whose tasks depend on each other's zones wait for a whole one. */
+  /** A round over some of the block's machines only: jobs whose tasks depend on each other's zones wait for a whole one. */
   isPartial: boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
   /** The team with what this block may use of its limits. */
   teamOf: (name: string) => Team | undefined;
+  /** What teams use at present; the round adds what it places. */
   teamUsage: () => TeamUsage;
   /** How many tasks may be placed at most: what one round of commits can carry. */
   maxTasks: number;
   isUsable: (machine: MachineState) => boolean;
 }
 
+/** A machine chosen for a task. */
 export interface Placement {
   task: Task;
   machine: MachineState;
 }
 
-/** What the tasks of each team take at the moment, in every state in which they may be on a machine. */
-export class TeamUsage {
-  private readonly usageByTeam = new Map<string, { cpus: number; accelerators: number }>();
+/** A machine that tasks may be placed on, and what is left of it at this point of the round. */
+interface Candidate {
+  readonly machine: MachineState;
+  readonly free: Resources;
+}
 
-  usedBy(team: string): { cpus: number; accelerators: number } {
-    let entry = this.usageByTeam.get(team);
-    if (!entry) {
-      entry = { cpus: 0, accelerators: 0 };
-      this.usageByTeam.set(team, entry);
-    }
-    return entry;
+type PlaceableJob = JobState & { readonly spec: JobSpec };
+
+/**
+ * First-fit: each waiting task, in the order of the jobs, goes to the first machine that has room for it. The tasks are marked
+ * as placed on their machines; the caller has to count them among those of the machines.
+ */
+export function placeTasks(round: PlacementRound): Placement[] {
+  const jobs = round.jobs.filter((job) => isPlaceable(job, round));
+  // Most rounds have nothing to place, and there is one for nearly every heartbeat.
+  if (jobs.length === 0) return [];
+  const minNeed = smallestNeed(jobs.map((job) => job.need));
+  // They are walked more than once, and an iterator is spent after the first time.
+  const machines = [...round.machines];
+  const candidates = findCandidates(round, machines, minNeed);
+  if (candidates.length === 0) return [];
+  return new RoundInProgress(round, machines, candidates).placeAll(jobs, minNeed);
+}
+
+function isPlaceable(job: JobState, round: PlacementRound): job is PlaceableJob {
+  return (
+    job.spec !== undefined &&
+    job.waitingCount > 0 &&
+    !job.isCommittingOutcome &&
+    !(round.isPartial && isZoneConstrained(job)) &&
+    job.retryAt <= round.now &&
+    job.version !== job.rejectedVersion
+  );
+}
+
+/** A machine without room for this has none for any of them. */
+function smallestNeed(needs: Resources[]): Resources {
+  return {
+    cpus: Math.min(...needs.map((need) => need.cpus)),
+    accelerators: Math.min(...needs.map((need) => need.accelerators)),
+    memoryGb: Math.min(...needs.map((need) => need.memoryGb)),
+  };
+}
+
+/** Usable machines with room for the smallest task, by name. */
+function findCandidates(round: PlacementRound, machines: MachineState[], minNeed: Resources): Candidate[] {
+  const candidates: Candidate[] = [];
+  for (const machine of machines) {
+    if (!round.isUsable(machine)) continue;
+    const type = round.machineTypes.get(machine.info.type);
+    if (!type) continue;
+    const free = machine.freeResources(type);
+    if (fits(minNeed, free)) candidates.push({ machine, free });
   }
+  return candidates.sort((a, b) => (a.machine.id < b.machine.id ? -1 : 1));
+}
 
-  add(team: string, need: Resources, count = 1): void {
-    const entry = this.usedBy(team);
-    entry.cpus += need.cpus * count;
-    entry.accelerators += need.accelerators * count;
+class RoundInProgress {
+  private readonly placements: Placement[] = [];
+  private readonly usage: TeamUsage;
+
+  constructor(
+    private readonly round: PlacementRound,
+    private readonly machines: MachineState[],
+    private candidates: Candidate[],
+  ) {
+    this.usage = round.teamUsage();
   }
 
-  /** The team uses more than its limit. */
-  exceedsLimit(team: Team | undefined): boolean {
-    if (!team) return false;
-    const used = this.usedBy(team.name);
-    return (
-      !withinLimit(used.cpus, 0, team.cpusMax) || !withinLimit(used.accelerators, 0, team.acceleratorsMax)
-    );
+  placeAll(jobs: PlaceableJob[], minNeed: Resources): Placement[] {
+    for (const job of jobs) {
+      const placedBefore = this.placements.length;
+      this.placeJob(job);
+      if (this.isFull) break;
+      // With what is full left out, a long queue beside little room is soon gone through.
+      if (this.placements.length > placedBefore)
+        this.candidates = this.candidates.filter(({ free }) => fits(minNeed, free));
+      if (this.candidates.length === 0) break;
+    }
+    return this.placements;
   }
 
-  admits(team: Team | undefined, need: Resources): boolean {
-    if (!team) return false;
-    const used = this.usedBy(team.name);
-    return (
-      withinLimit(used.cpus, need.cpus, team.cpusMax) &&
-      withinLimit(used.accelerators, need.accelerators, team.acceleratorsMax)
-    );
+  private get isFull(): boolean {
+    return this.placements.length >= this.round.maxTasks;
   }
-}
 
-interface Candidate {
-  machine: MachineState;
-  free: Resources;
-}
+  private placeJob(job: PlaceableJob): void {
+    const team = this.round.teamOf(job.team);
+    if (!this.usage.admits(team, job.need)) return;
+    const tasksByZone = countTasksByZone(job, this.machines);
+    const candidates = fastestStartFirst(this.candidatesFor(job.spec), job.spec.image);
+    let waiting = job.waitingCount;
+    let next = 0;
+    while (waiting > 0 && !this.isFull && this.usage.admits(team, job.need)) {
+      // What does not suit one task of the job does not suit its next: nothing frees up within a round.
+      next = indexOfSuitable(candidates, next, job, tasksByZone);
+      const candidate = candidates[next];
+      const task = candidate && job.nextWaitingTask();
+      if (!task) break;
+      this.place(task, candidate);
+      addTo(tasksByZone, candidate.machine.info.zone, 1);
+      waiting--;
+    }
+  }
 
-/** First-fit: each waiting task, in the order of work, goes to the first machine that has room for it. */
-export function placeTasks(round: PlacementRound): Placement[] {
-  const choices: Placement[] = [];
-  const waiting = round.jobs
-    .filter(
-      (job) =>
-        job.waitingCount > 0 &&
-        !job.isCommittingOutcome &&
-        !(round.isPartial && isZoneConstrained(job)) &&
-        job.retryAt <= round.now &&
-        job.version !== job.rejectedVersion,
-    )
-    .map((job) => ({ job, spec: job.spec }))
-    .filter((entry): entry is { job: JobState; spec: JobSpec } => entry.spec !== undefined);
-  // Most rounds have nothing to place, and there is one for nearly every report.
-  if (waiting.length === 0) return choices;
-  const least = smallestNeed(waiting.map(({ job }) => job.need));
-  // They are walked more than once, and an iterator is spent after the first time.
-  const machines = [...round.machines];
-  const usable = machines
-    .filter(round.isUsable)
-    .map((machine) => ({ machine, type: round.machineTypes.get(machine.info.type) }))
-    .filter((m): m is { machine: MachineState; type: MachineType } => m.type !== undefined);
-  let rooms = usable
-    .map((m) => ({ ...m, free: m.machine.freeResources(m.type) }))
-    .filter(({ free }) => fits(least, free))
-    .sort((a, b) => (a.machine.id < b.machine.id ? -1 : 1));
-  if (rooms.length === 0) return choices;
-  const usage = round.teamUsage();
-  for (const { job, spec } of waiting) {
-    const team = round.teamOf(job.team);
-    if (!usage.admits(team, job.need)) continue;
-    const zones = countTasksByZone(job, machines);
-    const half = Math.ceil(spec.tasks / 2);
-    let candidates = rooms.filter(
-      ({ machine }) =>
-        (spec.machineTypes === null || spec.machineTypes.includes(machine.info.type)) &&
-        (spec.zone === null || spec.zone === machine.info.zone) &&
-        (spec.spot || !machine.info.spot),
+  private candidatesFor(spec: JobSpec): Candidate[] {
+    const { machineTypes, zone, spot } = spec;
+    const candidates = this.candidates.filter(
+      ({ machine: { info } }) =>
+        (machineTypes === null || machineTypes.includes(info.type)) &&
+        (zone === null || zone === info.zone) &&
+        (spot || !info.spot),
     );
-    // Work that may use cheap machines leaves ordinary ones to work that may not, as long as there are cheap ones, even
+    // Work that may use spot machines leaves ordinary ones to work that may not, as long as there are spot ones, even
     // if all of them are full.
-    const cheap = [...round.spotTypes].some(
-      (type) => spec.machineTypes === null || spec.machineTypes.includes(type),
+    const hasSpot = [...this.round.spotTypes].some(
+      (type) => machineTypes === null || machineTypes.includes(type),
     );
-    if (spec.spot && cheap) candidates = candidates.filter(({ machine }) => machine.info.spot);
-    candidates = fastestStartFirst(candidates, spec.image);
-    const placedBefore = choices.length;
-    let left = job.waitingCount;
-    let at = 0;
-    while (left > 0 && choices.length < round.maxTasks && usage.admits(team, job.need)) {
-      const suits = ({ machine, free }: Candidate): boolean =>
-        fits(job.need, free) &&
-        (!spec.spread || countInZone(zones, machine.info.zone) < half) &&
-        (!spec.colocated || zones.size === 0 || zones.has(machine.info.zone));
-      // What does not suit one task of the job does not suit its next: nothing frees up within a round.
-      while (at < candidates.length && !suits(candidates[at] as Candidate)) at++;
-      const room = candidates[at];
-      const task = room && job.nextWaitingTask();
-      if (!room || !task) break;
-      job.placeTask(task, room.machine.id, round.now);
-      room.free.cpus -= job.need.cpus;
-      room.free.accelerators -= job.need.accelerators;
-      room.free.memoryGb -= job.need.memoryGb;
-      usage.add(job.team, job.need);
-      zones.set(room.machine.info.zone, (zones.get(room.machine.info.zone) ?? 0) + 1);
-      choices.push({ task, machine: room.machine });
-      left--;
-    }
-    if (choices.length >= round.maxTasks) break;
-    // With what is full left out, a long queue beside little room is soon gone through.
-    if (choices.length > placedBefore) rooms = rooms.filter(({ free }) => fits(least, free));
-    if (rooms.length === 0) break;
+    return spot && hasSpot ? candidates.filter(({ machine }) => machine.info.spot) : candidates;
+  }
+
+  private place(task: Task, { machine, free }: Candidate): void {
+    const { job } = task;
+    job.placeTask(task, machine.id, this.round.now);
+    free.cpus -= job.need.cpus;
+    free.accelerators -= job.need.accelerators;
+    free.memoryGb -= job.need.memoryGb;
+    this.usage.add(job.team, job.need);
+    this.placements.push({ task, machine });
   }
-  return choices;
 }
 
-/** A machine that has the image need not fetch it; one whose answer is held hears of the task at once. */
-function fastestStartFirst<R extends Candidate>(rooms: R[], image: string): R[] {
-  const ranked: R[][] = [[], [], [], []];
-  for (const room of rooms) {
-    const { cachedImages, sendHeldResponse } = room.machine;
-    ranked[(cachedImages.has(image) ? 0 : 2) + (sendHeldResponse ? 0 : 1)]?.push(room);
+/** A machine that has the image need not fetch it; one whose response is held hears of the task at once. */
+function fastestStartFirst(candidates: Candidate[], image: string): Candidate[] {
+  const ranked: Candidate[][] = [[], [], [], []];
+  for (const candidate of candidates) {
+    const { cachedImages, sendHeldResponse } = candidate.machine;
+    ranked[(cachedImages.has(image) ? 0 : 2) + (sendHeldResponse ? 0 : 1)]?.push(candidate);
   }
   return ranked.flat();
 }
 
-function isZoneConstrained(job: JobState): boolean {
-  return job.spec !== undefined && (job.spec.colocated || job.spec.spread);
+/** The first candidate from `start` on that suits the next task of the job; none does beyond the last. */
+function indexOfSuitable(
+  candidates: Candidate[],
+  start: number,
+  job: PlaceableJob,
+  tasksByZone: ReadonlyMap<string, number>,
+): number {
+  let index = start;
+  for (; index < candidates.length; index++) {
+    const candidate = candidates[index];
+    if (candidate && fits(job.need, candidate.free) && suitsZone(job, candidate, tasksByZone)) break;
+  }
+  return index;
 }
 
-/** What has no room for this has none for any of them. */
-function smallestNeed(needs: Resources[]): Resources {
-  return {
-    cpus: Math.min(...needs.map((need) => need.cpus)),
-    accelerators: Math.min(...needs.map((need) => need.accelerators)),
-    memoryGb: Math.min(...needs.map((need) => need.memoryGb)),
-  };
+function suitsZone(
+  { spec }: PlaceableJob,
+  { machine }: Candidate,
+  tasksByZone: ReadonlyMap<string, number>,
+): boolean {
+  const { zone } = machine.info;
+  const maxInZone = Math.ceil(spec.tasks / 2);
+  if (spec.spread && countInZone(tasksByZone, zone) >= maxInZone) return false;
+  return !spec.colocated || tasksByZone.size === 0 || tasksByZone.has(zone);
+}
+
+function isZoneConstrained({ spec }: JobState): boolean {
+  return spec !== undefined && (spec.colocated || spec.spread);
 }
 
-/** A machine that a ledger names and no block's record does may be anywhere. */
+/** Zone of a machine that a ledger names and no block's record does: it may be anywhere. */
 const unknownZone = '';
 
-/** Tasks of the job that are or may be on machines, by zone. */
+/** Tasks of the job that are or may be on machines, by zone; not counted where zones do not matter to it. */
 function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
-  const zones = new Map<string, number>();
-  if (!isZoneConstrained(job)) return zones;
+  const tasksByZone = new Map<string, number>();
+  if (!isZoneConstrained(job)) return tasksByZone;
   for (const { info, tasks, orphanedTasks } of machines) {
-    let here = orphanedTasks.filter(({ task }) => task.job === job.id).length;
-    for (const task of tasks.values()) if (task.job === job) here++;
-    if (here > 0) zones.set(info.zone, (zones.get(info.zone) ?? 0) + here);
+    let count = orphanedTasks.filter(({ task }) => task.job === job.id).length;
+    for (const task of tasks.values()) if (task.job === job) count++;
+    if (count > 0) addTo(tasksByZone, info.zone, count);
   }
-  return zones;
+  return tasksByZone;
+}
+
+function countInZone(tasksByZone: ReadonlyMap<string, number>, zone: string): number {
+  return (tasksByZone.get(zone) ?? 0) + (tasksByZone.get(unknownZone) ?? 0);
 }
 
-function countInZone(zones: ReadonlyMap<string, number>, zone: string): number {
-  return (zones.get(zone) ?? 0) + (zones.get(unknownZone) ?? 0);
+function addTo(tasksByZone: Map<string, number>, zone: string, count: number): void {
+  tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + count);
 }
--- a/src/placement/queue-order.test.ts
+++ b/src/placement/queue-order.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '../model/types.js';
 import { lateClasses } from './lateness.js';
-import { QueueOrder, type QueuedJob, withoutDependencies } from './queue-order.js';
+import { type QueuedJob, QueueOrder, withoutDependencies } from './queue-order.js';
 
 const objectives = [
   { kind: 'wait', jobClass: 'quick', share: 0.9, withinS: 60, times: undefined },
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -1,74 +1,65 @@
 /** When a block's waiting tasks are placed, and when what has changed is written down. */
-import type { Clock } from '../base/clock.js';
-import { onAbort } from '../base/aborts.js';
-import { sleep, timer } from '../base/clock.js';
-import type { Log } from '../base/log.js';
+import { sleep } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
 import type { MachineType } from '../model/types.js';
-import type { Settings } from '../settings/settings.js';
-import type { StoreClient } from '../store/client.js';
-import type { CommitQueue } from '../store/commit-queue.js';
-import type { MachineState } from './machine-state.js';
-import type { BlockState } from './block-state.js';
-import { JobCompletion } from './job-completion.js';
-import type { JobIndex } from './job-index.js';
+import { waitForIntentCommits } from './intent-commits.js';
+import { JobCompletion, type JobCompletionPorts } from './job-completion.js';
 import type { Task } from './job-state.js';
-import type { LedgerPage } from './ledger.js';
-import { LedgerWriter } from './ledger-writer.js';
+import { LedgerWriter, type LedgerWriterPorts } from './ledger-writer.js';
+import type { MachineState } from './machine-state.js';
 import { placeTasks } from './placement-round.js';
+import { RoundTrigger } from './round-trigger.js';
 
-export interface SchedulerPorts {
-  clock: Clock;
-  wallClock: () => number;
-  log: Log;
-  settings: Settings;
-  store: StoreClient;
-  commits: CommitQueue;
-  blockState: BlockState;
-  /** Ends with the lease of the block. */
-  signal: AbortSignal;
-  jobIndex: JobIndex;
+/** What the scheduler and its parts use. */
+export interface SchedulerPorts
+  extends Omit<LedgerWriterPorts, 'onCommitSettled'>, Omit<JobCompletionPorts, 'onOutcomeSettled'> {
+  commits: LedgerWriterPorts['commits'];
   machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-/** What is asked for within this time is looked at together. */
-const gatherTriggersMs = 100;
-/** A round comes so often in a report interval in any case: machines and pauses become usable with time alone. */
+/** Requests that come within this time are served by one round. */
+const gatherRequestsMs = 100;
+/** There are so many rounds in a heartbeat interval in any case: machines and pauses become usable with time alone. */
 const roundsPerHeartbeat = 4;
-/** Placements of one round, as a multiple of the writes that fit a transaction. */
+/** One round places as many tasks as there are writes in so many transactions. */
 const transactionsPerRound = 8;
+/** A machine that has not been heard of for so many heartbeat intervals gets no tasks. */
+const maxHeartbeatAgeIntervals = 1.6;
 
 /** Places waiting tasks and keeps the store in step with the state of the block, intents first. */
 export class Scheduler {
-  private isRoundRequested = true;
-  /** Set while the rounds rest: something that presses calls it. */
-  private wakeLoop: (() => void) | undefined;
-  /** Types of the block's usable cheap machines, as of the last whole round. */
+  private readonly trigger = new RoundTrigger();
+  private lastRoundAt = -Infinity;
+  /** Types of the block's usable spot machines, as of the last round over all machines. */
   private spotTypes: ReadonlySet<string> = new Set();
   private readonly writer: LedgerWriter;
   private readonly completion: JobCompletion;
+  private readonly roundIntervalMs: number;
+  private readonly maxHeartbeatAgeMs: number;
 
   constructor(private readonly ports: SchedulerPorts) {
+    const { heartbeatIntervalMs } = ports.settings;
+    this.roundIntervalMs = heartbeatIntervalMs / roundsPerHeartbeat;
+    this.maxHeartbeatAgeMs = heartbeatIntervalMs * maxHeartbeatAgeIntervals;
     this.writer = new LedgerWriter({ ...ports, onCommitSettled: () => this.writeChanges() });
     this.completion = new JobCompletion({ ...ports, onOutcomeSettled: () => this.requestRound() });
   }
 
-  /** Something changed that may let a task start. */
+  /** Something changed that may let a task start: a round over all machines follows soon. */
   requestRound(): void {
-    this.isRoundRequested = true;
-    this.wakeLoop?.();
+    this.trigger.request();
   }
 
-  /** A round at once for one machine, whose answer can carry its starts. */
+  /** A round at once for one machine, so that the response to its heartbeat can carry its starts. */
   placeOn(machine: MachineState): void {
     const { signal, store, blockState } = this.ports;
     if (signal.aborted || store.failing) return;
     if (blockState.waitingJobs().length > 0 && this.hasRoom(machine)) this.placeWaitingTasks([machine]);
-    // What the report said is written down once it is due; most reports say nothing new.
+    // What the heartbeat said is written down once it is due; most heartbeats say nothing new.
     if (blockState.ledger.hasUnwrittenChanges) this.writeChanges();
   }
 
-  /** There is room on the machine, and it may be used. */
+  /** Whether the machine may be used and has room for anything. */
   hasRoom(machine: MachineState): boolean {
     const type = this.ports.machineTypes().get(machine.info.type);
     if (!type || !this.isUsable(machine)) return false;
@@ -77,81 +68,60 @@
   }
 
   /** Settles once it is known which of the tasks that are being placed may start, or when the time is up. */
-  async waitForCommits(tasks: () => Iterable<Task>, withinMs: number): Promise<void> {
-    const { clock } = this.ports;
-    const until = clock() + withinMs;
-    const pages = (): Set<LedgerPage> => {
-      const placing = [...tasks()].filter((task) => task.phase === 'placing');
-      return new Set(placing.flatMap((task) => task.job.pageOf(task.index) ?? []));
-    };
-    let open = pages();
-    if (open.size === 0) return;
-    const timeUp = timer(withinMs);
-    for (; open.size > 0 && clock() < until; open = pages()) {
-      // A page that cannot be committed now, since the store knows the block differently, takes longer than we wait.
-      const commits = [...open].filter((page) => page.isCommitting).map((page) => page.commit);
-      await (commits.length > 0 ? Promise.race([timeUp.over, Promise.all(commits)]) : timeUp.over);
-    }
-    timeUp.cancel();
-  }
-
-  /** A machine that tasks may be placed on. */
-  isUsable(machine: MachineState): boolean {
-    const { clock, settings } = this.ports;
-    return (
-      machine.reconciled &&
-      machine.releaseReason === '' &&
-      !machine.draining &&
-      !machine.faulty &&
-      machine.preemptionNoticeS === null &&
-      clock() - machine.lastHeartbeatAt < settings.heartbeatIntervalMs * 1.6
-    );
+  waitForCommits(tasks: () => Iterable<Task>, withinMs: number): Promise<void> {
+    return waitForIntentCommits(tasks, withinMs, this.ports.clock);
   }
 
+  /** Runs rounds over all machines until the lease of the block ends. Called once. */
   async run(): Promise<void> {
-    const { signal, store, blockState, settings, clock } = this.ports;
-    const restMs = settings.heartbeatIntervalMs / roundsPerHeartbeat;
-    let placedAt = -Infinity;
-    while (!signal.aborted) {
-      await sleep(gatherTriggersMs, signal);
-      if (!this.isRoundRequested) await this.waitUpTo(this.nextRoundMs(restMs));
-      if (signal.aborted) return;
-      if ((this.isRoundRequested || clock() - placedAt >= restMs) && !store.failing) {
-        this.isRoundRequested = false;
-        placedAt = clock();
-        if (blockState.waitingJobs().length > 0) this.placeWaitingTasks();
+    const { signal } = this.ports;
+    while (!this.isOver()) {
+      await sleep(gatherRequestsMs, signal);
+      if (!this.trigger.isRequested) await this.trigger.wait(this.nextRoundMs(), signal);
+      if (this.isOver()) return;
+      if (this.isRoundDue()) {
+        this.startRound();
         await nextTurn();
       }
-      if (!signal.aborted && this.writer.canCommit) this.completion.checkAllJobs();
+      if (!this.isOver() && this.writer.canCommit) this.completion.checkAllJobs();
       await nextTurn();
-      if (!signal.aborted) this.writeChanges();
+      if (!this.isOver()) this.writeChanges();
     }
   }
 
-  /** Until the next round is due: sooner where intents wait for their turn, or completions are being gathered. */
-  private nextRoundMs(restMs: number): number {
-    const { blockState, store } = this.ports;
-    const waitMs = Math.max(gatherTriggersMs, store.writeWaitMs('duty'));
-    if (blockState.ledger.hasUrgentWrites && !store.failing) return Math.min(restMs, waitMs);
-    return blockState.ledger.hasUnwrittenChanges ? Math.min(restMs, this.writer.nextCheckMs) : restMs;
+  /** The signal may fire during any pause. */
+  private isOver(): boolean {
+    return this.ports.signal.aborted;
   }
 
-  private async waitUpTo(ms: number): Promise<void> {
-    const over = timer(ms);
-    const stopListening = onAbort(this.ports.signal, () => this.wakeLoop?.());
-    const woken = new Promise<void>((resolve) => {
-      this.wakeLoop = resolve;
-    });
-    await Promise.race([over.over, woken]);
-    over.cancel();
-    stopListening();
-    this.wakeLoop = undefined;
+  private isRoundDue(): boolean {
+    const { store, clock } = this.ports;
+    const isIntervalOver = (): boolean => clock() - this.lastRoundAt >= this.roundIntervalMs;
+    return (this.trigger.isRequested || isIntervalOver()) && !store.failing;
   }
 
+  private startRound(): void {
+    const { blockState, clock } = this.ports;
+    this.trigger.clear();
+    this.lastRoundAt = clock();
+    if (blockState.waitingJobs().length > 0) this.placeWaitingTasks();
+  }
+
+  /** Until the next round is due: sooner where intents wait for their turn, or completions are being gathered. */
+  private nextRoundMs(): number {
+    const { blockState, store } = this.ports;
+    const writeWaitMs = Math.max(gatherRequestsMs, store.writeWaitMs('duty'));
+    if (blockState.ledger.hasUrgentWrites && !store.failing)
+      return Math.min(this.roundIntervalMs, writeWaitMs);
+    if (!blockState.ledger.hasUnwrittenChanges) return this.roundIntervalMs;
+    return Math.min(this.roundIntervalMs, this.writer.nextCheckMs);
+  }
+
+  /** Over the given machines, or over all. */
   private placeWaitingTasks(machines?: MachineState[]): void {
     const { blockState, clock, settings, machineTypes } = this.ports;
     if (!machines) this.spotTypes = this.usableSpotTypes();
-    const choices = placeTasks({
+    const placements = placeTasks({
       now: clock(),
       jobs: blockState.waitingJobs(),
       machines: machines ?? blockState.machines.values(),
@@ -163,15 +133,21 @@
       maxTasks: settings.state.txnOps * transactionsPerRound,
       isUsable: (machine) => this.isUsable(machine),
     });
-    for (const { task, machine } of choices) blockState.addTask(task, machine);
+    for (const { task, machine } of placements) blockState.addTask(task, machine);
+  }
+
+  private isUsable(machine: MachineState): boolean {
+    return machine.isUsable(this.ports.clock(), this.maxHeartbeatAgeMs);
   }
 
   private usableSpotTypes(): Set<string> {
-    const cheap = [...this.ports.blockState.machines.values()].filter((m) => m.info.spot && this.isUsable(m));
-    return new Set(cheap.map((machine) => machine.info.type));
+    const types = new Set<string>();
+    for (const machine of this.ports.blockState.machines.values())
+      if (machine.info.spot && this.isUsable(machine)) types.add(machine.info.type);
+    return types;
   }
 
-  /** Ends first: users wait for them, and so do the jobs that need them. */
+  /** Outcomes first: users wait for them, and so do the jobs that need them. */
   private writeChanges(): void {
     if (!this.writer.canCommit) return;
     this.completion.checkCompletedJobs();
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -27,7 +27,7 @@
 };
 const jobId = 'req-1';
 const firstBlockVersion = 7;
-const machineToken = 7;
+export const machineToken = 7;
 
 /** A job of the limited team `red` whose tasks take 2 CPUs each. */
 export function jobSpec(id: string, tasks: number): JobSpec {
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -29,7 +29,7 @@
   now: number,
   heartbeatIntervalMs: number,
 ): boolean {
-  const heardBefore = [...machines].filter((m) => m.hasSentHeartbeat && m.releaseReason === '');
+  const heardBefore = [...machines].filter((m) => m.hasSentHeartbeat && m.releaseReason === undefined);
   return (
     heardBefore.length >= minMachinesHeard &&
     heardBefore.every((m) => now - m.lastHeartbeatAt > heartbeatIntervalMs * maxHeartbeatGapIntervals)
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -86,7 +86,7 @@
       }
       this.markForRelease();
       const due = [...blockState.machines.values()]
-        .filter((m) => m.releaseReason !== '')
+        .filter((m) => m.releaseReason !== undefined)
         .slice(0, releaseLimit);
       if (due.length > 0 && (await cloud.release(due.map((m) => m.id)))) {
         for (const machine of due) {
@@ -108,7 +108,7 @@
   private markForRelease(): void {
     const { blockState, clock, settings, operator, machineTypes, log } = this.ports;
     const now = clock();
-    const machines = [...blockState.machines.values()].filter((m) => m.releaseReason === '');
+    const machines = [...blockState.machines.values()].filter((m) => m.releaseReason === undefined);
     for (const machine of machines) {
       const bootMs = (machineTypes().get(machine.info.type)?.bootS ?? 0) * 1000 * operator.workers.bootTimes;
       const startupLimitMs = Math.max(bootMs, settings.workerLeaseMs * 2);
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -129,7 +129,7 @@
     const mayStillStart =
       machine.fencingToken === fencingToken &&
       machine.sequence === sequence &&
-      machine.releaseReason === '' &&
+      machine.releaseReason === undefined &&
       !hasTimedOut &&
       this.ports.mayStartTasks();
     const commands: WorkerCommand[] = [];
--- /dev/null
+++ b/src/workers/straggler-detection.test.ts
@@ -0,0 +1,37 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { TaskState, WorkerCommand } from '../model/types.js';
+import { emptyReport, jobSpec, machineToken } from '../testing/block-stage.js';
+import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
+import { findStragglers } from './straggler-detection.js';
+
+// Guards against a job that waits minutes for its last task on a machine that is many times slower than its kind.
+test('a task that runs several times as long as others of its job is stopped', () => {
+  let now = 0;
+  const { blockState, machine } = createBlockWithMachine(() => now);
+  addPlacedJob(blockState, jobSpec('req-1', 4), machine);
+  const hear = (sequence: number, states: TaskState[]): WorkerCommand[] => {
+    const tasks = states.map((state, index) => ({
+      job: 'req-1',
+      index,
+      attempt: 1,
+      state,
+      cause: state === 'ended' ? 'done' : '',
+    }));
+    const heartbeat = { ...emptyReport('m1', sequence), fencingToken: machineToken, tasks };
+    return blockState.applyHeartbeat(machine, heartbeat, true).commands;
+  };
+  hear(1, ['running', 'running', 'running', 'running']);
+  now = 12_000;
+  hear(2, ['ended', 'ended', 'ended', 'running']);
+  // Three times the twelve seconds that the others took; the estimate of ten is shorter.
+  assert.deepEqual(findStragglers(machine, 36_000), []);
+  const [slow] = findStragglers(machine, 36_001);
+  assert.equal(slow?.index, 3);
+  slow.stopping = true;
+  const commands = hear(3, ['ended', 'ended', 'ended', 'running']);
+  assert.deepEqual(
+    commands.filter((command) => command.kind === 'stop').map((command) => command.index),
+    [3],
+  );
+});
