--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -9,15 +9,21 @@
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { Change } from '../wire/state.js';
 import { BlockMachines } from './block-machines.js';
+import { applyFinding, type FindingTarget } from './heartbeat-findings.js';
 import { JobRecorder } from './job-recorder.js';
 import { JobState, keyOfTask, type OwningBlock, type Task } from './job-state.js';
 import { Ledger } from './ledger.js';
 import type { LedgerLayout } from './ledger-layout.js';
 import type { MachineState } from './machine-state.js';
 import { type DependencyFacts, QueueOrder } from './queue-order.js';
-import { type Finding, reconcile, type Reconciliation } from './reconciliation.js';
-import { keepStoredChunkSize, newestEntries, type StoredPage, storedPages } from './stored-pages.js';
-import { chunkTasksOf } from './superseded-entries.js';
+import { reconcile, type Reconciliation } from './reconciliation.js';
+import {
+  addStoredPages,
+  keepStoredChunkSize,
+  newestEntries,
+  type StoredPage,
+  storedPages,
+} from './stored-pages.js';
 import { TeamQuotas } from './team-quotas.js';
 import { TeamUsage } from './team-usage.js';
 import { WaitingQueue } from './waiting-queue.js';
@@ -40,10 +46,6 @@
   teams: ReadonlyMap<string, Team>;
 }
 
-/** Causes of a task's end that speak against the machine or the job, rather than being our own doing. */
-const failureCauses: ReadonlySet<string> = new Set(['error']);
-/** The cause by which a worker refuses to start a task, since it knows no such job or task. */
-const unknownTaskCause = 'no_such';
 /** The queue of waiting jobs is sorted again after this part of a heartbeat interval. */
 const resortAfterHeartbeats = 0.25;
 /** How long terminated machines are remembered: the leader takes them out of the block's record meanwhile. */
@@ -54,10 +56,12 @@
  * outcomes of jobs, and the heartbeats of machines. No task leaves a machine here without evidence, and what changes is
  * marked for the ledger at once.
  */
-export class BlockState {
+export class BlockState implements FindingTarget {
   /** The jobs of which this block has tasks. */
   readonly jobs = new Map<string, JobState>();
   readonly ledger: Ledger;
+  /** The first pause of a job whose task has failed, in ms. */
+  readonly firstRetryPauseMs: number;
   private readonly blockMachines: BlockMachines;
   private readonly quotas: TeamQuotas;
   private readonly queue: WaitingQueue;
@@ -69,6 +73,7 @@
   constructor(private readonly options: BlockStateOptions) {
     const { block, clock, heartbeatIntervalMs, layout, teams } = options;
     this.layout = layout;
+    this.firstRetryPauseMs = heartbeatIntervalMs;
     this.ledger = new Ledger(layout.pageBytes);
     this.owningBlock = { block, createRecorder: (job) => new JobRecorder(job, this.ledger, this.layout) };
     this.blockMachines = new BlockMachines(clock, heartbeatIntervalMs * rememberTerminatedHeartbeats);
@@ -104,7 +109,7 @@
     this.layout = keepStoredChunkSize(this.options.layout, pages);
     for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
       this.applyJobRecord(key, value, version);
-    for (const page of pages) this.loadPage(page);
+    addStoredPages(this.ledger, pages, this.layout);
     for (const { entry, page } of newestEntries(pages)) this.loadEntry(entry, page);
     for (const job of this.jobs.values()) {
       const record = mirror.outcomeOf(job.id);
@@ -138,6 +143,11 @@
     return this.queue.jobs();
   }
 
+  /** The last task that this block has of the job is done. */
+  noteCompleted(job: JobState): void {
+    this.completedJobs.add(job);
+  }
+
   /** Jobs of which the last task here has completed since this was last asked. */
   takeCompletedJobs(): JobState[] {
     const completed = [...this.completedJobs];
@@ -168,12 +178,12 @@
     return this.blockMachines.upSince(time);
   }
 
-  /** Brings machine and tasks in line with the heartbeat, and returns what it proves and what to answer. */
+  /** Brings machine and tasks in line with the heartbeat, and returns what it proves and what to command. */
   applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
     const result = reconcile(machine, heartbeat, { now, mayStart, jobs: this.jobs });
     this.blockMachines.noteOrphans(machine);
-    for (const finding of result.findings) this.applyFinding(machine, finding, now);
+    for (const finding of result.findings) applyFinding(this, machine, finding, now);
     return result;
   }
 
@@ -216,45 +226,6 @@
     return this.quotas.teamWithinShare(name);
   }
 
-  private applyFinding(machine: MachineState, finding: Finding, now: number): void {
-    switch (finding.kind) {
-      case 'seen':
-        this.applyTaskSeen(machine, finding.task, finding.running, now);
-        break;
-      case 'completed':
-        this.applyTaskCompleted(finding.job, finding.index, now);
-        break;
-      case 'left':
-        this.applyTaskLeft(machine, finding.task, finding.cause, now);
-        break;
-    }
-  }
-
-  private applyTaskSeen(machine: MachineState, task: Task, running: boolean, now: number): void {
-    task.phase = 'seen';
-    task.running = running;
-    if (!running) return;
-    task.runningSince ??= now;
-    if (task.job.spec) machine.cachedImages.add(task.job.spec.image);
-  }
-
-  private applyTaskCompleted(job: JobState, index: number, now: number): void {
-    const task = job.tasks.get(index);
-    // One that the leader has recalled meanwhile stays with its machine until it is this block's again.
-    if (!job.finishTask(index, now)) return;
-    if (job.isComplete) this.completedJobs.add(job);
-    if (task) this.machineOf(task)?.tasks.delete(keyOfTask(task));
-  }
-
-  private applyTaskLeft(machine: MachineState, task: Task, cause: string, now: number): void {
-    const { job } = task;
-    this.unassign(task);
-    if (job.outcome) return;
-    const isFailure = failureCauses.has(cause);
-    if (isFailure) machine.noteFailedJob(job.id);
-    if (isFailure || cause === unknownTaskCause) job.noteFailure(now, this.options.heartbeatIntervalMs);
-  }
-
   /**
    * An intent was chosen under an earlier record of the block, and its next commit is conditioned on this one. What this
    * record no longer allows must not ride along: the leader may have given the room to another block already.
@@ -291,7 +262,7 @@
     return job;
   }
 
-  /** The record goes with the end of the job, and after a gap in the watch it may be all that we get to see. */
+  /** The record goes in the same commit as the outcome comes, and after a gap in the changes its loss may be all there is. */
   private applyDeletion(key: string): JobState | undefined {
     if (!key.startsWith('job/')) return undefined;
     const job = this.jobs.get(key.slice('job/'.length));
@@ -313,19 +284,11 @@
     job.assignRanges(taskRanges, version);
     // Ranges that the leader took back had not started; intents for them that are under way will fail.
     for (const task of [...job.tasks.values()]) {
-      if (task.phase === 'placing' && !job.holdsTask(task.index)) this.unassign(task);
+      if (task.phase === 'placing' && !job.held.has(task.index)) this.unassign(task);
     }
     return job;
   }
 
-  /** Pages with entries of another size are retired: their tasks are recorded anew in entries of this layout. */
-  private loadPage({ index, version, entries }: StoredPage): void {
-    const chunkTasks = this.layout.isLegacy ? Infinity : this.layout.chunkTasks;
-    if (entries.every((entry) => chunkTasksOf(entry) === chunkTasks))
-      this.ledger.page(index).version = version;
-    else this.ledger.retirePage(index, version);
-  }
-
   private loadEntry(entry: LedgerEntry, page: StoredPage): void {
     let job = this.jobs.get(entry.id);
     if (!job) {
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -78,7 +78,7 @@
   private isCompleteInAllBlocks(job: JobState): boolean {
     if (job.holdsAllTasks) return true;
     // Only one of the owners commits: rivals would only spend writes on conflicts.
-    if (!job.holdsFirstRange || !job.isCompleteCommitted || !job.spec) return false;
+    if (!job.held.includesFirstRange || !job.isCompleteCommitted || !job.spec) return false;
     return this.ports.jobIndex.progress(job.id).done === job.spec.tasks;
   }
 
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -3,6 +3,7 @@
 import { type JobSpec, type Resources, taskKey } from '../model/types.js';
 import type { Outcome, TaskRange } from '../wire/job-records.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
+import { HeldRanges } from './held-ranges.js';
 import type { TaskRecorder } from './task-recorder.js';
 
 /**
@@ -85,10 +86,8 @@
   version: number;
   /** The version of its record that the store has turned down: no task is placed until a newer one is read. */
   rejectedVersion: number | undefined;
-  /** Of the blocks that have tasks of the job, the one with its first range commits its outcome. */
-  holdsFirstRange = false;
-  /** All of the job's tasks are this block's. */
-  holdsAllTasks = false;
+  /** The tasks that are this block's. */
+  held: HeldRanges;
   /** Tasks that are or were on a machine and are not done, and those about to start, by index. */
   readonly tasks = new Map<number, Task>();
   /** Set once the job has ended. */
@@ -102,8 +101,6 @@
   /** The longest that one of them ran, in ms. */
   maxRunMs = 0;
   private readonly block: number;
-  private ranges: TaskRange[] = [];
-  private taskCount = 0;
   private readonly doneTasks = new Set<number>();
   private readonly committedDoneTasks = new Set<number>();
   private failureCount = 0;
@@ -118,6 +115,7 @@
     this.need = need;
     this.version = version;
     this.block = owner.block;
+    this.held = new HeldRanges([], owner.block);
     this.recorder = owner.createRecorder(this);
   }
 
@@ -137,17 +135,14 @@
   }
 
   /** Follows the job's record, in which the leader assigns its tasks to blocks. */
-  assignRanges(allRanges: TaskRange[], version: number): void {
+  assignRanges(allRanges: readonly TaskRange[], version: number): void {
     this.version = version;
-    this.ranges = allRanges.filter(({ block }) => block === this.block).sort((a, b) => a.first - b.first);
-    this.taskCount = this.ranges.reduce((sum, range) => sum + range.count, 0);
-    this.holdsFirstRange = allRanges[0]?.block === this.block;
-    this.holdsAllTasks = this.taskCount === this.spec?.tasks;
-    this.nextUnstarted = this.ranges[0]?.first ?? 0;
+    this.held = new HeldRanges(allRanges, this.block);
+    this.nextUnstarted = this.held.ranges[0]?.first ?? 0;
     // A task whose intent was never committed is nothing but a number, and may now be another block's: were it kept,
     // two blocks would start it.
     for (const task of this.tasks.values()) {
-      if (!isAssigned(task) && !this.holdsTask(task.index)) this.tasks.delete(task.index);
+      if (!isAssigned(task) && !this.held.has(task.index)) this.tasks.delete(task.index);
     }
   }
 
@@ -161,20 +156,25 @@
     return this.doneTasks.size;
   }
 
+  /** All of the job's tasks are this block's. */
+  get holdsAllTasks(): boolean {
+    return this.held.count === this.spec?.tasks;
+  }
+
   /** All tasks that this block has of the job are done. */
   get isComplete(): boolean {
-    return this.spec !== undefined && this.taskCount > 0 && this.doneTasks.size === this.taskCount;
+    return this.spec !== undefined && this.held.count > 0 && this.doneTasks.size === this.held.count;
   }
 
   /** All tasks that this block has of the job are done, and the ledger in the store says so. */
   get isCompleteCommitted(): boolean {
-    return this.isComplete && this.committedDoneTasks.size === this.taskCount;
+    return this.isComplete && this.committedDoneTasks.size === this.held.count;
   }
 
   /** How many tasks are neither on machines nor done; none once the job has ended. */
   get waitingCount(): number {
     if (this.outcome || !this.spec) return 0;
-    return this.taskCount - this.doneTasks.size - this.assignedCount;
+    return this.held.count - this.doneTasks.size - this.assignedCount;
   }
 
   /** Whether the task is done, committed or not. */
@@ -227,13 +227,13 @@
     task.machine = undefined;
     task.running = false;
     this.assignedCount--;
-    if (!this.holdsTask(task.index)) this.tasks.delete(task.index);
+    if (!this.held.has(task.index)) this.tasks.delete(task.index);
     this.recorder.markDirty(task.index, 'deferred', now);
   }
 
   /** Notes that the task has completed. False if that was known, or the task is not this block's (any more). */
   finishTask(index: number, now: number): boolean {
-    if (!this.holdsTask(index) || this.isDone(index)) return false;
+    if (!this.held.has(index) || this.isDone(index)) return false;
     const task = this.tasks.get(index);
     if (task && isAssigned(task)) this.assignedCount--;
     if (task?.runningSince !== undefined) {
@@ -261,18 +261,13 @@
     return [...this.tasks.values()].filter((task) => task.phase === 'placing');
   }
 
-  /** Whether the leader has assigned the task to this block. */
-  holdsTask(index: number): boolean {
-    return this.ranges.some((range) => index >= range.first && index < range.first + range.count);
-  }
-
   private nextReturnedTask(): Task | undefined {
-    for (const task of this.tasks.values()) if (!isAssigned(task) && this.holdsTask(task.index)) return task;
+    for (const task of this.tasks.values()) if (!isAssigned(task) && this.held.has(task.index)) return task;
     return undefined;
   }
 
   private nextUnstartedTask(): Task | undefined {
-    for (const { first, count } of this.ranges) {
+    for (const { first, count } of this.held.ranges) {
       const end = first + count;
       if (this.nextUnstarted >= end) continue;
       if (this.nextUnstarted < first) this.nextUnstarted = first;
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -2,7 +2,13 @@
 import type { MachineType, ReportedTask, Resources } from '../model/types.js';
 import type { Task } from './job-state.js';
 
-/** What the block's record says of a machine; type and zone are empty while only a ledger names it. */
+/** Zone of a machine that a ledger names and no block's record does: it may be anywhere. */
+export const unknownZone = '';
+
+/** Type of such a machine; the cloud has none by this name. */
+const unknownType = '';
+
+/** What the block's record says of a machine. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -36,7 +42,7 @@
   sequence = -1;
   /** Its last heartbeat carried our fencing token: what it says of tasks counts as truth. */
   reconciled = false;
-  /** When we first answered a heartbeat without our fencing token; undefined again once a heartbeat has carried it. */
+  /** When a heartbeat without our fencing token was first responded to; undefined again once a heartbeat has carried it. */
   fencingTokenOfferedAt: number | undefined;
   /** It has sent a heartbeat to this owner. */
   hasSentHeartbeat = false;
@@ -45,7 +51,7 @@
   draining = false;
   /** Nothing more is placed on it, and it is terminated once it is empty. */
   faulty = false;
-  /** Set once its termination has been decided; the cloud's answer will be the proof that it is gone. */
+  /** Set once its termination has been decided; the cloud's response will be the proof that it is gone. */
   releaseReason: ReleaseReason | undefined;
   /** Seconds until the cloud takes it back, from when its worker was told; null unless it has been. */
   preemptionNoticeS: number | null = null;
@@ -67,7 +73,7 @@
   private readonly failedJobs = new Set<string>();
 
   constructor(id: string, now: number) {
-    this.info = { id, type: '', zone: '', spot: false };
+    this.info = { id, type: unknownType, zone: unknownZone, spot: false };
     this.lastHeartbeatAt = now;
     this.leasedAt = now;
   }
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -2,7 +2,7 @@
 import { fits, type JobSpec, type MachineType, type Resources } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { JobState, Task } from './job-state.js';
-import type { MachineState } from './machine-state.js';
+import { type MachineState, unknownZone } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
 
 export { TeamUsage } from './team-usage.js';
@@ -206,9 +206,6 @@
   return spec !== undefined && (spec.colocated || spec.spread);
 }
 
-/** Zone of a machine that a ledger names and no block's record does: it may be anywhere. */
-const unknownZone = '';
-
 /** Tasks of the job that are or may be on machines, by zone; not counted where zones do not matter to it. */
 function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
   const tasksByZone = new Map<string, number>();
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -28,7 +28,7 @@
   commands: WorkerCommand[];
 }
 
-/** What else decides about the answer. */
+/** What else decides which commands follow. */
 export interface ReconciliationInputs {
   /** Steady time in ms. */
   now: number;
--- /dev/null
+++ b/src/placement/round-trigger.test.ts
@@ -0,0 +1,29 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { RoundTrigger } from './round-trigger.js';
+
+/** Longer than any test may take: only something else than time can settle such a wait. */
+const foreverMs = 600_000;
+
+test('a request ends the wait for the next round and stays until a round begins', async () => {
+  const trigger = new RoundTrigger();
+  assert.equal(trigger.isRequested, true);
+  trigger.clear();
+  const waited = trigger.wait(foreverMs, new AbortController().signal);
+  trigger.request();
+  await waited;
+  assert.equal(trigger.isRequested, true);
+  trigger.clear();
+  assert.equal(trigger.isRequested, false);
+});
+
+test('the end of the lease ends the wait for the next round without requesting one', async () => {
+  const trigger = new RoundTrigger();
+  trigger.clear();
+  const lease = new AbortController();
+  const waited = trigger.wait(foreverMs, lease.signal);
+  lease.abort();
+  await waited;
+  assert.equal(trigger.isRequested, false);
+});
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -3,6 +3,7 @@
 import type { Mirror } from '../store/mirror.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
+import type { Ledger } from './ledger.js';
 import type { LedgerLayout } from './ledger-layout.js';
 import { chunkTasksOf, withoutSuperseded } from './superseded-entries.js';
 
@@ -30,6 +31,18 @@
   return pages;
 }
 
+/**
+ * Has the ledger go on with the stored pages. Those with entries of another size are retired: their tasks are to be recorded
+ * anew in entries of this layout.
+ */
+export function addStoredPages(ledger: Ledger, pages: StoredPage[], layout: LedgerLayout): void {
+  const chunkTasks = layout.isLegacy ? Infinity : layout.chunkTasks;
+  for (const { index, version, entries } of pages) {
+    if (entries.every((entry) => chunkTasksOf(entry) === chunkTasks)) ledger.page(index).version = version;
+    else ledger.retirePage(index, version);
+  }
+}
+
 /** The entries of all pages, without the tasks that smaller entries cover. */
 export function* newestEntries(pages: StoredPage[]): Iterable<StoredEntry> {
   const stored = pages.flatMap((page) => page.entries.map((entry) => ({ entry, page })));
--- /dev/null
+++ b/src/placement/waiting-queue.test.ts
@@ -0,0 +1,32 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import { jobSpec } from '../testing/block-stage.js';
+import { createJobState, placeAll } from '../testing/job-states.js';
+import { QueueOrder } from './queue-order.js';
+import { WaitingQueue } from './waiting-queue.js';
+
+test('the queue has open jobs with waiting tasks, and is made anew when it is invalidated or too old', () => {
+  let now = 0;
+  const jobs = new Map(['req-1', 'req-2', 'req-3'].map((id) => [id, createJobState(jobSpec(id, 2))]));
+  const queue = new WaitingQueue({
+    jobs,
+    order: new QueueOrder([]),
+    dependencyFactsOf: undefined,
+    clock: () => now,
+    wallClock: () => now,
+    maxAgeMs: 250,
+  });
+  const ids = (): string[] => queue.jobs().map(({ id }) => id);
+  const [one, two] = [...jobs.values()];
+  assert.ok(one && two);
+  assert.deepEqual(ids(), ['req-1', 'req-2', 'req-3']);
+  one.outcome = 'cancelled';
+  now = 249;
+  assert.deepEqual(ids(), ['req-1', 'req-2', 'req-3']);
+  now = 250;
+  assert.deepEqual(ids(), ['req-2', 'req-3']);
+  placeAll(two, 'm1');
+  queue.invalidate();
+  assert.deepEqual(ids(), ['req-3']);
+});
