--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,6 +10,7 @@
   'src/ladder',
   'src/leadership',
   'src/peers',
+  'src/placement',
   'src/settings',
   'src/store',
   'src/workers',
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -105,10 +105,7 @@
   /** Nobody waits for the renewal, so a failure that it does not account for is logged before it ends the process. */
   private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
     this.renewals.renew(block, record, reason).catch((error: unknown) => {
-      this.ports.log.error(
-        { event: 'unexpected-failure', work: 'lease-renewal', err: error },
-        'work has failed',
-      );
+      logDefect(this.ports.log, 'lease-renewal', error);
       throw error;
     });
   }
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -30,7 +30,7 @@
   heartbeatIntervalMs: number,
 ): boolean {
   const heardBefore = [...machines].filter(
-    ({ hasSentHeartbeat, releaseReason }) => hasSentHeartbeat && releaseReason === '',
+    ({ hasSentHeartbeat, releaseReason }) => hasSentHeartbeat && releaseReason === undefined,
   );
   const maxGapMs = heartbeatIntervalMs * maxHeartbeatGapIntervals;
   return (
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -78,6 +78,8 @@
   }
 
   private markedMachines(): MachineState[] {
-    return [...this.ports.blockState.machines.values()].filter(({ releaseReason }) => releaseReason !== '');
+    return [...this.ports.blockState.machines.values()].filter(
+      ({ releaseReason }) => releaseReason !== undefined,
+    );
   }
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -200,7 +200,7 @@
     return (
       machine.fencingToken === fencingToken &&
       machine.sequence === sequence &&
-      machine.releaseReason === '' &&
+      machine.releaseReason === undefined &&
       !hasTimedOut &&
       this.ports.mayStartTasks()
     );
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -26,7 +26,7 @@
   now: number,
   ports: AssessmentPorts,
 ): void {
-  const unmarked = [...machines].filter(({ releaseReason }) => releaseReason === '');
+  const unmarked = [...machines].filter(({ releaseReason }) => releaseReason === undefined);
   for (const machine of unmarked) {
     stopStragglers(machine, now, ports.log);
     if (hasNeverStarted(machine, now, ports)) machine.releaseReason = 'never-started';
