--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -1,4 +1,5 @@
 /** The blocks that are leased to this controller: follows the leases in the replica of the store. */
+import { logDefect } from '../base/defects.js';
 import type { BlockState } from '../placement/block-state.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
 import type { MachineState } from '../placement/machine-state.js';
