--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -79,12 +79,10 @@
     settings: { ...testSettings(), teams: new Map() },
     jobIndex: { jobs: empty, machineLoads: () => empty, inQueueOrder: () => [], activeTasks: () => [] },
     rentedMachines: {
-      inventory: {
-        unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
-        terminated: new Set(),
-        toDrain: new Set(),
-        presumedTerminated: new Set(),
-      },
+      unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
+      terminated: new Set(),
+      toDrain: new Set(),
+      presumedTerminated: new Set(),
       waitingSlots: () => 0,
     },
     store: { failing: false },
--- a/src/controller/housekeeping.test.ts
+++ b/src/controller/housekeeping.test.ts
@@ -21,7 +21,7 @@
     ['blocks', []],
     ['booted', 'vm-2'],
     ['terminated', 'vm-1'],
-    ['role', { leading: true, alive: 1, machines: 1 }],
+    ['role', { isLeader: true, aliveControllers: 1, machineShare: 1 }],
     ['log'],
   ]);
 });
