--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -11,7 +11,7 @@
   heartbeatIntervalMs,
   submission,
 } from '../testing/cluster.js';
-import { type ProductionBuild, buildProduction, productionCommit } from '../testing/production.js';
+import { type EarlierBuild, buildCommit, productionCommit } from '../testing/earlier-build.js';
 import { scenario } from '../testing/scenario.js';
 import { sizeOf } from '../wire/codec.js';
 
@@ -19,10 +19,10 @@
 const nextBytes = nextLimits.value_kb * 1024;
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 const earlier = { program: '', labels };
-let build: ProductionBuild | undefined;
+let build: EarlierBuild | undefined;
 
 before(() => {
-  build = buildProduction();
+  build = buildCommit(productionCommit());
   earlier.program = build.program;
 });
 
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -150,6 +150,16 @@
     this.startController(label);
   }
 
+  /** The same, but it comes back as the earlier version. */
+  async downgrade(label: string, afterMs = 300): Promise<void> {
+    const { earlier } = this.options;
+    if (!earlier) throw new Error('there is no earlier version');
+    this.processes.kill(label);
+    this.stopController(label);
+    await pause(afterMs);
+    this.startProcess(label, earlier.program);
+  }
+
   /** The state service has the limits that the settings announce. */
   lowerLimits(): void {
     const { value_kb, txn_ops, write_rps } = this.options.nextLimits ?? {};
--- a/src/testing/production.ts
+++ b/src/testing/earlier-build.ts
@@ -1,4 +1,4 @@
-/** The version in production, built from the history of the repository. */
+/** Earlier versions of the program, built from the history of the repository. */
 import { execFileSync } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, symlinkSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -6,23 +6,23 @@
 
 const deployFile = 'deploy/service.toml';
 
-/** The commit that the deploy file names. */
+/** The commit that the deploy file names as the version in production. */
 export function productionCommit(): string {
   const commit = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync(deployFile, 'utf8'))?.[1];
   if (commit === undefined) throw new Error(`${deployFile} names no commit in production`);
   return commit;
 }
 
-export interface ProductionBuild {
+export interface EarlierBuild {
   /** The path of the program. */
   program: string;
   remove(): void;
 }
 
-/** Builds it in a directory of its own, with the libraries of this checkout. */
-export function buildProduction(): ProductionBuild {
-  const directory = mkdtempSync(join(tmpdir(), 'shalekeel-production-'));
-  const archive = execFileSync('git', ['archive', productionCommit()], { maxBuffer: 2 ** 30 });
+/** Builds a commit in a directory of its own, with the libraries of this checkout. */
+export function buildCommit(commit: string): EarlierBuild {
+  const directory = mkdtempSync(join(tmpdir(), 'shalekeel-earlier-'));
+  const archive = execFileSync('git', ['archive', commit], { maxBuffer: 2 ** 30 });
   execFileSync('tar', ['-x', '-C', directory], { input: archive });
   symlinkSync(resolve('node_modules'), join(directory, 'node_modules'));
   mkdirSync(join(directory, 'target'), { recursive: true });
