--- a/src/blocks/quota-share-allocator.ts
+++ b/src/blocks/quota-share-allocator.ts
@@ -1,6 +1,7 @@
 /** When the leader divides the limits of teams anew among the blocks, and by which demand. */
 import type { Clock } from '../base/clock.js';
-import { type JobIndex, needOf } from '../placement/job-index.js';
+import type { JobIndex } from '../placement/job-index.js';
+import { needOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
@@ -54,10 +55,10 @@
       if (!demand) demands.set(key, (demand = { used: [0, 0], waiting: [] }));
       return demand;
     };
-    for (const { page } of jobIndex.activeTasks()) {
-      const { used } = demandOf(page.block, page.team);
-      used[0] += page.cpus;
-      used[1] += page.accelerators;
+    for (const { entry } of jobIndex.activeTasks()) {
+      const { used } = demandOf(entry.block, entry.team);
+      used[0] += entry.cpus;
+      used[1] += entry.accelerators;
     }
     for (const job of jobIndex.inQueueOrder(order, wallClock())) {
       for (const { block, count } of jobIndex.waitingByBlock(job)) {
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,8 +1,9 @@
 /** The leader's recall of tasks that wait in a full block while other blocks have room for them. */
 import type { Clock } from '../base/clock.js';
-import { type IndexedJob, type JobIndex, needOf } from '../placement/job-index.js';
-import { TeamUsage } from '../placement/placement-round.js';
+import type { IndexedJob, JobIndex } from '../placement/job-index.js';
+import { needOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
+import { TeamUsage } from '../placement/team-usage.js';
 import type { Settings } from '../settings/settings.js';
 import type { TaskRange } from '../wire/job-records.js';
 import {
@@ -73,7 +74,7 @@
 
   private teamUsage(): TeamUsage {
     const usage = new TeamUsage();
-    for (const { page } of this.ports.jobIndex.activeTasks()) usage.add(page.team, needOf(page));
+    for (const { entry } of this.ports.jobIndex.activeTasks()) usage.add(entry.team, needOf(entry));
     return usage;
   }
 
--- a/src/blocks/task-recall.test.ts
+++ b/src/blocks/task-recall.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import type { JobSpec } from '../model/types.js';
-import type { IndexedEntry } from '../placement/job-index.js';
+import type { IndexedEntry } from '../placement/ledger-index.js';
 import { jobSpec } from '../testing/block-stage.js';
 import type { TaskRange } from '../wire/job-records.js';
 import { recallTasks, restoreStartedTasks } from './task-recall.js';
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -1,7 +1,7 @@
 /** Recall of tasks that are dispatched to a block but not started, and return of tasks that had been started after all. */
 import { fromRanges } from '../base/ranges.js';
 import type { JobSpec } from '../model/types.js';
-import type { IndexedEntry } from '../placement/job-index.js';
+import type { IndexedEntry } from '../placement/ledger-index.js';
 import type { TaskRange } from '../wire/job-records.js';
 import { isZoneConstrained, mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,8 +1,9 @@
 /** Counting of demand: which work counts for which pool, in slots. */
 import { type JobSpec, type Resources, taskKind, withinLimit } from '../model/types.js';
-import { type IndexedJob, type JobIndex, needOf } from '../placement/job-index.js';
-import { TeamUsage } from '../placement/placement-round.js';
+import type { IndexedJob, JobIndex } from '../placement/job-index.js';
+import { needOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
+import { TeamUsage } from '../placement/team-usage.js';
 import type { Team } from '../settings/settings.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { eligiblePools, type Pool, poolKey } from './pools.js';
@@ -33,11 +34,11 @@
 }
 
 function countActiveTasks({ jobIndex, machines, pools, slotShare }: DemandInputs, usage: TeamUsage): void {
-  for (const { page, machine: id } of jobIndex.activeTasks()) {
-    usage.add(page.team, page);
+  for (const { entry, machine: id } of jobIndex.activeTasks()) {
+    usage.add(entry.team, entry);
     const machine = machines.get(id);
     const pool = machine && pools.get(poolKey(machine.type, machine.spot));
-    if (pool) pool.countedSlots += slotsOf(page, pool.type, slotShare);
+    if (pool) pool.countedSlots += slotsOf(entry, pool.type, slotShare);
   }
 }
 
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -8,8 +8,6 @@
 import { type ActiveTask, type IndexedEntry, type JobProgress, LedgerIndex } from './ledger-index.js';
 import type { DependencyFacts, QueuedJob, QueueOrder } from './queue-order.js';
 
-export { type IndexedEntry, needOf } from './ledger-index.js';
-
 /** An open job. */
 export interface IndexedJob extends JobRecord {
   id: string;
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -17,7 +17,7 @@
 export interface ActiveTask {
   /** Id of its job. */
   id: string;
-  page: IndexedEntry;
+  entry: IndexedEntry;
   machine: string;
 }
 
@@ -61,8 +61,8 @@
   *activeTasks(): Iterable<ActiveTask> {
     this.parseChangedPages();
     for (const id of this.entriesByJob.keys()) {
-      for (const page of this.entriesOf(id)) {
-        for (const [, , machine] of page.active) yield { id, page, machine };
+      for (const entry of this.entriesOf(id)) {
+        for (const [, , machine] of entry.active) yield { id, entry, machine };
       }
     }
   }
@@ -88,13 +88,13 @@
 
   private sumLoads(): Map<string, Resources> {
     const loads = new Map<string, Resources>();
-    for (const { page, machine } of this.activeTasks()) {
+    for (const { entry, machine } of this.activeTasks()) {
       const load = loads.get(machine);
-      if (!load) loads.set(machine, needOf(page));
+      if (!load) loads.set(machine, needOf(entry));
       else {
-        load.cpus += page.cpus;
-        load.accelerators += page.accelerators;
-        load.memoryGb += page.memoryGb;
+        load.cpus += entry.cpus;
+        load.accelerators += entry.accelerators;
+        load.memoryGb += entry.memoryGb;
       }
     }
     return loads;
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -5,8 +5,6 @@
 import { type MachineState, unknownZone } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
 
-export { TeamUsage } from './team-usage.js';
-
 /** What one round starts from. */
 export interface PlacementRound {
   /** Steady time in ms. */
