--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,8 +1,8 @@
 /** The leader's recall of tasks that wait in a full block while other blocks have room for them. */
 import type { Clock } from '../base/clock.js';
 import { type IndexedJob, type JobIndex, needOf } from '../placement/job-index.js';
-import { TeamUsage } from '../placement/placement-round.js';
 import type { QueueOrder } from '../placement/queue-order.js';
+import { TeamUsage } from '../placement/team-usage.js';
 import type { Settings } from '../settings/settings.js';
 import type { TaskRange } from '../wire/job-records.js';
 import {
