--- a/eslint.config.js
+++ b/eslint.config.js
@@ -30,6 +30,8 @@
     'error',
     {
       publicOnly: true,
+      // A comment that says nothing is worse than none: it has to be written.
+      enableFixer: false,
       require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: true },
       contexts: [
         'TSInterfaceDeclaration',
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -1,8 +1,8 @@
 /** Which blocks the tasks of one job are dispatched to, by the free slots of the blocks. */
-import type { JobSpec } from '../model/types.js';
+import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
 import type { CapacityEstimate } from './capacity-estimate.js';
-import { isZoneConstrained, mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
+import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
 /**
  * All tasks of the job in the one block that has free slots for them: a preferred one if there is such, else the one with
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,5 +1,6 @@
 /** The leader's recall of tasks that wait in a full block while other blocks have room for them. */
 import type { Clock } from '../base/clock.js';
+import { isZoneConstrained } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import { needOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
@@ -13,7 +14,6 @@
   estimateCapacity,
 } from './capacity-estimate.js';
 import type { DispatchWriter } from './dispatch-writer.js';
-import { isZoneConstrained } from './task-ranges.js';
 import { recallTasks } from './task-recall.js';
 
 /** What the recall of stuck tasks works with. */
--- a/src/blocks/task-ranges.ts
+++ b/src/blocks/task-ranges.ts
@@ -41,11 +41,6 @@
   return merged;
 }
 
-/** The zones of the job's tasks depend on each other, so that one block has to place all of them. */
-export function isZoneConstrained(spec: Pick<JobSpec, 'colocated' | 'spread'>): boolean {
-  return spec.colocated || spec.spread;
-}
-
 /** One range with all tasks of a job. */
 export function wholeJob(spec: Pick<JobSpec, 'tasks'>, block: number): TaskRange {
   return { block, first: 0, count: spec.tasks };
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -1,9 +1,9 @@
 /** Recall of tasks that are dispatched to a block but not started, and return of tasks that had been started after all. */
 import { fromRanges } from '../base/ranges.js';
-import type { JobSpec } from '../model/types.js';
+import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { IndexedEntry } from '../placement/ledger-index.js';
 import type { TaskRange } from '../wire/job-records.js';
-import { isZoneConstrained, mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
+import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
 /** What the ledger of a block says of a job's tasks. */
 export type LedgerTasks = Pick<IndexedEntry, 'block' | 'active' | 'done'>;
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -114,3 +114,8 @@
 export function taskKind({ cpus, accelerators, memoryGb, spot, zone, machineTypes }: JobSpec): string {
   return [cpus, accelerators, memoryGb, spot, zone, machineTypes].join('/');
 }
+
+/** The zones of the job's tasks depend on each other, so that one block has to place all of them. */
+export function isZoneConstrained(spec: Pick<JobSpec, 'colocated' | 'spread'>): boolean {
+  return spec.colocated || spec.spread;
+}
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,5 +1,5 @@
 /** Chooses machines for waiting tasks. */
-import { fits, type JobSpec, type MachineType, type Resources } from '../model/types.js';
+import { fits, isZoneConstrained, type JobSpec, type MachineType, type Resources } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { JobState, Task } from './job-state.js';
 import { type MachineState, unknownZone } from './machine-state.js';
@@ -61,7 +61,7 @@
     job.spec !== undefined &&
     job.waitingCount > 0 &&
     !job.isCommittingOutcome &&
-    !(round.isPartial && isZoneConstrained(job)) &&
+    !(round.isPartial && isJobZoneConstrained(job)) &&
     job.retryAt <= round.now &&
     job.version !== job.rejectedVersion
   );
@@ -200,14 +200,15 @@
   return !spec.colocated || tasksByZone.size === 0 || tasksByZone.has(zone);
 }
 
-function isZoneConstrained({ spec }: JobState): boolean {
-  return spec !== undefined && (spec.colocated || spec.spread);
+/** A job that only the ledger names has no spec, and so no constraint that is known. */
+function isJobZoneConstrained({ spec }: JobState): boolean {
+  return spec !== undefined && isZoneConstrained(spec);
 }
 
 /** Tasks of the job that are or may be on machines, by zone; not counted where zones do not matter to it. */
 function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
   const tasksByZone = new Map<string, number>();
-  if (!isZoneConstrained(job)) return tasksByZone;
+  if (!isJobZoneConstrained(job)) return tasksByZone;
   for (const { info, tasks, orphanedTasks } of machines) {
     let count = orphanedTasks.filter(({ task }) => task.job === job.id).length;
     for (const task of tasks.values()) if (task.job === job) count++;
