--- a/src/base/aborts.ts
+++ b/src/base/aborts.ts
@@ -1,29 +1,29 @@
+/** Callbacks on abort signals, cheap enough for each pause and each request in flight. */
 import { setMaxListeners } from 'node:events';
 
 type Callback = () => void;
 
-const waiting = new WeakMap<AbortSignal, Set<Callback>>();
+const callbacksBySignal = new WeakMap<AbortSignal, Set<Callback>>();
 
 /**
- * Calls back once the signal fires, until the returned function is called. One listener on the signal serves all: every
- * pause and every call in flight waits for one, and adding a listener costs more than the rest of a pause.
+ * Calls `callback` once when the signal fires, unless the returned function was called before. A signal that
+ * has fired before calls nothing. All callbacks of a signal share one listener, because adding
+ * a listener costs more than the rest of a pause.
  */
 export function onAbort(signal: AbortSignal, callback: Callback): () => void {
-  let callbacks = waiting.get(signal);
-  if (!callbacks) {
-    const all = new Set<Callback>();
-    waiting.set(signal, (callbacks = all));
-    setMaxListeners(0, signal);
-    signal.addEventListener(
-      'abort',
-      () => {
-        for (const call of [...all]) call();
-        all.clear();
-      },
-      { once: true },
-    );
-  }
-  const entry = callbacks;
-  entry.add(callback);
-  return () => void entry.delete(callback);
+  const callbacks = callbacksBySignal.get(signal) ?? listenTo(signal);
+  callbacks.add(callback);
+  return () => void callbacks.delete(callback);
+}
+
+function listenTo(signal: AbortSignal): Set<Callback> {
+  const callbacks = new Set<Callback>();
+  callbacksBySignal.set(signal, callbacks);
+  setMaxListeners(0, signal);
+  const callAll = (): void => {
+    for (const callback of [...callbacks]) callback();
+    callbacks.clear();
+  };
+  signal.addEventListener('abort', callAll, { once: true });
+  return callbacks;
 }
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,31 +1,41 @@
+/** Monotonic time, pauses and deadlines. */
 import { performance } from 'node:perf_hooks';
+
 import { onAbort } from './aborts.js';
 
-/** Steady time in milliseconds. Injected everywhere a decision depends on time, so that traces replay. */
+/** Monotonic time in milliseconds. Injected wherever a decision depends on time, so that tests can set it. */
 export type Clock = () => number;
 
+/** The monotonic clock of this process; its zero is the start of the process. */
 export const steadyClock: Clock = () => performance.now();
 
-/** Waits, and returns early without an error when the signal fires: callers look at the signal themselves. */
+/** Resolves after `ms` milliseconds, or as soon as the signal fires; it never rejects, so callers check the signal. */
 export function sleep(ms: number, signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
   return new Promise((resolve) => {
-    const stop = onAbort(signal, () => {
+    const stopListening = onAbort(signal, () => {
       clearTimeout(handle);
       resolve();
     });
     const handle = setTimeout(() => {
-      stop();
+      stopListening();
       resolve();
     }, ms);
   });
 }
 
-/** A deadline that others may wait for together with something else; `cancel` ends it without anybody's notice. */
-export function timer(ms: number): { over: Promise<void>; cancel: () => void } {
+/** A deadline to wait for together with other promises. */
+export interface Timer {
+  /** Resolves when the time is up; stays pending after `cancel`. */
+  expired: Promise<void>;
+  cancel: () => void;
+}
+
+/** Starts a timer of `ms` milliseconds. It keeps the process alive until it has expired or is cancelled. */
+export function timer(ms: number): Timer {
   let handle: NodeJS.Timeout | undefined;
-  const over = new Promise<void>((resolve) => {
+  const expired = new Promise<void>((resolve) => {
     handle = setTimeout(resolve, ms);
   });
-  return { over, cancel: () => clearTimeout(handle) };
+  return { expired, cancel: () => clearTimeout(handle) };
 }
--- a/src/base/connection-load.ts
+++ b/src/base/connection-load.ts
@@ -1,19 +1,21 @@
-/** How many of the connections that a controller may have are open. */
+/** How many of the connections that a controller may accept are open. */
 
-/** Above this part of them, connections are not kept open between two requests of machines. */
-const crowdedShare = 0.7;
+/** Above this part of the limit, connections of workers are closed after each response. */
+const crowdedRatio = 0.7;
 
+/** Counts the open connections of workers and health checks against the limit of the server. */
 export class ConnectionLoad {
-  /** Connections of machines and of health checks; users' are in the part that is kept free. */
-  open = 0;
+  /** Users' connections are not counted: they are in the part of the limit that is kept free. */
+  openConnections = 0;
 
-  constructor(readonly most: number) {}
+  /** @param maxConnections the server refuses connections beyond so many */
+  constructor(readonly maxConnections: number) {}
 
   /**
-   * Machines whose connections were refused would be called silent: a connection that is given up between two reports
-   * costs its machine nothing but a new one.
+   * True where workers have to give up their connections between two heartbeats. That costs a worker a new connection,
+   * while a worker whose connection is refused would be taken for failed.
    */
   get isCrowded(): boolean {
-    return this.open > this.most * crowdedShare;
+    return this.openConnections > this.maxConnections * crowdedRatio;
   }
 }
--- a/src/base/group-by.ts
+++ b/src/base/group-by.ts
@@ -1,4 +1,6 @@
-/** The items by what they have in common, in the order in which they come. */
+/** Grouping of collections. */
+
+/** Groups items by their key. Groups and the items in them keep the order in which they come. */
 export function groupBy<K, V>(items: Iterable<V>, keyOf: (item: V) => K): Map<K, V[]> {
   const groups = new Map<K, V[]>();
   for (const item of items) {
--- a/src/base/pacer.ts
+++ b/src/base/pacer.ts
@@ -1,42 +1,46 @@
+/** Rate limiting by a token bucket. */
 import type { Clock } from './clock.js';
 
-/** A token bucket: `rate` units a second, and bursts of at most `burst`. */
+/** A token bucket that fills with `unitsPerSecond` up to `maxBurstUnits`. It starts full and may go into debt. */
 export class Pacer {
-  private level: number;
-  private at: number;
+  private availableUnits: number;
+  private refilledAt: number;
 
   constructor(
-    private rate: number,
-    private burst: number,
+    private unitsPerSecond: number,
+    private maxBurstUnits: number,
     private readonly clock: Clock,
   ) {
-    this.level = burst;
-    this.at = clock();
+    this.availableUnits = maxBurstUnits;
+    this.refilledAt = clock();
   }
 
-  setRate(rate: number, burst: number): void {
+  /** Applies a new rate from now on; units beyond the new burst are dropped, a debt stays. */
+  setRate(unitsPerSecond: number, maxBurstUnits: number): void {
     this.refill();
-    this.rate = rate;
-    this.burst = burst;
-    this.level = Math.min(this.level, burst);
+    this.unitsPerSecond = unitsPerSecond;
+    this.maxBurstUnits = maxBurstUnits;
+    this.availableUnits = Math.min(this.availableUnits, maxBurstUnits);
   }
 
-  /** Takes the units now, in debt if need be, and tells how many milliseconds to wait before acting on them. */
+  /** Takes the units at once, in debt if need be, and returns for how many milliseconds to wait before using them. */
   reserve(units: number): number {
     this.refill();
-    this.level -= units;
-    return this.level >= 0 ? 0 : (-this.level / this.rate) * 1000;
+    this.availableUnits -= units;
+    return this.availableUnits >= 0 ? 0 : (-this.availableUnits / this.unitsPerSecond) * 1000;
   }
 
-  /** How many milliseconds it takes until what has been spent is earned, and so many units more are there. */
-  owedMs(left = 0): number {
+  /** In how many milliseconds the debt is paid and `units` are available; takes nothing. */
+  msUntilAvailable(units = 0): number {
     this.refill();
-    return this.level >= left ? 0 : ((left - this.level) / this.rate) * 1000;
+    const missingUnits = units - this.availableUnits;
+    return missingUnits <= 0 ? 0 : (missingUnits / this.unitsPerSecond) * 1000;
   }
 
   private refill(): void {
     const now = this.clock();
-    this.level = Math.min(this.burst, this.level + ((now - this.at) / 1000) * this.rate);
-    this.at = now;
+    const earnedUnits = ((now - this.refilledAt) / 1000) * this.unitsPerSecond;
+    this.availableUnits = Math.min(this.maxBurstUnits, this.availableUnits + earnedUnits);
+    this.refilledAt = now;
   }
 }
--- a/src/base/process-pause.ts
+++ b/src/base/process-pause.ts
@@ -1,28 +1,29 @@
 /** Detection of pauses of this process. */
 import type { Clock } from './clock.js';
 
-/** Beyond so many times its usual pause, a duty was held up, by a pause of the process or for want of processor time. */
-const heldUpTimes = 2;
+/** A check that comes later than so many of its intervals was delayed, by a pause of the process or for want of processor time. */
+const delayedRatio = 2;
 
 /**
- * How long a duty that looks at the clock at regular times was held up. Its clock ran on meanwhile while nothing was heard of
- * anybody, so whoever judges others by the time since their last word has to leave that time out.
+ * Measures by how much a check that runs at a fixed interval was delayed. The clock went on during the delay while no
+ * message was read, so whoever judges others by the time since their last message has to leave that time out.
  */
 export class ProcessPause {
-  private lookedAt: number;
+  private measuredAt: number;
 
+  /** `intervalMs` is the usual time between two calls of `measureDelayMs`. */
   constructor(
     private readonly clock: Clock,
-    private readonly pauseMs: number,
+    private readonly intervalMs: number,
   ) {
-    this.lookedAt = clock();
+    this.measuredAt = clock();
   }
 
-  /** What was lost since the last look, beyond the pause that there always is. */
-  look(): number {
+  /** The delay since the last call, in milliseconds beyond the interval; 0 for delays that are usual. */
+  measureDelayMs(): number {
     const now = this.clock();
-    const passed = now - this.lookedAt;
-    this.lookedAt = now;
-    return passed > this.pauseMs * heldUpTimes ? passed - this.pauseMs : 0;
+    const passedMs = now - this.measuredAt;
+    this.measuredAt = now;
+    return passedMs > this.intervalMs * delayedRatio ? passedMs - this.intervalMs : 0;
   }
 }
--- a/src/base/ranges.ts
+++ b/src/base/ranges.ts
@@ -1,21 +1,24 @@
-/** Sets of numbers as ranges: first, last, first, last… */
+/** Sets of integers as flat lists of ranges with inclusive bounds: first, last, first, last… */
 
+/** Converts integers in ascending order, without duplicates, to ranges. */
 export function toRanges(sorted: Iterable<number>): number[] {
   const ranges: number[] = [];
-  for (const n of sorted) {
+  for (const value of sorted) {
     const last = ranges.length - 1;
-    if (ranges.length > 0 && ranges[last] === n - 1) ranges[last] = n;
-    else ranges.push(n, n);
+    if (ranges.length > 0 && ranges[last] === value - 1) ranges[last] = value;
+    else ranges.push(value, value);
   }
   return ranges;
 }
 
+/** The integers in the ranges, one after the other. A bound without its partner at the end is ignored. */
 export function* fromRanges(ranges: number[]): Iterable<number> {
   for (let i = 0; i + 1 < ranges.length; i += 2) {
-    for (let n = ranges[i] ?? 0; n <= (ranges[i + 1] ?? -1); n++) yield n;
+    for (let value = ranges[i] ?? 0; value <= (ranges[i + 1] ?? -1); value++) yield value;
   }
 }
 
+/** How many integers are in the ranges. */
 export function rangesSize(ranges: number[]): number {
   let size = 0;
   for (let i = 0; i + 1 < ranges.length; i += 2) size += (ranges[i + 1] ?? 0) - (ranges[i] ?? 0) + 1;
--- a/src/base/recent-names.test.ts
+++ b/src/base/recent-names.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { RecentNames } from './recent-names.js';
 
 // Guards against machines that are forgotten to be gone because many others are: the list names them a little longer.
--- a/src/base/turn-queue.test.ts
+++ b/src/base/turn-queue.test.ts
@@ -1,10 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { TurnQueue } from './turn-queue.js';
 
-// Guards against health checks that waited for more than a second behind reports which the same turn had found: the load
+// Guards against health checks that waited for more than a second behind heartbeats which the same turn had found: the load
 // balancer took all nodes for unhealthy, and for 90 s nothing was to be learnt of two hundred jobs.
-test('a turn serves for one slice, the rest in later turns, and nothing that nobody waits for any more', () => {
+test('a turn runs work for its time budget, leaves the rest to later turns, and drops work that nobody waits for', () => {
   let now = 0;
   const turns: (() => void)[] = [];
   const queue = new TurnQueue(
--- a/src/base/turn-queue.ts
+++ b/src/base/turn-queue.ts
@@ -1,47 +1,49 @@
-/** A queue that is worked off in short slices, so that the event loop can look at other sockets in between. */
+/** A queue with a time budget a turn, so that the event loop can serve other sockets in between. */
 import type { Clock } from './clock.js';
 
-/** Whether there is still somebody who waits for the work is asked right before it is done. */
+/** A unit of work. */
 export interface QueuedWork {
+  /** Whether somebody still waits for the work; asked right before a work that has waited is run. */
   isWanted: () => boolean;
   run: () => void;
 }
 
 /**
- * Under overload the event loop finds hundreds of reports at a time. Were all of them served in one turn, a health check or
- * an answer of the state service that came meanwhile would wait for seconds. Here each turn serves for one slice.
+ * Runs work in the order of its arrival, in each turn of the event loop for `turnBudgetMs` at most. Under overload a turn
+ * finds hundreds of heartbeats. If it served all of them, a health check or a response of the key-value store that came
+ * meanwhile would wait for seconds.
  */
 export class TurnQueue {
   private readonly waiting = new Set<QueuedWork>();
-  private scheduled = false;
-  private sliceEndsAt = -Infinity;
+  private isTurnScheduled = false;
+  private budgetEndsAt = -Infinity;
 
-  /** `nextTurn` calls back after the event loop has looked at its sockets. */
+  /** `nextTurn` calls back after the event loop has polled its sockets. */
   constructor(
     private readonly clock: Clock,
-    private readonly sliceMs: number,
+    private readonly turnBudgetMs: number,
     private readonly nextTurn: (callback: () => void) => void = setImmediate,
   ) {}
 
-  /** Runs the work now where this turn has time left and nothing else waits, else in a later one. */
+  /** Runs the work at once where the turn has time left and nothing else waits, else in a later turn. */
   add(work: QueuedWork): void {
-    if (!this.scheduled) {
-      this.scheduled = true;
-      this.sliceEndsAt = this.clock() + this.sliceMs;
-      this.nextTurn(() => this.startSlice());
+    if (!this.isTurnScheduled) {
+      this.isTurnScheduled = true;
+      this.budgetEndsAt = this.clock() + this.turnBudgetMs;
+      this.nextTurn(() => this.runTurn());
     }
-    if (this.waiting.size === 0 && this.clock() < this.sliceEndsAt) work.run();
+    if (this.waiting.size === 0 && this.clock() < this.budgetEndsAt) work.run();
     else this.waiting.add(work);
   }
 
-  private startSlice(): void {
-    this.sliceEndsAt = this.clock() + this.sliceMs;
+  private runTurn(): void {
+    this.budgetEndsAt = this.clock() + this.turnBudgetMs;
     for (const work of this.waiting) {
       this.waiting.delete(work);
       if (work.isWanted()) work.run();
-      if (this.clock() >= this.sliceEndsAt) break;
+      if (this.clock() >= this.budgetEndsAt) break;
     }
-    this.scheduled = this.waiting.size > 0;
-    if (this.scheduled) this.nextTurn(() => this.startSlice());
+    this.isTurnScheduled = this.waiting.size > 0;
+    if (this.isTurnScheduled) this.nextTurn(() => this.runTurn());
   }
 }
--- a/src/base/turns.ts
+++ b/src/base/turns.ts
@@ -1,6 +1,6 @@
 /** Turns of the event loop. */
 
-/** Settles in a later turn, after the event loop has looked at its sockets: what came meanwhile is served first. */
+/** Resolves in a later turn, after the event loop has polled its sockets: events that came meanwhile are handled first. */
 export function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/base/user-handler.ts
+++ b/src/base/user-handler.ts
@@ -1,83 +1,105 @@
-/** The routes of users, served by Koa. Loaded on demand: Koa takes more processor time to load than all else of a start. */
+/** The routes of users, served by Koa. Loaded on demand: loading Koa takes most of the processor time of a start. */
 import type { Readable } from 'node:stream';
+
 import Koa from 'koa';
+
+import type { RequestHandler } from './http-server.js';
 import type { Log } from './log.js';
 import {
-  type LeanRoute,
-  type Reply,
-  type Route,
-  bodyLimit,
   decodeBody,
+  type FastPathRoute,
   malformedReply,
+  maxBodyBytes,
+  type Reply,
+  type Route,
   send,
   tooLargeReply,
-  troubleReply,
+  unavailableReply,
 } from './replies.js';
-import type { RequestHandler } from './web.js';
 
-class TooLarge extends Error {}
+/** A request's body is larger than `maxBodyBytes`. */
+class BodyTooLargeError extends Error {
+  constructor() {
+    super(`body over ${maxBodyBytes} bytes`);
+    this.name = 'BodyTooLargeError';
+  }
+}
 
-const notAllowed: Reply = { status: 405, body: { error: 'method not allowed' } };
+/** The client closed the connection before the request was complete. */
+class RequestAbortedError extends Error {
+  constructor() {
+    super('connection lost');
+    this.name = 'RequestAbortedError';
+  }
+}
 
-/** By events: there is a body for every report, and an iterator for each costs more than the reading. */
+const methodNotAllowedReply: Reply = { status: 405, body: { error: 'method not allowed' } };
+const notFoundReply: Reply = { status: 404, body: { error: 'no such path' } };
+
+/** Reads by events, which cost less than an async iterator. A body that is too large is left unread. */
 function readBody(stream: Readable): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     stream.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size <= bodyLimit) chunks.push(chunk);
-      else {
-        stream.pause();
-        reject(new TooLarge());
+      if (size <= maxBodyBytes) {
+        chunks.push(chunk);
+        return;
       }
+      stream.pause();
+      reject(new BodyTooLargeError());
     });
     stream.on('end', () => resolve(chunks.length === 1 && chunks[0] ? chunks[0] : Buffer.concat(chunks)));
     stream.on('error', reject);
     stream.on('close', () => {
-      if (!stream.readableEnded) reject(new Error('connection lost'));
+      if (!stream.readableEnded) reject(new RequestAbortedError());
     });
   });
 }
 
 async function answer(routes: Route[], method: string, path: string, stream: Readable): Promise<Reply> {
-  const route = routes.find((r) => r.method === method && r.path.test(path));
-  if (!route) {
-    return routes.some((r) => r.path.test(path))
-      ? notAllowed
-      : { status: 404, body: { error: 'no such path' } };
-  }
+  const routesOfPath = routes.filter((route) => route.path.test(path));
+  const route = routesOfPath.find((candidate) => candidate.method === method);
+  if (!route) return routesOfPath.length > 0 ? methodNotAllowedReply : notFoundReply;
   const bytes = method === 'POST' ? await readBody(stream) : undefined;
   const decoded = decodeBody(bytes);
   if (!decoded) return malformedReply;
   return route.handle(decoded.body, route.path.exec(path)?.slice(1) ?? []);
 }
 
+/** The reply to a request that has failed. */
+function failureReply(error: unknown, path: string, log: Log): Reply {
+  // The rest of the body is not read, so the connection cannot be used again.
+  if (error instanceof BodyTooLargeError) return tooLargeReply;
+  log.error({ event: 'request-failed', path, err: error }, 'request failed');
+  return unavailableReply;
+}
+
 /**
- * Serves the users' routes. Whatever arrives, the process stays up and the answer has its proper status. `lean` are the
- * routes that are served elsewhere: a request for one of them comes here only with another method.
+ * Serves the users' routes. Every request gets a reply with its proper status, and no failure of a route ends the process.
+ * `fastPathRoutes` are served elsewhere: a request for one of their paths comes here only with another method.
  */
-export function createUserHandler(routes: Route[], lean: LeanRoute[], log: Log): RequestHandler {
+export function createUserHandler(
+  routes: Route[],
+  fastPathRoutes: FastPathRoute[],
+  log: Log,
+): RequestHandler {
   const app = new Koa();
   app.silent = true;
   app.use(async (ctx) => {
     let reply: Reply;
     try {
-      reply = lean.some((route) => route.path === ctx.path)
-        ? notAllowed
+      reply = fastPathRoutes.some((route) => route.path === ctx.path)
+        ? methodNotAllowedReply
         : await answer(routes, ctx.method, ctx.path, ctx.req);
     } catch (error) {
-      if (error instanceof TooLarge) {
-        // The rest of the body is not read, so the connection cannot be used again.
-        reply = tooLargeReply;
-      } else {
-        log.error({ event: 'request-failed', path: ctx.path, err: error }, 'request failed');
-        reply = troubleReply;
-      }
+      reply = failureReply(error, ctx.path, log);
     }
     ctx.respond = false;
     send(ctx.res, reply);
   });
   const handle = app.callback();
+  // Koa's promise never rejects: it handles the failures of its middleware itself.
   return (request, response) => void handle(request, response);
 }
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -1,9 +1,9 @@
 /** The HTTP service of a controller: workers' heartbeats, users' requests and health checks on one port. */
 import type { Clock } from '../base/clock.js';
 import { ConnectionLoad } from '../base/connection-load.js';
+import { type RequestHandler, serveHttp } from '../base/http-server.js';
 import type { Log } from '../base/log.js';
 import { parseSocketAddress } from '../base/socket-address.js';
-import { type RequestHandler, serveWeb } from '../base/web.js';
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { Intake } from '../intake/intake.js';
@@ -46,22 +46,22 @@
   /** Serves until the signal fires. Throws where the port cannot be listened on. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, log, settings, intake } = this.ports;
-    const lean = [this.heartbeatHandler.route, intake.health];
+    const fastPathRoutes = [this.heartbeatHandler.route, intake.health];
     const loadHandler = async (): Promise<RequestHandler> => {
       const { createUserHandler } = await import('../base/user-handler.js');
-      return createUserHandler(intake.routes, lean, log);
+      return createUserHandler(intake.routes, fastPathRoutes, log);
     };
     const options = {
       ...parseSocketAddress(settings.serveOn),
-      lean,
+      fastPathRoutes,
       loadHandler,
       log,
       clock,
       load: this.load,
-      idleMs: settings.workerLeaseMs * idleTimeoutLeases,
-      sliceMs: settings.heartbeatIntervalMs * turnBudgetHeartbeats,
+      idleTimeoutMs: settings.workerLeaseMs * idleTimeoutLeases,
+      turnBudgetMs: settings.heartbeatIntervalMs * turnBudgetHeartbeats,
     };
-    await serveWeb(options, signal);
+    await serveHttp(options, signal);
   }
 
   private createHeartbeatHandler(): HeartbeatHandler {
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,7 +1,7 @@
 /** The users' requests: submissions, questions and cancels, and the health check. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import type { LeanRoute, Reply, Route } from '../base/replies.js';
+import type { FastPathRoute, Reply, Route } from '../base/replies.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { type JobStatus, isJobId, jobAnswer, jobDetails, jobIdIn, parseJob } from '../wire/jobs.js';
 import { type CancelPorts, JobCanceller } from './job-canceller.js';
@@ -37,7 +37,7 @@
     { method: 'POST', path: /^\/v2\/runs\/([^/]+)\/cancel$/, handle: (_body, [id = '']) => this.cancel(id) },
   ];
 
-  readonly health: LeanRoute = {
+  readonly health: FastPathRoute = {
     method: 'GET',
     path: '/up',
     handle: (_body, answer) => answer({ status: this.ports.isUp() ? 200 : 503 }),
--- a/src/placement/intent-commits.ts
+++ b/src/placement/intent-commits.ts
@@ -16,7 +16,7 @@
   for (; pages.size > 0 && clock() < until; pages = pagesOfPlacingTasks(tasks())) {
     // A page that cannot be committed now, since the store knows the block differently, takes longer than we wait.
     const commits = [...pages].filter((page) => page.isCommitting).map((page) => page.commit);
-    await (commits.length > 0 ? Promise.race([timeUp.over, Promise.all(commits)]) : timeUp.over);
+    await (commits.length > 0 ? Promise.race([timeUp.expired, Promise.all(commits)]) : timeUp.expired);
   }
   timeUp.cancel();
 }
--- a/src/placement/round-trigger.ts
+++ b/src/placement/round-trigger.ts
@@ -31,7 +31,7 @@
     const woken = new Promise<void>((resolve) => {
       this.wake = resolve;
     });
-    await Promise.race([timeUp.over, woken]);
+    await Promise.race([timeUp.expired, woken]);
     timeUp.cancel();
     stopListening();
     this.wake = undefined;
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -91,8 +91,11 @@
    * @param writesAhead writes that go out before it; `duty` takes no account of them
    */
   writeWaitMs(trafficClass: TrafficClass, writesAhead = 0): number {
-    if (trafficClass === 'duty') return this.writes.owedMs(this.intakeReserve);
-    return Math.max(this.writes.owedMs(writesAhead), this.intakeWrites.owedMs(writesAhead));
+    if (trafficClass === 'duty') return this.writes.msUntilAvailable(this.intakeReserve);
+    return Math.max(
+      this.writes.msUntilAvailable(writesAhead),
+      this.intakeWrites.msUntilAvailable(writesAhead),
+    );
   }
 
   /** Takes the writes of a commit from the share, in debt if need be. */
--- a/src/workers/failure-detection.test.ts
+++ b/src/workers/failure-detection.test.ts
@@ -53,7 +53,7 @@
   state.tasks.set('req-1/0', task);
   const checkAt = (at: number): [silent: number, partitionedSince: number | undefined] => {
     now = at;
-    state.addGrace(processPause.look());
+    state.addGrace(processPause.measureDelayMs());
     return [silentMachines([state], now, times, 3).length, state.oneWayPartitionSince()];
   };
   assert.deepEqual(checkAt(1000), [0, 0]);
@@ -75,7 +75,9 @@
     state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
     state.hasSentHeartbeat = true;
     for (let now = 500; now < 60_000; now += 500) {
-      state.addGrace(ownDelayGraceMs({ passedMs: 500, heldUpMs: 0, saturated: saturation.look() }));
+      state.addGrace(
+        ownDelayGraceMs({ passedMs: 500, heldUpMs: 0, saturated: saturation.measureSaturated() }),
+      );
       if (silentMachines([state], now, times, 3).length > 0) return now;
     }
     return Infinity;
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,7 +1,7 @@
 /** Workers' heartbeats: what they prove is applied to the state of the block, and the response carries commands. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import { type LeanRoute, type Reply, troubleReply } from '../base/replies.js';
+import { type FastPathRoute, type Reply, unavailableReply } from '../base/replies.js';
 import type { Heartbeat, WorkerCommand } from '../model/types.js';
 import type { BlockState } from '../placement/block-state.js';
 import type { MachineState } from '../placement/machine-state.js';
@@ -75,7 +75,7 @@
  */
 export class HeartbeatHandler {
   /** For the server: a heartbeat may wait in its queue while there are many. */
-  readonly route: LeanRoute = {
+  readonly route: FastPathRoute = {
     method: 'POST',
     path: heartbeatPath,
     queued: true,
@@ -233,7 +233,7 @@
       { event: 'request-failed', path: heartbeatPath, machine: machine.id, err: error },
       'request failed',
     );
-    respond(troubleReply);
+    respond(unavailableReply);
   }
 
   private redirect(machine: string): Reply {
--- a/src/workers/own-delays.ts
+++ b/src/workers/own-delays.ts
@@ -37,13 +37,13 @@
     this.checkedAt += passedMs;
     return ownDelayGraceMs({
       passedMs,
-      heldUpMs: this.processPause.look(),
-      saturated: this.saturation.look(),
+      heldUpMs: this.processPause.measureDelayMs(),
+      saturated: this.saturation.measureSaturated(),
     });
   }
 
   /** Has the time since the last check count as time in which nothing held us up: a check that waited for an answer. */
   ignoreWait(): void {
-    this.processPause.look();
+    this.processPause.measureDelayMs();
   }
 }
