--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,6 +7,7 @@
 const strictFolders = [
   'src/blocks',
   'src/controller',
+  'src/dependencies',
   'src/ladder',
   'src/leadership',
   'src/peers',
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -8,7 +8,7 @@
 import { BootedMachines } from '../blocks/booted-machines.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import { CloudClient } from '../cloud/client.js';
-import { Cascade } from '../dependencies/cascade.js';
+import { CancellationCascade } from '../dependencies/cancellation-cascade.js';
 import type { Intake } from '../intake/intake.js';
 import { Election } from '../leadership/election.js';
 import { HeartbeatResponsePolicy } from '../leadership/heartbeat-response-policy.js';
@@ -54,7 +54,7 @@
   private readonly machineEvents: MachineEvents;
   private readonly leaderDuties: LeaderDuties;
   private readonly election: Election;
-  private readonly cascade: Cascade;
+  private readonly cascade: CancellationCascade;
   private readonly peerLinks: PeerLinks;
   private readonly intake: Intake;
   private readonly httpService: HttpService;
@@ -187,8 +187,8 @@
     });
   }
 
-  private createCascade(): Cascade {
-    return new Cascade({
+  private createCascade(): CancellationCascade {
+    return new CancellationCascade({
       clock: this.clock,
       wallClock: Date.now,
       log: this.log,
@@ -198,7 +198,7 @@
       jobIndex: this.state.jobIndex,
       commits: this.state.commitQueues.duty,
       isLeading: () => this.election.term !== undefined,
-      readEnd: (id) => this.state.outcomeReader.read(id),
+      readOutcome: (id) => this.state.outcomeReader.read(id),
     });
   }
 
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -4,7 +4,7 @@
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
-import type { Cascade } from '../dependencies/cascade.js';
+import type { CancellationCascade } from '../dependencies/cancellation-cascade.js';
 import { Intake } from '../intake/intake.js';
 import type { Election } from '../leadership/election.js';
 import type { PeerLinks } from '../peers/peer-links.js';
@@ -23,7 +23,7 @@
   bootedMachines: BootedMachines;
   ownedBlocks: Pick<OwnedBlocks, 'blockStates'>;
   election: Pick<Election, 'leader'>;
-  cascade: Cascade;
+  cascade: CancellationCascade;
   peerLinks: Pick<PeerLinks, 'lastStatus'>;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
--- a/src/dependencies/dependency-graph.ts
+++ b/src/dependencies/dependency-graph.ts
@@ -1,157 +1,170 @@
-/** The graph of open jobs that need others, and what follows from it: readiness, cancellation, priority, latest end. */
+/** The dependency graph (DAG) of open jobs, and what follows from it: readiness, cancellation, urgency, deadlines. */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { moreUrgent } from '../model/urgency.js';
 import type { OutcomeRecord } from '../wire/job-records.js';
 
 /**
- * `ready`: all dependencies are done. `doomed`: a job before it is cancelled, so that it has to be cancelled too.
- * `unresolved`: of some job before it neither a record nor an end is known here. `waiting`: none of these.
+ * `ready`: all dependencies are done. `upstream-cancelled`: a job upstream is cancelled, so this one has to be cancelled
+ * too. `unresolved`: of some job upstream neither a record nor an outcome is known here. `waiting`: none of these.
  */
-export type DependencyState = 'ready' | 'doomed' | 'unresolved' | 'waiting';
+export type DependencyState = 'ready' | 'upstream-cancelled' | 'unresolved' | 'waiting';
 
-/** What the jobs that need a job, directly or through others, ask of it. */
-export interface ChainDemand {
-  /** The highest urgency of the job and of all that need it. */
+/** What the direct and transitive dependents of a job ask of it. */
+export interface DownstreamDemand {
+  /** The highest urgency of the job and its dependents. */
   urgency: Urgency;
-  /** Time of day in ms by which the job has to end so that all that need it can meet their deadlines. */
+  /** Time of day in ms by which the job has to end for its dependents to meet their deadlines; undefined without any. */
   endBy: number | undefined;
 }
 
-type EndLookup = (id: string) => OutcomeRecord | undefined;
+type OutcomeLookup = (id: string) => OutcomeRecord | undefined;
 
-/** Ends never change, so neither readiness nor a cancellation ever goes away. */
+/** The open jobs with dependencies. Outcomes never change, so a job never stops being ready or due for cancellation. */
 export class DependencyGraph {
   /** Open jobs with dependencies. */
-  private readonly open = new Map<string, JobSpec>();
+  private readonly openJobs = new Map<string, JobSpec>();
+  /** Direct dependents of each job that an open one depends on. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Ends of jobs that open ones need, kept for as long as these are open. */
-  private readonly ends = new Map<string, OutcomeRecord>();
-  private readonly doomedSince = new Map<string, number>();
-  private readonly demands = new Map<string, ChainDemand>();
-
-  /** `endOf`: ends that this controller knows already. */
+  /** Outcomes of dependencies, kept while a dependent is open. */
+  private readonly outcomes = new Map<string, OutcomeRecord>();
+  /** Open jobs with a cancelled job upstream, and the time of the clock when this became known. */
+  private readonly upstreamCancelledSince = new Map<string, number>();
+  /** Computed demands; any change of the graph clears them. */
+  private readonly demands = new Map<string, DownstreamDemand>();
+
+  /** `outcomeOf`: outcomes that this controller has learned, of whatever job. */
   constructor(
     private readonly clock: () => number,
-    private readonly endOf: EndLookup = () => undefined,
+    private readonly outcomeOf: OutcomeLookup = () => undefined,
   ) {}
 
   /** Forgets all open jobs. */
   clear(): void {
-    this.open.clear();
+    this.openJobs.clear();
     this.dependents.clear();
-    this.ends.clear();
-    this.doomedSince.clear();
+    this.outcomes.clear();
+    this.upstreamCancelledSince.clear();
     this.demands.clear();
   }
 
+  /** Adds an open job; does nothing for a job that is known or has no dependencies. */
   add(spec: JobSpec): void {
     const { id, dependencies = [] } = spec;
-    if (this.open.has(id) || dependencies.length === 0) return;
-    this.open.set(id, spec);
+    if (this.openJobs.has(id) || dependencies.length === 0) return;
+    this.openJobs.set(id, spec);
     this.demands.clear();
     for (const dependency of dependencies) {
       this.addDependent(dependency, id);
-      const end = this.knownEnd(dependency);
-      if (end) this.ends.set(dependency, end);
+      const outcome = this.knownOutcome(dependency);
+      if (outcome) this.outcomes.set(dependency, outcome);
     }
-    if (dependencies.some((dependency) => this.isLost(dependency))) this.doom(id);
+    if (dependencies.some((dependency) => this.isCancelledOrDue(dependency))) this.markUpstreamCancelled(id);
   }
 
+  /** Removes a job that is no longer open. */
   remove(id: string): void {
-    const spec = this.open.get(id);
+    const spec = this.openJobs.get(id);
     if (!spec) return;
-    this.open.delete(id);
-    this.doomedSince.delete(id);
+    this.openJobs.delete(id);
+    this.upstreamCancelledSince.delete(id);
     this.demands.clear();
     for (const dependency of spec.dependencies ?? []) this.removeDependent(dependency, id);
   }
 
-  /** Returns the jobs that this end has made ready. */
-  noteEnd(id: string, end: OutcomeRecord): string[] {
-    // Nothing is left to be done about it, whenever the copy of the store drops its record.
-    this.doomedSince.delete(id);
+  /** Records the outcome of a job; returns the jobs that it has made ready. */
+  recordOutcome(id: string, outcome: OutcomeRecord): string[] {
+    // An ended job needs no cancellation, even while the replica still holds its record.
+    this.upstreamCancelledSince.delete(id);
     const dependents = this.dependents.get(id);
-    if (!dependents || this.ends.has(id)) return [];
-    this.ends.set(id, end);
+    if (!dependents || this.outcomes.has(id)) return [];
+    this.outcomes.set(id, outcome);
     this.demands.clear();
-    if (end.outcome === 'cancelled') {
-      for (const dependent of dependents) this.doom(dependent);
+    if (outcome.outcome === 'cancelled') {
+      for (const dependent of dependents) this.markUpstreamCancelled(dependent);
       return [];
     }
     return [...dependents].filter((dependent) => this.isReady(dependent));
   }
 
-  /** True also for jobs without dependencies. */
+  /** Whether all dependencies are done; true also for a job without any. */
   isReady(id: string): boolean {
-    return (this.open.get(id)?.dependencies ?? []).every((dependency) => this.isDone(dependency));
+    return (this.openJobs.get(id)?.dependencies ?? []).every((dependency) => this.isDone(dependency));
   }
 
+  /** Whether all these jobs are known to be done. */
   areDone(dependencies: Iterable<string>): boolean {
-    return [...dependencies].every((dependency) => this.knownEnd(dependency)?.outcome === 'done');
+    return [...dependencies].every((dependency) => this.knownOutcome(dependency)?.outcome === 'done');
   }
 
-  /** True where a job that names these dependencies has to be cancelled. */
-  isDoomedBy(dependencies: Iterable<string>): boolean {
-    return [...dependencies].some((dependency) => this.isLost(dependency));
+  /** Whether a job with these dependencies has to be cancelled. */
+  hasCancelledUpstream(dependencies: Iterable<string>): boolean {
+    return [...dependencies].some((dependency) => this.isCancelledOrDue(dependency));
   }
 
-  /** `isOpen`: whether the record of a job is known here. */
+  /**
+   * The state of an open job.
+   * @param id the job
+   * @param isOpen whether the record of a job is known here
+   */
   stateOf(id: string, isOpen: (id: string) => boolean): DependencyState {
-    if (this.doomedSince.has(id)) return 'doomed';
+    if (this.upstreamCancelledSince.has(id)) return 'upstream-cancelled';
     if (this.isReady(id)) return 'ready';
-    return this.unresolvedBefore(id, isOpen, new Set()).next().done === true ? 'waiting' : 'unresolved';
+    return this.unresolvedUpstream(id, isOpen, new Set()).next().done === true ? 'waiting' : 'unresolved';
   }
 
-  /** Open jobs that have to be cancelled, and since when this controller has known it. */
-  doomed(): ReadonlyMap<string, number> {
-    return this.doomedSince;
+  /** Open jobs that have to be cancelled, and since when (by the clock) this controller has known it. */
+  upstreamCancelled(): ReadonlyMap<string, number> {
+    return this.upstreamCancelledSince;
   }
 
-  /** Jobs that open ones need and of which neither a record nor an end is known here. */
+  /** Dependencies of open jobs of which neither a record nor an outcome is known here. */
   unresolved(isOpen: (id: string) => boolean): Set<string> {
     const unresolved = new Set<string>();
     for (const id of this.dependents.keys()) {
-      if (!this.ends.has(id) && !isOpen(id)) unresolved.add(id);
+      if (!this.outcomes.has(id) && !isOpen(id)) unresolved.add(id);
     }
     return unresolved;
   }
 
-  /** All open jobs that need this one, directly or through others. */
-  closure(id: string): string[] {
+  /** All open jobs that depend on this one, directly or through others. */
+  transitiveDependents(id: string): string[] {
     const found = new Set<string>();
-    const next = [id];
-    for (let at = next.pop(); at !== undefined; at = next.pop()) {
-      for (const dependent of this.dependents.get(at) ?? []) {
+    const pending = [id];
+    for (let current = pending.pop(); current !== undefined; current = pending.pop()) {
+      for (const dependent of this.dependents.get(current) ?? []) {
         if (found.has(dependent)) continue;
         found.add(dependent);
-        next.push(dependent);
+        pending.push(dependent);
       }
     }
     return [...found];
   }
 
-  /** Time of day in ms from which the times of a ready job count. */
+  /** Time of day in ms from which the waiting time of a ready job counts: its acceptance or the last outcome it needed. */
   readyAt(spec: JobSpec): number {
-    const ends = (spec.dependencies ?? []).map((dependency) => this.ends.get(dependency)?.endedAt ?? 0);
-    return Math.max(spec.acceptedAt, ...ends);
+    const endTimes = (spec.dependencies ?? []).map(
+      (dependency) => this.outcomes.get(dependency)?.endedAt ?? 0,
+    );
+    return Math.max(spec.acceptedAt, ...endTimes);
   }
 
-  demandOn(spec: JobSpec): ChainDemand {
+  /** The urgency and latest end that the job inherits from its dependents. */
+  downstreamDemand(spec: JobSpec): DownstreamDemand {
     const known = this.demands.get(spec.id);
     if (known) return known;
-    const demand: ChainDemand = { urgency: spec.urgency, endBy: undefined };
+    const demand: DownstreamDemand = { urgency: spec.urgency, endBy: undefined };
     if (!this.dependents.has(spec.id)) return demand;
-    // Users can name only what was accepted before, so there are no cycles; this would end them all the same.
+    // A job can only depend on jobs accepted before it, so there are no cycles; if there were, this entry would end the recursion.
     this.demands.set(spec.id, demand);
     for (const id of this.dependents.get(spec.id) ?? []) {
-      const dependent = this.open.get(id);
+      const dependent = this.openJobs.get(id);
       if (dependent) this.addDemand(demand, dependent);
     }
     return demand;
   }
 
-  private addDemand(demand: ChainDemand, dependent: JobSpec): void {
-    const { urgency, endBy } = this.demandOn(dependent);
+  private addDemand(demand: DownstreamDemand, dependent: JobSpec): void {
+    const { urgency, endBy } = this.downstreamDemand(dependent);
     demand.urgency = moreUrgent(demand.urgency, urgency);
     const { deadlineS, acceptedAt, estimatedRunS } = dependent;
     const deadline = deadlineS === null ? Infinity : acceptedAt + deadlineS * 1000;
@@ -160,34 +173,34 @@
     demand.endBy = Math.min(demand.endBy ?? Infinity, latestEnd - estimatedRunS * 1000);
   }
 
-  private knownEnd(id: string): OutcomeRecord | undefined {
-    return this.ends.get(id) ?? this.endOf(id);
+  private knownOutcome(id: string): OutcomeRecord | undefined {
+    return this.outcomes.get(id) ?? this.outcomeOf(id);
   }
 
   private isDone(id: string): boolean {
-    return this.ends.get(id)?.outcome === 'done';
+    return this.outcomes.get(id)?.outcome === 'done';
   }
 
-  /** Cancelled, or about to be. */
-  private isLost(id: string): boolean {
-    return this.knownEnd(id)?.outcome === 'cancelled' || this.doomedSince.has(id);
+  /** Whether the job is cancelled, or has to be. */
+  private isCancelledOrDue(id: string): boolean {
+    return this.knownOutcome(id)?.outcome === 'cancelled' || this.upstreamCancelledSince.has(id);
   }
 
-  private doom(id: string): void {
-    for (const lost of [id, ...this.closure(id)]) {
-      if (!this.doomedSince.has(lost)) this.doomedSince.set(lost, this.clock());
+  private markUpstreamCancelled(id: string): void {
+    for (const affected of [id, ...this.transitiveDependents(id)]) {
+      if (!this.upstreamCancelledSince.has(affected)) this.upstreamCancelledSince.set(affected, this.clock());
     }
   }
 
-  private *unresolvedBefore(
+  private *unresolvedUpstream(
     id: string,
     isOpen: (id: string) => boolean,
     visited: Set<string>,
   ): Generator<string> {
-    for (const dependency of this.open.get(id)?.dependencies ?? []) {
-      if (visited.has(dependency) || this.ends.has(dependency)) continue;
+    for (const dependency of this.openJobs.get(id)?.dependencies ?? []) {
+      if (visited.has(dependency) || this.outcomes.has(dependency)) continue;
       visited.add(dependency);
-      if (isOpen(dependency)) yield* this.unresolvedBefore(dependency, isOpen, visited);
+      if (isOpen(dependency)) yield* this.unresolvedUpstream(dependency, isOpen, visited);
       else yield dependency;
     }
   }
@@ -203,6 +216,6 @@
     dependents?.delete(id);
     if (dependents?.size !== 0) return;
     this.dependents.delete(dependency);
-    this.ends.delete(dependency);
+    this.outcomes.delete(dependency);
   }
 }
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -99,7 +99,7 @@
     const { jobIndex, settings } = this.ports;
     const room = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
     return jobIndex.dependencies
-      .closure(id)
+      .transitiveDependents(id)
       .slice(0, room)
       .flatMap((dependent) => {
         const job = jobIndex.openJob(dependent);
--- a/src/intake/job-status.ts
+++ b/src/intake/job-status.ts
@@ -100,7 +100,7 @@
         return { kind: knowsCancellations() ? 'open' : 'unavailable' };
       case 'unresolved':
         return { kind: 'unavailable' };
-      case 'doomed':
+      case 'upstream-cancelled':
         await cascade.cancel(id);
         return this.knownEnd(id) ?? { kind: 'unavailable' };
     }
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -22,7 +22,7 @@
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The block that a new job belongs to; empty where the leader has to place it. */
   home: (spec: JobSpec) => TaskRange[];
-  jobIndex: { dependencies: Pick<DependencyGraph, 'isDoomedBy'> };
+  jobIndex: { dependencies: Pick<DependencyGraph, 'hasCancelledUpstream'> };
   /** All controllers heed dependencies: an earlier version would start such a job at once. */
   supportsDependencies: () => boolean;
   knowsCancellations: () => boolean;
@@ -113,7 +113,8 @@
 
   private async record(job: JobSpec): Promise<SubmissionResult> {
     const { mirror, home, jobIndex } = this.ports;
-    if (jobIndex.dependencies.isDoomedBy(job.dependencies ?? [])) return this.recordAsCancelled(job);
+    if (jobIndex.dependencies.hasCancelledUpstream(job.dependencies ?? []))
+      return this.recordAsCancelled(job);
     const key = jobKey(job.id);
     const value = jobRecord({ spec: job, taskRanges: home(job) });
     return this.commitAsNew(job.id, key, value, (version) => mirror.recordCommitted(key, { value, version }));
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -86,7 +86,7 @@
 
   /** What follows for a job from those that it needs and those that need it. */
   dependencyFactsOf(spec: JobSpec): DependencyFacts {
-    return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.demandOn(spec) };
+    return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.downstreamDemand(spec) };
   }
 
   /** All that blocks have on record of the job, without entries that smaller ones have superseded. */
@@ -167,7 +167,7 @@
     const ended = jobOfOutcomeKey(key);
     const outcome = ended === undefined ? undefined : parseOutcome(value);
     if (ended === undefined || !outcome) return;
-    for (const ready of this.dependencies.noteEnd(ended, outcome)) {
+    for (const ready of this.dependencies.recordOutcome(ended, outcome)) {
       const job = this.blocked.get(ready);
       if (!job) continue;
       this.blocked.delete(ready);
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -1,7 +1,7 @@
 /** The users' side of one controller, for tests without sockets. */
 import type { Reply, Route } from '../base/replies.js';
 import { silentLog } from '../base/log.js';
-import { Cascade } from '../dependencies/cascade.js';
+import { CancellationCascade } from '../dependencies/cancellation-cascade.js';
 import { EndReader } from '../intake/end-reader.js';
 import { Intake, type IntakePorts } from '../intake/intake.js';
 import { JobIndex } from '../placement/job-index.js';
@@ -46,7 +46,7 @@
   private constructor(
     ports: IntakePorts,
     private readonly id: string,
-    readonly cascade: Cascade,
+    readonly cascade: CancellationCascade,
   ) {
     this.routes = new Intake(ports).routes;
   }
@@ -75,7 +75,7 @@
       listPage: (prefix: string, after: string, most: number) => store.listPage(prefix, after, most),
     } as unknown as StoreClient;
     const ends = new EndReader({ store: client, mirror });
-    const cascade = new Cascade({
+    const cascade = new CancellationCascade({
       clock: () => 0,
       wallClock: () => 0,
       log: silentLog,
@@ -85,7 +85,7 @@
       jobIndex,
       commits: stage('duty'),
       isLeading: () => true,
-      readEnd: (id) => ends.read(id),
+      readOutcome: (id) => ends.read(id),
     });
     const ports = {
       clock: () => 0,
