--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,6 +6,7 @@
 /** Folders whose code is held to the strict rules below, one a line. */
 const strictFolders = [
   'src/blocks',
+  'src/cloud',
   'src/controller',
   'src/dependencies',
   'src/ladder',
--- a/src/ladder/machine-list-poller.ts
+++ b/src/ladder/machine-list-poller.ts
@@ -1,6 +1,6 @@
 /** Periodic listing of the cloud's machines. */
 import { sleep } from '../base/clock.js';
-import { type CloudClient, listLimit } from '../cloud/client.js';
+import { type CloudClient, maxMachinesPerList } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineInventory } from './machine-inventory.js';
@@ -36,7 +36,7 @@
 
   private intervalMs(machines: number): number {
     const { rps, listLagMs } = this.ports.settings.cloud;
-    const calls = Math.ceil((machines + 1) / listLimit);
+    const calls = Math.ceil((machines + 1) / maxMachinesPerList);
     const pacedMs = (calls * 1000) / (rps * listCallShare);
     return Math.max(this.minIntervalMs, listLagMs / 2, pacedMs);
   }
--- a/src/ladder/machine-releaser.ts
+++ b/src/ladder/machine-releaser.ts
@@ -1,7 +1,7 @@
 /** Release of drained machines. */
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import { type CloudClient, releaseLimit } from '../cloud/client.js';
+import { type CloudClient, maxMachinesPerRelease } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { MachineInventory } from './machine-inventory.js';
@@ -36,7 +36,7 @@
   private async releaseDue(): Promise<void> {
     const { cloud, jobIndex, log } = this.ports;
     const loads = jobIndex.machineLoads();
-    const batch = this.inventory.dueForRelease((id) => loads.has(id)).slice(0, releaseLimit);
+    const batch = this.inventory.dueForRelease((id) => loads.has(id)).slice(0, maxMachinesPerRelease);
     if (batch.length === 0) return;
     const isReleased = await this.inventory.whileReleasing(batch, () => cloud.release(batch));
     if (!isReleased) return;
--- a/src/ladder/scale-out.ts
+++ b/src/ladder/scale-out.ts
@@ -1,7 +1,7 @@
 /** Scale-out: how a pool gets more machines. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
-import { type CloudClient, rentalLimit } from '../cloud/client.js';
+import { type CloudClient, maxMachinesPerRental } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
@@ -46,8 +46,8 @@
     );
     for (const [zone, share] of spreadOverZones(missing, openZones, pool.machines)) {
       // One call rents only so many: a site that starts from nothing takes several for each zone.
-      for (let left = share; left > 0 && !term.signal.aborted; left -= rentalLimit) {
-        if (!(await this.rentInZone(pool, zone, Math.min(left, rentalLimit)))) break;
+      for (let left = share; left > 0 && !term.signal.aborted; left -= maxMachinesPerRental) {
+        if (!(await this.rentInZone(pool, zone, Math.min(left, maxMachinesPerRental)))) break;
       }
     }
   }
--- a/src/workers/health-monitor.test.ts
+++ b/src/workers/health-monitor.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 
 import { createLog } from '../base/log.js';
-import { releaseLimit } from '../cloud/client.js';
+import { maxMachinesPerRelease } from '../cloud/client.js';
 import type { Task } from '../placement/job-state.js';
 import { MachineState } from '../placement/machine-state.js';
 import { defaultOperatorSettings } from '../settings/operator.js';
@@ -97,10 +97,10 @@
   });
 
   test('name no more machines than the cloud takes in one request', async () => {
-    const { requests } = await check(silentMachines(releaseLimit + 1), 2);
+    const { requests } = await check(silentMachines(maxMachinesPerRelease + 1), 2);
     assert.deepEqual(
       requests.map(({ length }) => length),
-      [releaseLimit, 1],
+      [maxMachinesPerRelease, 1],
     );
   });
 });
--- a/src/workers/machine-releaser.ts
+++ b/src/workers/machine-releaser.ts
@@ -1,6 +1,6 @@
 /** Release of failed machines, whose tasks wait again once the cloud has proven the machines terminated. */
 import type { Log } from '../base/log.js';
-import { type CloudClient, releaseLimit } from '../cloud/client.js';
+import { type CloudClient, maxMachinesPerRelease } from '../cloud/client.js';
 import type { BlockState } from '../placement/block-state.js';
 import type { MachineState } from '../placement/machine-state.js';
 
@@ -21,7 +21,7 @@
   marked: readonly MachineState[],
   { log, cloud, blockState, onTasksRequeued }: MachineReleaserPorts,
 ): Promise<void> {
-  const machines = marked.slice(0, releaseLimit);
+  const machines = marked.slice(0, maxMachinesPerRelease);
   const isReleased = await cloud.release(machines.map(({ id }) => id));
   if (!isReleased) return;
   for (const { id, info, releaseReason } of machines) {
