--- a/eslint.config.js
+++ b/eslint.config.js
@@ -9,6 +9,7 @@
   'src/cloud',
   'src/controller',
   'src/dependencies',
+  'src/intake',
   'src/ladder',
   'src/leadership',
   'src/peers',
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -229,7 +229,6 @@
   private createIntake(): Intake {
     return createIntake({
       clock: this.clock,
-      log: this.log,
       settings: this.settings,
       state: this.state,
       machineTypes: this.machineTypes,
--- a/src/controller/replica-change-handler.test.ts
+++ b/src/controller/replica-change-handler.test.ts
@@ -19,7 +19,7 @@
   );
   const handler = new ReplicaChangeHandler({
     mirror,
-    cancellations: { learn: (id, version) => calls.push(['learn', id, version]) },
+    cancellations: { record: (id, version) => calls.push(['learn', id, version]) },
     jobIndex: {
       load: (from) => calls.push(['load', from === mirror]),
       applyChanges: (changes) => calls.push(['index', changes.length]),
--- a/src/controller/replica-change-handler.ts
+++ b/src/controller/replica-change-handler.ts
@@ -10,7 +10,7 @@
 /** Who hears of changes. */
 export interface ReplicaChangeHandlerPorts {
   mirror: Mirror;
-  cancellations: Pick<Cancellations, 'learn'>;
+  cancellations: Pick<Cancellations, 'record'>;
   jobIndex: Pick<JobIndex, 'load' | 'applyChanges'>;
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
 }
@@ -32,7 +32,7 @@
     for (const change of changes) {
       const id = jobOfOutcomeKey(change.key);
       if (id === undefined || parseOutcome(change.value)?.outcome !== 'cancelled') continue;
-      this.ports.cancellations.learn(id, change.version);
+      this.ports.cancellations.record(id, change.version);
     }
   }
 
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.js';
 import { BlockRegistry } from '../blocks/block-registry.js';
 import { Cancellations } from '../intake/cancellations.js';
-import { EndReader } from '../intake/end-reader.js';
+import { OutcomeReader } from '../intake/outcome-reader.js';
 import { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import { StoreClient } from '../store/client.js';
@@ -30,7 +30,7 @@
   readonly registry: BlockRegistry;
   readonly jobIndex: JobIndex;
   readonly cancellations: Cancellations;
-  readonly outcomeReader: EndReader;
+  readonly outcomeReader: OutcomeReader;
   readonly knowledge: StoreKnowledge;
 
   constructor({ clock, settings, signal, leaseTtlMs }: StateAccessOptions) {
@@ -43,7 +43,7 @@
     this.registry = new BlockRegistry(mirror, labels);
     this.jobIndex = new JobIndex(clock, (id) => mirror.outcomeOf(id));
     this.cancellations = new Cancellations(() => mirror.initialRevision);
-    this.outcomeReader = new EndReader({ store, mirror });
+    this.outcomeReader = new OutcomeReader({ store, mirror });
     this.knowledge = new StoreKnowledge({ clock, store, mirror, settings, leaseTtlMs });
   }
 }
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -1,6 +1,5 @@
 /** Composes what serves users: submissions, questions, cancels, and the health check of their load balancers. */
 import type { Clock } from '../base/clock.js';
-import type { Log } from '../base/log.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
@@ -16,7 +15,6 @@
 /** What the users' side needs of the rest of the controller. */
 export interface UserServicePorts {
   clock: Clock;
-  log: Log;
   settings: Settings;
   state: StateAccess;
   machineTypes: Pick<MachineTypeCatalog, 'types'>;
@@ -35,22 +33,20 @@
   const initialDispatcher = createInitialDispatcher(ports);
   const health = createHealth(ports);
   return new Intake({
-    clock: ports.clock,
     wallClock: Date.now,
-    log: ports.log,
     settings: ports.settings,
     store: state.store,
     mirror: state.mirror,
     jobIndex: state.jobIndex,
     writes: state.commitQueues.intake,
-    confirms: state.commitQueues.confirm,
-    ends: state.outcomeReader,
+    comparisons: state.commitQueues.confirm,
+    outcomeReader: state.outcomeReader,
     cascade: ports.cascade,
     machineTypes: () => ports.machineTypes.types,
-    home: (spec) => initialDispatcher.initialRanges(spec),
+    initialRanges: (spec) => initialDispatcher.initialRanges(spec),
     supportsDependencies: () => state.registry.isClusterUpgraded,
     knowsCancellations: () => state.knowledge.knowsCancellations(),
-    isUp: () => health.isServing(),
+    isServing: () => health.isServing(),
   });
 }
 
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,17 +1,17 @@
+/** Checks of a submitted job that need nothing but the job, the settings and the machine types. */
 import { type JobSpec, type MachineType, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-
 import { sizeOf } from '../wire/codec.js';
 import { jobRecord, minTaskRangesBytes } from '../wire/job-records.js';
 
-/** Why the record of a job would not fit a value of the state service. */
-export function whyTooLarge(job: JobSpec, valueBytes: number): string | undefined {
+/** Why the record of a job would not fit into a stored value of `valueBytes`, or undefined where it does. */
+export function tooLargeReason(job: JobSpec, valueBytes: number): string | undefined {
   const bytes = sizeOf(jobRecord({ spec: job, taskRanges: [] })) + minTaskRangesBytes;
   return bytes > valueBytes ? 'the description of the job is too large' : undefined;
 }
 
-/** Why a well-formed job can never run, or undefined where it can. */
-export function whyImpossible(
+/** Why a well-formed job can never run, by its team's quota and the machine types; undefined where it can. */
+export function impossibleReason(
   job: JobSpec,
   types: Iterable<MachineType>,
   teams: ReadonlyMap<string, Team>,
--- a/src/intake/dependencies.test.ts
+++ b/src/intake/dependencies.test.ts
@@ -1,10 +1,11 @@
-/** What users are told of jobs that need others. */
+/** Submissions, queries and cancels of jobs with dependencies. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
 import type { Reply } from '../base/replies.js';
 import { HeldStore } from '../testing/held-store.js';
-import { UserSide, type UserSideOptions } from '../testing/user-side.js';
 import { tick } from '../testing/ticks.js';
+import { UserSide, type UserSideOptions } from '../testing/user-side.js';
 
 const first = 'req-000001';
 const second = 'req-000002';
@@ -20,8 +21,8 @@
 
 const statusIn = ({ body }: Reply): string => (body as { status: string }).status;
 
-describe('submissions that name other jobs', () => {
-  test('a list that is none, or holds what is no id, is malformed', async () => {
+describe('submissions with dependencies', () => {
+  test('a value that is no list, or a list with an entry that is no id, is malformed', async () => {
     const { one } = await users();
     for (const moorings of ['req-000001', [1], ['x'], [null], { 0: first }]) {
       assert.equal((await one.submit({ moorings }, second)).status, 400);
@@ -43,7 +44,7 @@
     assert.equal((await one.submit({ moorings: [second] }, second)).status, 422);
   });
 
-  // Guards against 422 on the word of a copy that lags: the job was accepted elsewhere a moment ago.
+  // Guards against 422 from a replica that lags: the job was accepted by another controller a moment ago.
   test('a job that another controller has accepted, or seen ended, is known', async () => {
     const { one, other } = await users();
     await one.submit();
@@ -59,7 +60,7 @@
     assert.deepEqual([status, body], [422, { error: 'the description of the job is too large' }]);
   });
 
-  test('a repetition of an accepted job is answered as that, whatever it names', async () => {
+  test('a repetition of an accepted job is accepted, whatever dependencies it names', async () => {
     const { one, other } = await users();
     await one.submit();
     for (const side of [one, other]) {
@@ -83,8 +84,8 @@
   });
 });
 
-describe('a job that needs a cancelled one', () => {
-  test('is cancelled with it, directly and through others', async () => {
+describe('a job with a cancelled dependency', () => {
+  test('is cancelled with it, as a direct or transitive dependent', async () => {
     const { one } = await users();
     await one.submit();
     await one.submit({ moorings: [first] }, second);
@@ -104,8 +105,8 @@
     assert.equal(statusIn(await one.submit({ moorings: [first] }, second)), 'cancelled');
   });
 
-  // Guards against `orphaned`: the cancellation became known here after the job, and nobody has carried it on yet.
-  test('is cancelled by the question for it where nobody has done so yet', async () => {
+  // Guards against `orphaned`: the cancellation became known here after the job, and no controller has cancelled the dependent yet.
+  test('is cancelled by a query for it where no controller has done so yet', async () => {
     const { one, other } = await users();
     await one.submit();
     await other.submit({ moorings: [first] }, second);
@@ -115,7 +116,7 @@
     assert.equal(statusIn(await one.query(second)), 'cancelled');
   });
 
-  test('is not called open while the cancellation may be unknown here; one that is known is told', async () => {
+  test('is not shown as open while the cancellation may be unknown here; a known one is shown', async () => {
     const { store, one, other } = await users();
     await one.submit();
     await one.submit({ moorings: [first] }, second);
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -1,13 +1,15 @@
+/** Submissions at the store's rate limit, and queries after a restart. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
 import { HeldStore, settled } from '../testing/held-store.js';
 import { UserSide } from '../testing/user-side.js';
 
 const id = 'req-000001';
 
-describe('submissions while the state service takes few changes', () => {
+describe('submissions while the store commits slowly', () => {
   // Guards against a queue that its own repetitions keep long: a day of the larger fleet took 361 of 1431 jobs.
-  test('a repetition that comes while the first try is under way is no second commit', async () => {
+  test('a repetition while the first attempt is in flight makes no second commit', async () => {
     const store = new HeldStore();
     const users = await UserSide.create(store, id);
     store.holdsAnswers = true;
@@ -20,12 +22,12 @@
       (await Promise.all(both)).map(({ status }) => status),
       [201, 200],
     );
-    // That the job is accepted the repetition learns from the first try; what has become of it, it asks itself.
+    // The repetition learns from the first attempt that the job is accepted, and reads its status itself.
     assert.deepEqual(store.executed, { writing: 1, comparing: 1, listing: 0 });
   });
 
   // Guards against a valid submission that is refused for what an earlier one of the same id said.
-  test('a repetition that differs from the first try is judged by what it says itself', async () => {
+  test('a repetition that differs from the first attempt is checked by its own content', async () => {
     const store = new HeldStore();
     const users = await UserSide.create(store, id);
     store.holdsAnswers = true;
@@ -39,7 +41,7 @@
     assert.deepEqual([(await tooLarge).status, (await valid).status], [422, 201]);
   });
 
-  test('what would wait for longer than its user is turned away at once, with the time of its turn', async () => {
+  test('a submission that would wait for longer than its user is refused at once, with a time to retry', async () => {
     const store = new HeldStore();
     const users = await UserSide.create(store, id, { writeWaitMs: 7000 });
     const reply = await users.submit();
@@ -47,41 +49,41 @@
   });
 });
 
-describe('questions about jobs that ended before this life of the controller', () => {
+describe('queries for jobs that ended before the controller restarted', () => {
   const ids = Array.from({ length: 60 }, (_, i) => `req-${(7 * i).toString().padStart(6, '0')}`);
 
-  async function endedJobs(): Promise<{ store: HeldStore; newLife: UserSide }> {
+  async function endedJobs(): Promise<{ store: HeldStore; restarted: UserSide }> {
     const store = new HeldStore();
-    const earlierLife = await UserSide.create(store, id);
+    const earlier = await UserSide.create(store, id);
     for (const job of ids) {
-      await earlierLife.submit({}, job);
-      await earlierLife.cancel(job);
+      await earlier.submit({}, job);
+      await earlier.cancel(job);
     }
-    return { store, newLife: await UserSide.create(store, id) };
+    return { store, restarted: await UserSide.create(store, id) };
   }
 
-  // Guards against `forgotten`: after all controllers had restarted, a request to the state service for each question left
+  // Guards against `forgotten`: after all controllers had restarted, a request to the store for each query left
   // none for anything else, and no controller was healthy for minutes.
-  test('are answered with a few requests for all of them', async () => {
-    const { store, newLife } = await endedJobs();
-    const replies = await Promise.all(ids.map((job) => newLife.query(job)));
+  test('share one list request to the store', async () => {
+    const { store, restarted } = await endedJobs();
+    const replies = await Promise.all(ids.map((job) => restarted.query(job)));
     assert.deepEqual(
       [...new Set(replies.map(({ body }) => (body as { status: string }).status))],
       ['cancelled'],
     );
     assert.equal(store.executed.listing, 1);
     const before = store.executed.comparing;
-    for (const job of ids) await newLife.submit({}, job);
+    for (const job of ids) await restarted.submit({}, job);
     assert.equal(store.executed.comparing, before);
   });
 
-  // Guards against questions that wait for a state service that does not answer.
-  test('are turned away at once when the ends cannot be read', async () => {
-    const { store, newLife } = await endedJobs();
+  // Guards against queries that wait for a store that does not answer.
+  test('are refused at once when the outcomes cannot be read', async () => {
+    const { store, restarted } = await endedJobs();
     store.failsLists = true;
-    const replies = await Promise.all(ids.map((job) => newLife.query(job)));
+    const replies = await Promise.all(ids.map((job) => restarted.query(job)));
     assert.ok(replies.every(({ status, retryAfterS }) => status === 503 && retryAfterS !== undefined));
     store.failsLists = false;
-    assert.equal((await newLife.query(ids[3])).status, 200);
+    assert.equal((await restarted.query(ids[3])).status, 200);
   });
 });
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,25 +1,24 @@
-/** The users' requests: submissions, questions and cancels, and the health check. */
-import type { Clock } from '../base/clock.js';
-import type { Log } from '../base/log.js';
+/** HTTP routes of the users' requests (submit, query, cancel) and of the health check. */
 import type { LeanRoute, Reply, Route } from '../base/replies.js';
 import type { JobIndex } from '../placement/job-index.js';
-import { type JobStatus, isJobId, jobAnswer, jobDetails, jobIdIn, parseJob } from '../wire/jobs.js';
-import { type CancelPorts, JobCanceller } from './job-canceller.js';
-import { type JobStatusPorts, JobStatusReader, type JobStatusResult } from './job-status.js';
+import { isJobId, jobAnswer, jobDetails, jobIdIn, type JobStatus, parseJob } from '../wire/jobs.js';
+import { JobCanceller, type JobCancellerPorts } from './job-canceller.js';
+import { type JobStatusPorts, JobStatusReader, type JobStatusResult } from './job-status-reader.js';
 import { type SubmissionPorts, Submissions } from './submissions.js';
 
-export interface IntakePorts extends SubmissionPorts, JobStatusPorts, CancelPorts {
-  clock: Clock;
-  wallClock: () => number;
-  log: Log;
+/** What the users' requests use of the controller. */
+export interface IntakePorts extends SubmissionPorts, JobStatusPorts, JobCancellerPorts {
   store: SubmissionPorts['store'] & JobStatusPorts['store'];
-  isUp: () => boolean;
-  jobIndex: JobIndex;
+  /** Whether this controller can serve users now. */
+  isServing: () => boolean;
+  jobIndex: Pick<JobIndex, 'progress' | 'openJob' | 'dependencies' | 'dependencyState'>;
 }
 
-const retrySoonS = 1;
+/** `Retry-After` of a 503. */
+const unavailableRetryS = 1;
 const unknownJob: Reply = { status: 404, body: { error: 'no such job' } };
 
+/** Maps requests to submissions, status reads and cancels, and their results to replies. */
 export class Intake {
   private readonly statuses: JobStatusReader;
   private readonly submissions: Submissions;
@@ -31,29 +30,35 @@
     this.canceller = new JobCanceller(ports, this.statuses);
   }
 
+  /** Routes of submit, query and cancel, in this order. */
   readonly routes: Route[] = [
     { method: 'POST', path: /^\/v2\/runs$/, handle: (body) => this.submit(body) },
     { method: 'GET', path: /^\/v2\/runs\/([^/]+)$/, handle: (_body, [id = '']) => this.query(id) },
     { method: 'POST', path: /^\/v2\/runs\/([^/]+)\/cancel$/, handle: (_body, [id = '']) => this.cancel(id) },
   ];
 
+  /** The health check: 200 where this controller can serve users, else 503. */
   readonly health: LeanRoute = {
     method: 'GET',
     path: '/up',
-    handle: (_body, answer) => answer({ status: this.ports.isUp() ? 200 : 503 }),
+    handle: (_body, answer) => answer({ status: this.ports.isServing() ? 200 : 503 }),
   };
 
   private async submit(body: unknown): Promise<Reply> {
     const job = parseJob(body, this.ports.wallClock());
-    if (typeof job === 'string') return this.refuse(jobIdIn(body), { status: 400, body: { error: job } });
+    if (typeof job === 'string')
+      return this.refuseUnlessAccepted(jobIdIn(body), { status: 400, body: { error: job } });
     const result = await this.submissions.submit(job);
     switch (result.kind) {
       case 'created':
-        return { status: 201, body: jobAnswer(job.id, this.statuses.knownEnd(job.id)?.end ?? 'pending') };
+        return {
+          status: 201,
+          body: jobAnswer(job.id, this.statuses.knownOutcome(job.id)?.outcome ?? 'pending'),
+        };
       case 'accepted-before':
-        return this.repeated(job.id, await this.statuses.read(job.id));
+        return this.replyToRepetition(job.id, await this.statuses.read(job.id));
       case 'impossible':
-        return this.refuse(job.id, { status: 422, body: { error: result.reason } });
+        return this.refuseUnlessAccepted(job.id, { status: 422, body: { error: result.reason } });
       case 'overloaded':
         return { status: 429, body: { error: 'overloaded' }, retryAfterS: result.retryAfterS };
       case 'unavailable':
@@ -61,19 +66,19 @@
     }
   }
 
-  /** A repeated submission of an accepted job is never refused, whatever it says and the types are by now. */
-  private async refuse(id: string | undefined, refusal: Reply): Promise<Reply> {
+  /** A repetition of an accepted job is never refused, whatever it says and whichever machine types exist by now. */
+  private async refuseUnlessAccepted(id: string | undefined, refusal: Reply): Promise<Reply> {
     if (id === undefined) return refusal;
     const result = await this.statuses.read(id);
-    return result.kind === 'never-accepted' ? refusal : this.repeated(id, result);
+    return result.kind === 'never-accepted' ? refusal : this.replyToRepetition(id, result);
   }
 
-  private repeated(id: string, result: JobStatusResult): Reply {
+  private replyToRepetition(id: string, result: JobStatusResult): Reply {
     switch (result.kind) {
       case 'ended':
-        return { status: 200, body: jobAnswer(id, result.end) };
+        return { status: 200, body: jobAnswer(id, result.outcome) };
       case 'open':
-        return { status: 200, body: jobAnswer(id, this.statusNow(id)) };
+        return { status: 200, body: jobAnswer(id, this.statusOfOpenJob(id)) };
       case 'never-accepted':
       case 'unavailable':
         return this.unavailable();
@@ -85,12 +90,12 @@
     const result = await this.statuses.read(id);
     switch (result.kind) {
       case 'ended': {
-        const done = result.end === 'done' ? result.tasks : 0;
-        return { status: 200, body: jobDetails(id, result.end, done, 0) };
+        const done = result.outcome === 'done' ? result.tasks : 0;
+        return { status: 200, body: jobDetails(id, result.outcome, done, 0) };
       }
       case 'open': {
         const { done, active } = this.ports.jobIndex.progress(id);
-        return { status: 200, body: jobDetails(id, this.statusNow(id, active), done, active) };
+        return { status: 200, body: jobDetails(id, this.statusOfOpenJob(id, active), done, active) };
       }
       case 'never-accepted':
         return unknownJob;
@@ -104,7 +109,7 @@
     const result = await this.canceller.cancel(id);
     switch (result.kind) {
       case 'ended':
-        return { status: 200, body: jobAnswer(id, result.end) };
+        return { status: 200, body: jobAnswer(id, result.outcome) };
       case 'never-accepted':
         return unknownJob;
       case 'unavailable':
@@ -112,20 +117,20 @@
     }
   }
 
-  /** Of a job that was shown to be open, or has ended since. Its progress may lag behind the leader by a commit or two. */
-  private statusNow(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
-    const ended = this.statuses.knownEnd(id);
-    if (ended) return ended.end;
+  /** The status of a job that a read has shown as open. Its progress may lag behind the leader by a commit or two. */
+  private statusOfOpenJob(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
+    const known = this.statuses.knownOutcome(id);
+    if (known) return known.outcome;
     return active > 0 ? 'running' : 'pending';
   }
 
-  /** Where another controller could have answered, the user is sent to it by ending the connection. */
+  /** Closes the connection where this controller cannot serve users, so that the retry reaches another one. */
   private unavailable(): Reply {
     return {
       status: 503,
       body: { error: 'state service' },
-      retryAfterS: retrySoonS,
-      close: !this.ports.isUp(),
+      retryAfterS: unavailableRetryS,
+      close: !this.ports.isServing(),
     };
   }
 }
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -1,74 +1,83 @@
-/** Cancels jobs for their users. */
+/** Cancels a job at its user's request, together with its dependents. */
+import type { JobIndex } from '../placement/job-index.js';
+import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
-import type { JobIndex } from '../placement/job-index.js';
-import type { Settings } from '../settings/settings.js';
+import { parseJobRecord } from '../wire/job-records.js';
+import { jobKey, outcomeKey, type StoredValue } from '../wire/keys.js';
 import {
-  type OutcomeTransaction,
   changesPerOutcome,
+  type OutcomeTransaction,
   outcomeTransaction,
 } from '../wire/outcome-transaction.js';
-import { parseJobRecord } from '../wire/job-records.js';
-import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
-import type { JobStatusReader, JobStatusResult } from './job-status.js';
+import type { JobStatusReader, JobStatusResult } from './job-status-reader.js';
 
-export interface CancelPorts {
+/** What the canceller uses of the controller. */
+export interface JobCancellerPorts {
   store: Pick<StoreClient, 'failing' | 'read'>;
+  /** Time of day in ms. */
   wallClock: () => number;
   settings: Settings;
   mirror: Mirror;
   jobIndex: Pick<JobIndex, 'openJob' | 'dependencies'>;
-  /** Submissions and cancels. */
+  /** Queue of commits for submissions and cancels. */
   writes: CommitQueue;
 }
 
-/** An open job is not a result of a cancel: its user has to try again. */
+/** The result of a cancel: never an open job; where the job is still open its user has to retry (`unavailable`). */
 export type CancelResult = Exclude<JobStatusResult, { kind: 'open' }>;
 
-/** `gone`: the job's record is not there, or its end has been decided. `changed`: the record has a newer version. */
-type Attempt = 'cancelled' | 'gone' | 'changed' | 'unavailable';
+/** `gone`: the job has no record, or has an outcome. `changed`: the record has a newer version in the store. */
+type AttemptResult = 'cancelled' | 'gone' | 'changed' | 'unavailable';
 
-const mostAttempts = 3;
+/** Commits of one cancel, each with a newer version of the job's record. */
+const maxAttempts = 3;
 
+/** Writes the outcome `cancelled` of a job as a transaction on the present version of its record. */
 export class JobCanceller {
   constructor(
-    private readonly ports: CancelPorts,
+    private readonly ports: JobCancellerPorts,
     private readonly statuses: JobStatusReader,
   ) {}
 
+  /** Cancels a job. Confirms a cancellation only once it is committed; never throws. */
   async cancel(id: string): Promise<CancelResult> {
-    const ended = this.statuses.knownEnd(id);
-    if (ended) return ended;
+    const known = this.statuses.knownOutcome(id);
+    if (known) return known;
     if (this.ports.store.failing) return { kind: 'unavailable' };
-    const attempt = await this.attemptRepeatedly(id);
-    if (attempt === 'unavailable') return this.statuses.knownEnd(id) ?? { kind: 'unavailable' };
+    const attempt = await this.commitWithRetries(id);
+    if (attempt === 'unavailable') return this.statuses.knownOutcome(id) ?? { kind: 'unavailable' };
     const result = await this.statuses.read(id);
     return result.kind === 'open' ? { kind: 'unavailable' } : result;
   }
 
   /**
-   * Cancels keep their room: they are taken even where submissions no longer are. The leader may give the job's record a
-   * new version meanwhile, so that is read and tried again before the user has to.
+   * The leader may write the job's record at the same time; then its new version is read and the commit tried again.
+   * Cancels are accepted even while submissions are refused as overload.
    */
-  private async attemptRepeatedly(id: string): Promise<Attempt> {
+  private async commitWithRetries(id: string): Promise<AttemptResult> {
     const { mirror, store } = this.ports;
     let record: StoredValue | undefined = mirror.get(jobKey(id));
-    for (let attempts = 0; attempts < mostAttempts; attempts++) {
+    for (let attempts = 0; attempts < maxAttempts; attempts++) {
       try {
         record ??= await store.read(jobKey(id), 'intake');
       } catch {
         return 'unavailable';
       }
       if (!record) return 'gone';
-      const attempt = await this.attempt(id, record, attempts === 0);
+      const attempt = await this.commitCancellation(id, record, attempts === 0);
       if (attempt !== 'changed') return attempt;
       record = undefined;
     }
     return 'changed';
   }
 
-  private async attempt(id: string, record: StoredValue, withDependents: boolean): Promise<Attempt> {
+  private async commitCancellation(
+    id: string,
+    record: StoredValue,
+    withDependents: boolean,
+  ): Promise<AttemptResult> {
     const { mirror, writes } = this.ports;
     const tasks = parseJobRecord(record.value)?.spec.tasks ?? 0;
     const own = this.cancellation(id, record.version, tasks);
@@ -78,8 +87,10 @@
       all.flatMap((one) => one.writes),
     );
     if (outcome.kind === 'applied') {
-      const ends = all.map((one) => one.writes[0]);
-      mirror.recordOutcomes(ends.map(({ put, value }) => ({ key: put, value, version: outcome.revision })));
+      const outcomes = all.map((cancellation) => cancellation.writes[0]);
+      mirror.recordOutcomes(
+        outcomes.map(({ put, value }) => ({ key: put, value, version: outcome.revision })),
+      );
       return 'cancelled';
     }
     if (outcome.kind !== 'conflict') return 'unavailable';
@@ -94,13 +105,13 @@
     });
   }
 
-  /** As many of the jobs that need this one as the transaction has room for; the cascade cancels the others. */
+  /** Cancellations of as many dependents as the transaction has room for; the cascade cancels the others. */
   private cancellationsOfDependents(id: string): OutcomeTransaction[] {
     const { jobIndex, settings } = this.ports;
-    const room = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
+    const maxDependents = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
     return jobIndex.dependencies
       .transitiveDependents(id)
-      .slice(0, room)
+      .slice(0, maxDependents)
       .flatMap((dependent) => {
         const job = jobIndex.openJob(dependent);
         return job ? [this.cancellation(dependent, job.version, job.spec.tasks)] : [];
--- a/src/intake/linearizability.test.ts
+++ b/src/intake/linearizability.test.ts
@@ -1,6 +1,7 @@
-/** What users are told rests on a state that the state service had after their very request had arrived. */
+/** Answers to users rest on a state of the store after their request had arrived. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
+
 import type { Reply } from '../base/replies.js';
 import { HeldStore, settled } from '../testing/held-store.js';
 import { UserSide } from '../testing/user-side.js';
@@ -17,12 +18,12 @@
 async function replyOf(store: HeldStore, reply: Promise<Reply>): Promise<unknown> {
   const replies: Reply[] = [];
   void reply.then((one) => replies.push(one));
-  const mostAnswers = 20;
-  for (let i = 0; i < mostAnswers && replies.length === 0; i++) await store.release();
+  const maxAnswers = 20;
+  for (let i = 0; i < maxAnswers && replies.length === 0; i++) await store.release();
   return replies[0]?.body;
 }
 
-describe('a job that was told as cancelled is told as nothing else', () => {
+describe('a job that was shown as cancelled is shown as nothing else', () => {
   /** While a submission is under way at one controller the cancellation is told by another; then the job is submitted again. */
   async function submitAfterCancellation(
     store: HeldStore,
@@ -41,14 +42,14 @@
   }
 
   // Guards against `went_back`: a repetition shared the evidence of an earlier one that was still under way.
-  test('a repetition that arrives after the cancellation was told, while an earlier one is under way', async () => {
+  test('a repetition that arrives after the cancellation was confirmed, while an earlier one is in flight', async () => {
     const { store, first, second } = await twoControllers();
     assert.equal((await first.submit()).status, 201);
     assert.deepEqual(await submitAfterCancellation(store, first, second), cancelled);
   });
 
   // Guards against the same with the first submission itself, whose commit was executed before the cancellation.
-  test('a repetition that arrives after the cancellation was told, while the acceptance is under way', async () => {
+  test('a repetition that arrives after the cancellation was confirmed, while the acceptance is in flight', async () => {
     const { store, first, second } = await twoControllers();
     assert.deepEqual(await submitAfterCancellation(store, first, second), cancelled);
   });
@@ -85,7 +86,7 @@
 });
 
 // Guards against load that repeats itself: forty repetitions must not be forty requests to the state service.
-test('repetitions that come together share a comparison that is sent after all of them have arrived', async () => {
+test('concurrent repetitions share a comparison that is sent after all of them have arrived', async () => {
   const { store, first } = await twoControllers();
   await first.submit();
   const { writing, comparing } = store.executed;
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -2,7 +2,7 @@
 import type { Reply, Route } from '../base/replies.js';
 import { silentLog } from '../base/log.js';
 import { CancellationCascade } from '../dependencies/cancellation-cascade.js';
-import { EndReader } from '../intake/end-reader.js';
+import { OutcomeReader } from '../intake/outcome-reader.js';
 import { Intake, type IntakePorts } from '../intake/intake.js';
 import { JobIndex } from '../placement/job-index.js';
 import type { StoreClient } from '../store/client.js';
@@ -74,7 +74,7 @@
       read: (key: string) => store.read(key),
       listPage: (prefix: string, after: string, most: number) => store.listPage(prefix, after, most),
     } as unknown as StoreClient;
-    const ends = new EndReader({ store: client, mirror });
+    const outcomeReader = new OutcomeReader({ store: client, mirror });
     const cascade = new CancellationCascade({
       clock: () => 0,
       wallClock: () => 0,
@@ -85,21 +85,20 @@
       jobIndex,
       commits: stage('duty'),
       isLeading: () => true,
-      readOutcome: (id) => ends.read(id),
+      readOutcome: (id) => outcomeReader.read(id),
     });
     const ports = {
-      clock: () => 0,
       wallClock: () => 0,
       settings,
       mirror,
       machineTypes: () => types,
       store: client,
       writes: stage('intake'),
-      confirms: stage('confirm'),
-      home: () => [],
-      isUp: () => true,
+      comparisons: stage('confirm'),
+      initialRanges: () => [],
+      isServing: () => true,
       jobIndex,
-      ends,
+      outcomeReader,
       cascade,
       supportsDependencies: () => options.supportsDependencies ?? true,
       knowsCancellations: () => options.knowsCancellations ?? true,
