--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,10 @@
 const strictFolders = [
   'src/base',
   'src/blocks',
+  'src/cloud',
   'src/controller',
+  'src/dependencies',
+  'src/intake',
   'src/ladder',
   'src/leadership',
   'src/peers',
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -1,10 +1,9 @@
 /** Composes what serves users: submissions, questions, cancels, and the health check of their load balancers. */
 import type { Clock } from '../base/clock.js';
-import type { Log } from '../base/log.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
-import type { Cascade } from '../dependencies/cascade.js';
+import type { CancellationCascade } from '../dependencies/cancellation-cascade.js';
 import { Intake } from '../intake/intake.js';
 import type { Election } from '../leadership/election.js';
 import type { PeerLinks } from '../peers/peer-links.js';
@@ -16,14 +15,13 @@
 /** What the users' side needs of the rest of the controller. */
 export interface UserServicePorts {
   clock: Clock;
-  log: Log;
   settings: Settings;
   state: StateAccess;
   machineTypes: Pick<MachineTypeCatalog, 'types'>;
   bootedMachines: BootedMachines;
   ownedBlocks: Pick<OwnedBlocks, 'blockStates'>;
   election: Pick<Election, 'leader'>;
-  cascade: Cascade;
+  cascade: CancellationCascade;
   peerLinks: Pick<PeerLinks, 'lastStatus'>;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
@@ -35,22 +33,20 @@
   const initialDispatcher = createInitialDispatcher(ports);
   const health = createHealth(ports);
   return new Intake({
-    clock: ports.clock,
     wallClock: Date.now,
-    log: ports.log,
     settings: ports.settings,
     store: state.store,
     mirror: state.mirror,
     jobIndex: state.jobIndex,
     writes: state.commitQueues.intake,
-    confirms: state.commitQueues.confirm,
-    ends: state.outcomeReader,
+    comparisons: state.commitQueues.confirm,
+    outcomeReader: state.outcomeReader,
     cascade: ports.cascade,
     machineTypes: () => ports.machineTypes.types,
-    home: (spec) => initialDispatcher.initialRanges(spec),
+    initialRanges: (spec) => initialDispatcher.initialRanges(spec),
     supportsDependencies: () => state.registry.isClusterUpgraded,
     knowsCancellations: () => state.knowledge.knowsCancellations(),
-    isUp: () => health.isServing(),
+    isServing: () => health.isServing(),
   });
 }
 
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -1,8 +1,8 @@
 /** The users' side of one controller, for tests without sockets. */
 import type { Reply, Route } from '../base/replies.js';
 import { silentLog } from '../base/log.js';
-import { Cascade } from '../dependencies/cascade.js';
-import { EndReader } from '../intake/end-reader.js';
+import { CancellationCascade } from '../dependencies/cancellation-cascade.js';
+import { OutcomeReader } from '../intake/outcome-reader.js';
 import { Intake, type IntakePorts } from '../intake/intake.js';
 import { JobIndex } from '../placement/job-index.js';
 import type { StoreClient } from '../store/client.js';
@@ -46,7 +46,7 @@
   private constructor(
     ports: IntakePorts,
     private readonly id: string,
-    readonly cascade: Cascade,
+    readonly cascade: CancellationCascade,
   ) {
     this.routes = new Intake(ports).routes;
   }
@@ -74,8 +74,8 @@
       read: (key: string) => store.read(key),
       listPage: (prefix: string, after: string, most: number) => store.listPage(prefix, after, most),
     } as unknown as StoreClient;
-    const ends = new EndReader({ store: client, mirror });
-    const cascade = new Cascade({
+    const outcomeReader = new OutcomeReader({ store: client, mirror });
+    const cascade = new CancellationCascade({
       clock: () => 0,
       wallClock: () => 0,
       log: silentLog,
@@ -85,21 +85,20 @@
       jobIndex,
       commits: stage('duty'),
       isLeading: () => true,
-      readEnd: (id) => ends.read(id),
+      readOutcome: (id) => outcomeReader.read(id),
     });
     const ports = {
-      clock: () => 0,
       wallClock: () => 0,
       settings,
       mirror,
       machineTypes: () => types,
       store: client,
       writes: stage('intake'),
-      confirms: stage('confirm'),
-      home: () => [],
-      isUp: () => true,
+      comparisons: stage('confirm'),
+      initialRanges: () => [],
+      isServing: () => true,
       jobIndex,
-      ends,
+      outcomeReader,
       cascade,
       supportsDependencies: () => options.supportsDependencies ?? true,
       knowsCancellations: () => options.knowsCancellations ?? true,
