--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -49,7 +49,7 @@
 const statusesIn = (text: string): string[] =>
   [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map((match) => match[1] ?? '');
 
-// Guards against a short path that answers anything else than the ordinary server would.
+// Guards against a fast path that answers anything else than the ordinary server would.
 test('heartbeats are answered whole or in pieces, and other requests on the same connection get their answers too', async () => {
   const stop = new AbortController();
   const bodies: unknown[] = [];
@@ -142,7 +142,7 @@
   for (const { socket } of [worker, closing, large, pipelining]) socket.destroy();
 });
 
-// Guards against machines called silent where one controller serves more of them than it may have connections.
+// Guards against workers taken for failed where one controller serves more of them than it may have connections.
 test('where connections are scarce, heartbeats give theirs up, and health checks keep them', async () => {
   const stop = new AbortController();
   const answerAtOnce = (_body: unknown, answer: (reply: Reply) => void): void => answer({ status: 200 });
