--- a/src/intake/job-status-reader.ts
+++ b/src/intake/job-status-reader.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads of a job's status: the only source of what users are told about a job. */
+/** Linearizable reads of a job's status: the only source of the statuses that users get. */
 import type { DependencyState } from '../dependencies/dependency-graph.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
