--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -153,7 +153,7 @@
   assert.ok(first && second);
   first.say(request('/hello', encode({})));
   assert.match(await first.heard(2), /connection: close/i);
-  while (load.open > 7) await new Promise((resolve) => setTimeout(resolve, 10));
+  await tick(() => load.open <= 7);
   // With the first one gone, seven are no more than there may be.
   second.say(request('/hello', encode({})));
   assert.doesNotMatch(await second.heard(2), /connection: close/i);
--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -1,32 +1,50 @@
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
-import { after, before, describe, test } from 'node:test';
+import { after, before, describe, mock, test } from 'node:test';
 import { Worker } from 'node:worker_threads';
 import { HttpPeer } from './http.js';
 import { nextTurn } from './turns.js';
 
-/** Answers after a moment, or never at /silent, in a thread of its own, so that it answers while this one is busy. */
+/** Slots of the memory that the server's thread and this one share; each is 0 until what it is named for has happened. */
+const received = 0;
+const mayAnswer = 1;
+const answered = 2;
+const slots = new Int32Array(new SharedArrayBuffer(3 * Int32Array.BYTES_PER_ELEMENT));
+
+/** Never answers at /silent, and at /held only once it may, which holds up its own thread and not this one. */
 const serverSource = `
-  const { parentPort } = require('node:worker_threads');
+  const { parentPort, workerData: slots } = require('node:worker_threads');
   const server = require('node:http').createServer((request, response) => {
-    if (request.url !== '/silent') setTimeout(() => response.end(), 50);
+    if (request.url === '/silent') return;
+    if (request.url === '/held') {
+      Atomics.store(slots, ${received}, 1);
+      Atomics.wait(slots, ${mayAnswer}, 0);
+      response.on('finish', () => {
+        Atomics.store(slots, ${answered}, 1);
+        Atomics.notify(slots, ${answered});
+      });
+    }
+    response.end();
   });
   server.listen(0, '127.0.0.1', () => parentPort.postMessage(server.address().port));
 `;
 const timeoutMs = 150;
+const maxWaitMs = 30_000;
 
-function keepBusy(ms: number): void {
-  const until = performance.now() + ms;
-  while (performance.now() < until);
+/** Stands still, as a busy process does, until the server has answered the request that it holds. */
+function standStillUntilAnswered(): void {
+  Atomics.store(slots, mayAnswer, 1);
+  Atomics.notify(slots, mayAnswer);
+  assert.notEqual(Atomics.wait(slots, answered, 0, maxWaitMs), 'timed-out');
 }
 
 describe('the deadline of an exchange', () => {
-  const server = new Worker(serverSource, { eval: true });
+  const server = new Worker(serverSource, { eval: true, workerData: slots });
   let peer: HttpPeer;
   before(async () => {
     const [port] = (await once(server, 'message')) as [number];
     peer = new HttpPeer(`127.0.0.1:${port}`, 2);
-    await peer.exchange('GET', '/warm-up', undefined, { timeoutMs: 5000 });
+    await peer.exchange('GET', '/warm-up', undefined, { timeoutMs: maxWaitMs });
   });
   after(async () => {
     peer.close();
@@ -35,11 +53,17 @@
 
   // Guards against answers that are thrown away unread: a controller short of processor time lost the state service over it.
   test('does not pass over an answer that came while this process was busy', async () => {
-    const exchange = peer.exchange('GET', '/keys', undefined, { timeoutMs });
-    const turnsUntilSent = 5;
-    for (let turn = 0; turn < turnsUntilSent; turn++) await nextTurn();
-    keepBusy(3 * timeoutMs);
-    assert.equal((await exchange).status, 200);
+    mock.timers.enable({ apis: ['setTimeout'] });
+    try {
+      const exchange = peer.exchange('GET', '/held', undefined, { timeoutMs });
+      while (Atomics.load(slots, received) === 0) await nextTurn();
+      standStillUntilAnswered();
+      // The deadline has passed in this same turn of the event loop: nothing has been read since the answer came.
+      mock.timers.tick(timeoutMs);
+      assert.equal((await exchange).status, 200);
+    } finally {
+      mock.timers.reset();
+    }
   });
 
   test('ends an exchange that gets no answer', async () => {
