--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -2,15 +2,17 @@
 import {
   cancelDeadlineMs,
   type Cluster,
+  everyTask,
   labels,
   workerLeaseMs,
   pause,
   heartbeatIntervalMs,
   submission,
+  tasksOf,
+  untilStopped,
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-const long = 20_000;
 const nodeOf = (label: string): number => labels.indexOf(label);
 
 /** A job whose tasks all run on machines of one controller, and that controller. */
@@ -38,7 +40,7 @@
 // them had confirmed the cancel in the moment before the outage. Only the cancelled tasks go, the others run on.
 scenario(
   'jobs are cancelled as the state service refuses their controller alone, and is out for all a moment later',
-  { port: 23_000, taskMs: long, capacity: 6 },
+  { port: 23_000, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
@@ -70,7 +72,7 @@
 // Guards against a controller that told its user and not its own block: the watch that was to bring it never came.
 scenario(
   'a controller confirms a cancel itself, and the state service is out before its watch has brought it',
-  { port: 23_040, taskMs: long, capacity: 6 },
+  { port: 23_040, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
@@ -86,7 +88,7 @@
 // Guards against extending the right to answer while a peer that has confirmed the cancel cannot be heard.
 scenario(
   'the same, and the blind controller hears none of its peers: all its leases run out in time',
-  { port: 23_080, taskMs: long, capacity: 6 },
+  { port: 23_080, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
@@ -109,7 +111,7 @@
 // Guards against a new life that vouches for what the life before told its users.
 scenario(
   'the peer that confirmed the cancel begins a new life inside the outage',
-  { port: 23_120, taskMs: long, capacity: 6 },
+  { port: 23_120, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
@@ -132,7 +134,7 @@
 // Guards against a leader that goes on in its own world: users of the other side are told of cancels that it never hears of.
 scenario(
   'a leader is cut from state service and peers, not from workers and users, and jobs are cancelled elsewhere',
-  { port: 23_160, taskMs: long, capacity: 6 },
+  { port: 23_160, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
@@ -160,7 +162,7 @@
 // Guards against older answers and late halts while nothing but slow answers is to be had, and then none at all.
 scenario(
   'the state service is slow, refuses the leader alone and then everybody, while users cancel and ask',
-  { port: 23_200, taskMs: long, capacity: 6 },
+  { port: 23_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 2), i);
@@ -190,28 +192,33 @@
 
 // Guards against room of a team that is given out twice: by the new leader, and by machines that have yet to be asked.
 scenario(
-  'a team is at its limit when the leader changes, some of its machines are mute, and a cancel falls in',
-  { port: 23_240, taskMs: (piece) => (piece.startsWith('req-000009') ? long : 2500), capacity: 6 },
+  'a team is at its quota when the leader fails over, some of its machines are partitioned, and a job is cancelled',
+  { port: 23_240, taskMs: 2500, capacity: 10 },
   async (cluster) => {
-    // Another team's work has brought machines up, and leaves room on them as it is cancelled.
-    await cluster.submitSurely(submission('req-000009', 18, { owner: 'blue' }));
-    await cluster.until('machines are up', () => cluster.runningOf('req-000009').length === 18);
-    const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 9), i);
-    const running = (): number => ids.reduce((sum, id) => sum + cluster.runningOf(id).length, 0);
-    await cluster.until('the team is at its limit', () => running() >= 10);
-    const [cancelled = '', ...kept] = ids.sort(
-      (a, b) => cluster.runningOf(b).length - cluster.runningOf(a).length,
+    const [cancelled, running] = ['req-000001', 'req-000002'];
+    const waiting = ['req-000003', 'req-000004'];
+    const other = 'req-000009';
+    cluster.holdsTask = everyTask;
+    for (const [i, id] of [cancelled, running].entries()) await cluster.submitSurely(submission(id, 6), i);
+    await cluster.until('the team is at its limit', () =>
+      [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
     );
+    // Another team's work brings more machines up, and leaves room on them as it is cancelled.
+    await cluster.submitSurely(submission(other, 18, { owner: 'blue' }));
+    await cluster.until('the other team runs too', () => cluster.runningOf(other).length === 18);
+    for (const [i, id] of waiting.entries()) await cluster.submitSurely(submission(id, 8), i);
+    await cluster.toldEverywhere(waiting, 'pending', cancelDeadlineMs);
+    cluster.holdsTask = tasksOf(other, cancelled);
     const busy = [...cluster.workers.values()].filter((w) => w.running.length > 0);
     for (const worker of busy.slice(0, Math.ceil(busy.length / 2))) worker.mute = true;
     const first = await cluster.leading();
     cluster.stopController(first);
-    await Promise.all([cluster.cancelSurely('req-000009'), cluster.cancelSurely(cancelled)]);
+    const told = await Promise.all([cluster.cancelSurely(other), cluster.cancelSurely(cancelled)]);
+    assert.deepEqual(told, ['cancelled', 'cancelled']);
     await pause(workerLeaseMs * 1.2);
     for (const worker of busy) worker.mute = false;
     cluster.startController(first);
-    await cluster.allDone(kept);
+    await cluster.allDone([running, ...waiting]);
   },
 );
 
--- a/src/fault-scenarios/chains.test.ts
+++ b/src/fault-scenarios/chains.test.ts
@@ -5,9 +5,12 @@
   type Cluster,
   labels,
   workerLeaseMs,
+  noTask,
   pause,
   heartbeatIntervalMs,
   submission,
+  tasksOf,
+  untilStopped,
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
@@ -65,14 +68,16 @@
 // Guards against ends that no controller knows after its start: the copy of the store begins without any.
 scenario(
   'a dependency was done before all controllers restarted, and another is done after that',
-  { port: 28_040, taskMs: (piece) => (piece.startsWith(idOf(2)) ? 2500 : 300) },
+  { port: 28_040, taskMs: 300 },
   async (cluster) => {
+    cluster.holdsTask = tasksOf(idOf(2));
     await cluster.submitSurely(submission(idOf(1), 1));
     await cluster.submitSurely(submission(idOf(2), 4, { owner: 'blue' }));
     await cluster.allDone([idOf(1)]);
     await cluster.submitSurely(submission(idOf(3), 2, { moorings: [idOf(1), idOf(2)] }));
     await Promise.all(labels.map((label) => cluster.restart(label, 50)));
     await cluster.submitSurely(submission(idOf(4), 2, { moorings: [idOf(1)] }));
+    cluster.holdsTask = noTask;
     await cluster.allDone([idOf(2), idOf(3), idOf(4)]);
   },
 );
@@ -80,7 +85,7 @@
 // Guards against `orphaned`: a cascade that ends with whoever began it, or with the store's room for changes.
 scenario(
   'a job that a chain of ten and forty more need is cancelled as the leader ends, with few changes a second',
-  { port: 28_080, taskMs: 30_000, nextLimits },
+  { port: 28_080, taskMs: untilStopped, nextLimits },
   async (cluster) => {
     const chain = await submitChain(cluster, 1, 10);
     const wide = Array.from({ length: 40 }, (_, i) => idOf(100 + i));
@@ -104,7 +109,7 @@
 // Guards against a submission that slips through between a cancellation and the copy of it at another controller.
 scenario(
   'the first job is cancelled while the others of its chain are being submitted elsewhere',
-  { port: 28_120, taskMs: 30_000 },
+  { port: 28_120, taskMs: untilStopped },
   async (cluster) => {
     for (let round = 0; round < 5; round++) {
       const from = 1 + round * 10;
@@ -152,7 +157,7 @@
 // on the word of a copy from before it.
 scenario(
   'the state service is out for longer than a cancellation may take, right after a cancel',
-  { port: 28_200, taskMs: 30_000 },
+  { port: 28_200, taskMs: untilStopped },
   async (cluster) => {
     const chain = await startChain(cluster, 5);
     assert.equal(await cluster.cancelSurely(idOf(1), [1]), 'cancelled');
@@ -171,7 +176,7 @@
 // Guards against `orphaned` at a controller that is cut off from the state service alone and does not know it yet.
 scenario(
   'a controller is cut from the state service and its peers while a chain is cancelled, and is asked as it comes back',
-  { port: 28_240, taskMs: 30_000 },
+  { port: 28_240, taskMs: untilStopped },
   async (cluster) => {
     const chain = await startChain(cluster, 4);
     cluster.store.held.add('keel-2');
--- a/src/fault-scenarios/close-looks.test.ts
+++ b/src/fault-scenarios/close-looks.test.ts
@@ -7,11 +7,11 @@
   pause,
   heartbeatIntervalMs,
   submission,
+  untilStopped,
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 import { seeded } from '../testing/seeded.js';
 
-const long = 20_000;
 const holdsAnswersAbout =
   (controller: string, id: string) =>
   (client: string, keys: string[]): boolean =>
@@ -23,7 +23,7 @@
 // Guards against `went_back`: the later repetition shared the answer of the earlier one, which was true when that was sent.
 scenario(
   'a submission is repeated after its cancellation was told, while an earlier repetition is under way',
-  { port: 26_000, taskMs: long },
+  { port: 26_000, taskMs: untilStopped },
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00000${node}`;
@@ -47,7 +47,7 @@
 // Guards against the same with the first submission, whose commit was carried out and not answered yet.
 scenario(
   'a job is accepted through one controller and cancelled, while another still waits for its commit of the job',
-  { port: 26_040, taskMs: long },
+  { port: 26_040, taskMs: untilStopped },
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00001${node}`;
@@ -67,7 +67,7 @@
 // Guards against a submission that undoes the end of its job: it would be run after its user was told of the cancellation.
 scenario(
   'a submission without an answer is carried out after its job was accepted elsewhere and cancelled',
-  { port: 26_200, taskMs: long, capacity: 6 },
+  { port: 26_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const id = 'req-000031';
     cluster.store.keeps = (key) => key === `sk/job/${id}`;
@@ -87,7 +87,7 @@
 // Guards against answers from the past: after a pause, what the store had said before it and what users ask since come together.
 scenario(
   'a controller stands still with answers on their way, the job is cancelled elsewhere, and it goes on',
-  { port: 26_240, taskMs: long, processes: ['keel-2'] },
+  { port: 26_240, taskMs: untilStopped, processes: ['keel-2'] },
   async (cluster) => {
     const paused = 'keel-2';
     const node = labels.indexOf(paused);
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -1,6 +1,6 @@
 /** Three controllers with 4000 machines: nothing that the service does may depend on there being fewer. */
 import assert from 'node:assert/strict';
-import { type Cluster, labels, submission } from '../testing/cluster.js';
+import { type Cluster, everyTask, labels, submission, tasksOf } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const machines = 4000;
@@ -11,6 +11,7 @@
 const rampUpMs = 90_000;
 /** Tasks that may be started again after all that happens to their controllers, as a share of all. */
 const lostWork = 0.05;
+const meanTaskMs = 25_000;
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /** Jobs that take a machine for each of their tasks. */
@@ -22,6 +23,12 @@
   return ids;
 }
 
+/** Tasks that are let go together end one after another: between 0.8 and 1.2 of the mean. */
+function staggeredMs(task: string): number {
+  const index = Number(task.split('/')[1]);
+  return meanTaskMs * (0.8 + (0.4 * index) / tasksPerJob);
+}
+
 function busyMachines(cluster: Cluster): number {
   return [...cluster.workers.values()].filter(({ tasks }) => tasks.size > 0).length;
 }
@@ -46,13 +53,16 @@
 // called silent because one controller has too many to serve, tasks lost or started twice as their blocks change hands.
 scenario(
   'one controller is left with 4000 machines as a job is cancelled, and all restart',
-  { port: 30_000, taskMs: 25_000, capacity: machines / 2, times },
+  { port: 30_000, taskMs: staggeredMs, capacity: machines / 2, times },
   async (cluster) => {
+    cluster.holdsTask = everyTask;
     const ids = await submitForAll(cluster);
     await cluster.until('nearly all machines work', () => busyMachines(cluster) >= 0.9 * machines, rampUpMs);
     const leader = await cluster.leading();
     const [alone = '', other = ''] = labels.filter((label) => label !== leader);
     const cancelled = jobOfOthers(cluster, ids, alone);
+    // The others run through the takeover and end after it.
+    cluster.holdsTask = tasksOf(cancelled);
     cluster.stopController(leader);
     cluster.stopController(other);
     assert.equal(await cluster.cancelSurely(cancelled, [labels.indexOf(alone)]), 'cancelled');
--- a/src/fault-scenarios/leaders.test.ts
+++ b/src/fault-scenarios/leaders.test.ts
@@ -1,28 +1,41 @@
 import assert from 'node:assert/strict';
-import { labels, workerLeaseMs, pause, heartbeatIntervalMs, submission } from '../testing/cluster.js';
+import {
+  everyTask,
+  labels,
+  workerLeaseMs,
+  noTask,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+  tasksOf,
+} from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const nodeOf = (label: string): number => labels.indexOf(label);
+/** The index of a task within its job. */
+const indexOf = (task: string): number => Number(task.split('/')[1]);
 
 // Guards against two lives that both command, and against tasks that the short-lived owners in between leave uncounted.
 scenario(
-  'controllers hand over and back, all end, and one returns, within a second',
+  'leadership fails over and back, all controllers stop, and one restarts, within a second',
   { port: 22_000, taskMs: 800 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
     const first = await cluster.leading();
     cluster.stopController(first);
-    await cluster.leading(first);
+    const second = await cluster.leading(first);
     cluster.startController(first);
-    await cluster.restart(await cluster.leading(first));
+    await cluster.restart(second);
     for (const label of labels) cluster.stopController(label);
     await pause(150);
     cluster.startController(first);
     await pause(300);
     for (const label of labels) if (label !== first) cluster.startController(label);
+    cluster.holdsTask = tasksOf('req-000004');
     await cluster.submitSurely(submission('req-000004', 9));
     await cluster.until('it runs', () => cluster.runningOf('req-000004').length > 0);
+    cluster.holdsTask = noTask;
     // Each is back while its last life still holds its grant, and with it its block.
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.submitSurely(submission('req-000005', 9));
@@ -32,22 +45,26 @@
 
 // Guards against a job called done by an owner that counts what the one before had, and against one that never is.
 scenario(
-  'jobs of a few tasks end far apart across a change of leader',
-  { port: 22_040, taskMs: (piece) => [300, 1500, 3500][Number(piece.split('/')[1])] ?? 300 },
+  'tasks of one job complete before, during and after a leader failover',
+  { port: 22_040, taskMs: (task) => [300, 1200, 1500][indexOf(task)] ?? 300 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
+    cluster.holdsTask = (task) => indexOf(task) > 0;
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, i === 0 ? 2 : 3), i);
     const ended = (): number =>
       cluster.history.happenings.filter((h) => h.kind === 'left' && h.completed).length;
     await cluster.until('the first tasks have ended', () => ended() >= 3);
     const first = await cluster.leading();
     cluster.stopController(first);
+    // The second ones end while nobody leads, or under the new leader; the third ones after it has changed again.
+    cluster.holdsTask = (task) => indexOf(task) > 1;
     const asked = nodeOf(first) === 0 ? 1 : 0;
     await cluster.leading(first);
     for (const id of ids) await cluster.ask(asked, id);
     await cluster.until('the second ones have', () => ended() >= 6);
     cluster.startController(first);
     await cluster.restart(await cluster.leading());
+    cluster.holdsTask = noTask;
     for (const id of ids) await cluster.ask(asked, id);
     await cluster.allDone(ids);
   },
@@ -55,15 +72,16 @@
 
 // Guards against tasks started anew because their machines could not be asked: silence is no evidence.
 scenario(
-  'a leader ends while machines with long tasks cannot be reached, or do not hear the new one',
-  { port: 22_080, taskMs: (piece) => (piece.startsWith('req-000001') ? 6000 : 600), capacity: 6 },
+  'the leader fails over while machines with long tasks are partitioned, both ways or one way',
+  { port: 22_080, taskMs: 600, capacity: 6 },
   async (cluster) => {
     // What ends soon leaves room on machines that can be reached: a task taken for gone would start there at once.
-    const ids = ['req-000001', 'req-000002'];
-    for (const id of ids) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
-    await cluster.until('the long ones run beside room', () =>
-      ids.every((id) => cluster.runningOf(id).length === (id === 'req-000001' ? 9 : 0)),
-    );
+    const [long, short] = ['req-000001', 'req-000002'];
+    cluster.holdsTask = tasksOf(long);
+    for (const id of [long, short]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
+    await cluster.until('the long ones run beside room', () => {
+      return cluster.runningOf(long).length === 9 && cluster.completedOf(short) === 9;
+    });
     const busy = [...cluster.workers.values()].filter((w) => w.running.length > 0);
     for (const [i, worker] of busy.entries()) {
       if (i % 3 === 0) worker.mute = true;
@@ -77,15 +95,17 @@
     await pause(workerLeaseMs * 0.7);
     for (const worker of busy) worker.deaf = false;
     cluster.startController(first);
-    await cluster.allDone(ids);
+    cluster.holdsTask = noTask;
+    await cluster.allDone([long, short]);
   },
 );
 
 // Guards against an old task list taken for the present one: it names a token that is no longer in force.
 scenario(
-  'a report is held back until a new leader has acted, and then arrives there',
+  'a heartbeat is delayed until the leader has failed over, and then delivered to the new owner',
   { port: 22_120, taskMs: 2500 },
   async (cluster) => {
+    cluster.holdsTask = everyTask;
     await cluster.submitSurely(submission('req-000001', 6));
     await cluster.submitSurely(submission('req-000002', 6), 1);
     await cluster.until('tasks run', () => cluster.runningOf('req-000002').length > 0);
@@ -104,6 +124,7 @@
     }
     await pause(2 * heartbeatIntervalMs);
     for (const worker of workers) worker.mute = false;
+    cluster.holdsTask = noTask;
     cluster.startController(first);
     await cluster.allDone(['req-000001', 'req-000002']);
   },
@@ -111,15 +132,19 @@
 
 // Guards against starts on the word of a ledger that is older than the leases it speaks of.
 scenario(
-  'all controllers are away for longer than a lease',
+  'all controllers are down for longer than a worker lease',
   { port: 22_160, taskMs: 1500 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002'];
+    // Nothing but the end of the lease ends the tasks of the first; those of the second may end by themselves.
+    cluster.holdsTask = tasksOf('req-000001');
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 6), i);
     await cluster.until('tasks run', () => cluster.runningOf('req-000001').length > 0);
     for (const label of labels) cluster.stopController(label);
     await pause(workerLeaseMs * 1.3);
     assert.deepEqual(cluster.runningOf('req-000001'), []);
+    assert.equal(cluster.completedOf('req-000001'), 0);
+    cluster.holdsTask = noTask;
     for (const label of labels) cluster.startController(label);
     await cluster.allDone(ids);
   },
--- a/src/fault-scenarios/messages.test.ts
+++ b/src/fault-scenarios/messages.test.ts
@@ -1,17 +1,28 @@
 import assert from 'node:assert/strict';
 import {
   type Cluster,
+  everyTask,
   labels,
   workerLeaseMs,
+  noTask,
   pause,
   heartbeatIntervalMs,
   submission,
+  tasksOf,
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const taskMs = 700;
 const five = Array.from({ length: 5 }, (_, i) => `req-00000${i}`);
 
+/** Submits the jobs and waits until some of their tasks run, which end no sooner. */
+async function submitAndSeeRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
+  cluster.holdsTask = everyTask;
+  await submitAll(cluster, ids, tasks);
+  await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
+  cluster.holdsTask = noTask;
+}
+
 /** For a team without a limit: what holds a task back is room alone. */
 async function submitAll(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   for (const [i, id] of ids.entries())
@@ -63,14 +74,16 @@
 
 // Guards against an end that is changed: nobody was told of the cancel, and by the time it is carried out users know better.
 scenario(
-  'a cancel without an answer is carried out after its job is done',
+  'a cancellation whose transaction got no response is applied after its job is done',
   { port: 24_320, taskMs },
   async (cluster) => {
     const id = 'req-000001';
+    cluster.holdsTask = everyTask;
     await cluster.submitSurely(submission(id, 2));
     await cluster.until('it runs', () => cluster.runningOf(id).length > 0);
     cluster.store.keeps = (key) => key.startsWith('sk/end/');
     assert.equal(await cluster.cancel(0, id), 'turned away');
+    cluster.holdsTask = noTask;
     await cluster.allDone([id]);
     assert.equal(cluster.store.deliver(), 1);
     await pause(2 * heartbeatIntervalMs);
@@ -80,17 +93,19 @@
 
 // Guards against an old page of the ledger over a newer one: its owner's next life would start again what runs.
 scenario(
-  'a page of the ledger without an answer is carried out after newer ones, and its owner begins a new life',
-  // Tasks run for long enough that all of them are seen to run at once, however late the page without an answer is written again.
-  { port: 24_360, taskMs: 8000, capacity: 6 },
+  'a ledger page whose transaction got no response is applied after newer ones, and its owner restarts',
+  { port: 24_360, taskMs: 6000, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     cluster.store.keeps = (key) => key.startsWith('sk/run/');
+    // All of them run at once, however late the page without an answer is written again, and as the new lives begin.
+    cluster.holdsTask = everyTask;
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4, { owner: 'blue' }), i);
     await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === 4));
     await pause(2 * heartbeatIntervalMs);
     assert.equal(cluster.store.deliver(), 1);
     for (const label of labels) await cluster.restart(label, 50);
+    cluster.holdsTask = noTask;
     await cluster.allDone(ids);
     const starts = cluster.history.happenings.filter(({ kind }) => kind === 'started');
     assert.equal(starts.length, 12);
@@ -99,16 +114,16 @@
 
 // Guards against a start or a halt that a machine carries out when it goes on, long after it was said.
 scenario(
-  'commands and their answers are held up for seconds, and the machines then go on',
+  'workers stall for seconds with commands in flight, and then resume',
   { port: 24_160, taskMs: 900, fetchMs: 100 },
   async (cluster) => {
-    await submitAll(cluster, five, 4);
-    await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
+    await submitAndSeeRunning(cluster, five, 4);
     const [cancelled = '', ...kept] = five;
+    cluster.holdsTask = tasksOf(cancelled);
     for (const hungMs of [heartbeatIntervalMs, workerLeaseMs / 2, workerLeaseMs * 0.9, workerLeaseMs * 1.4]) {
       const hung = [...cluster.workers.values()].filter((_, i) => i % 2 === 0);
       for (const worker of hung) worker.hang();
-      if (hungMs === workerLeaseMs * 0.9) await cluster.cancelSurely(cancelled);
+      if (hungMs === workerLeaseMs * 0.9) assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
       await pause(hungMs);
       for (const worker of hung) worker.resume();
       await pause(heartbeatIntervalMs);
@@ -119,11 +134,10 @@
 
 // Guards against an old task list taken for news: of this session, of an earlier one, of an earlier attempt.
 scenario(
-  'old reports arrive after newer ones, also from an earlier session or attempt',
+  'heartbeats are delivered late and out of order, also from an earlier agent epoch or attempt',
   { port: 24_200, taskMs: 3000, capacity: 6 },
   async (cluster) => {
-    await submitAll(cluster, five, 2);
-    await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
+    await submitAndSeeRunning(cluster, five, 2);
     for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * workerLeaseMs };
     // Some of them lose their lease, and with it session and attempts, before the copies arrive.
     const lost = [...cluster.workers.values()].slice(0, 2);
@@ -144,16 +158,16 @@
 
 // Guards against tasks taken for running, or started twice, where no report comes: only the cloud can say what has gone.
 scenario(
-  'workers cannot open connections to any controller, for longer than a lease',
+  'workers are partitioned from all controllers for longer than a lease',
   { port: 24_240, taskMs: 3000, capacity: 6 },
   async (cluster) => {
-    await submitAll(cluster, five, 2);
-    await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
+    await submitAndSeeRunning(cluster, five, 2);
     const [cancelled = '', ...kept] = five;
+    cluster.holdsTask = tasksOf(cancelled);
     // Those that are rented meanwhile find their way, and for a while so does every other one.
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.mute = i % 2 === 0;
-    await cluster.cancelSurely(cancelled);
+    assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
     await pause(0.9 * workerLeaseMs);
     for (const worker of workers) worker.mute = true;
     await pause(1.5 * workerLeaseMs);
@@ -166,14 +180,13 @@
 
 // Guards against machines that are rented twice or not at all, and against a release that takes a machine with new tasks.
 scenario(
-  'rentals and releases get no answer, releases are carried out late, and the list lags',
+  'cloud rentals and releases get no response, releases are applied late, and listings lag',
   { port: 24_280, taskMs: 2000, capacity: 6 },
   async (cluster) => {
     cluster.cloud.listLagMs = heartbeatIntervalMs;
     cluster.cloud.losesRentals = 3;
     cluster.cloud.lateReleases = { count: 4, ms: 4 * heartbeatIntervalMs };
-    await submitAll(cluster, five, 4);
-    await cluster.until('tasks run', () => five.some((id) => cluster.runningOf(id).length > 0));
+    await submitAndSeeRunning(cluster, five, 4);
     const hung = [...cluster.workers.values()].slice(0, 2);
     for (const worker of hung) worker.hang();
     await cluster.restart(await cluster.leading());
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -8,10 +8,13 @@
 import {
   type Cluster,
   cancelDeadlineMs,
+  everyTask,
   heartbeatIntervalMs,
   labels,
   pause,
   submission,
+  tasksOf,
+  untilStopped,
   workerLeaseMs,
 } from '../testing/cluster.js';
 import { type EarlierBuild, buildCommit } from '../testing/earlier-build.js';
@@ -24,7 +27,6 @@
 const commitBeforeRenames = '2be30b5872d7705d589379509e881f4e8adf3f22';
 
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
-const longTaskMs = 60_000;
 /** Who begins with the earlier version, whose path is known once it has been built. */
 const allEarlier = { program: '', labels };
 const oneEarlier = { program: '', labels: ['keel-0'] };
@@ -144,17 +146,20 @@
     capacity: 10,
     earlier: allEarlier,
     nextLimits,
-    taskMs: (piece) => (/^req-00000[12]\//.test(piece) ? longTaskMs : 1500),
+    taskMs: 1500,
   },
   async (cluster) => {
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     const toEarlier = (label: string): Promise<void> => cluster.downgrade(label, leadEndsMs);
     const toThis = (label: string): Promise<void> => cluster.upgrade(label, leadEndsMs);
+    cluster.holdsTask = everyTask;
     await submitSmall(cluster, first, [idOf(1), idOf(2)], 6);
     const ids = [idOf(10), idOf(11), idOf(12)];
     await submitSmall(cluster, first, ids, 100);
     await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
+    // These two do not end by themselves: they are cancelled.
+    cluster.holdsTask = tasksOf(idOf(1), idOf(2));
 
     await cluster.upgrade(second);
     const two: Side = { labels: [first, third], restart: toEarlier };
@@ -248,12 +253,12 @@
 
 scenario(
   'a job of this version is cancelled at an earlier one, and the state service is out before it has heard',
-  { port: 31_040, taskMs: longTaskMs, capacity: 10, earlier: oneEarlier },
+  { port: 31_040, taskMs: untilStopped, capacity: 10, earlier: oneEarlier },
   (cluster) => cancelIntoOutage(cluster, ['keel-1', 'keel-2'], ['keel-0']),
 );
 
 scenario(
   'a job of an earlier version is cancelled at this one, and the state service is out before it has heard',
-  { port: 31_080, taskMs: longTaskMs, capacity: 10, earlier: twoEarlier },
+  { port: 31_080, taskMs: untilStopped, capacity: 10, earlier: twoEarlier },
   (cluster) => cancelIntoOutage(cluster, ['keel-0', 'keel-2'], ['keel-1']),
 );
--- a/src/fault-scenarios/places.test.ts
+++ b/src/fault-scenarios/places.test.ts
@@ -2,9 +2,12 @@
 import {
   type Cluster,
   cancelDeadlineMs,
+  everyTask,
+  noTask,
   pause,
   heartbeatIntervalMs,
   submission,
+  tasksOf,
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
@@ -32,14 +35,14 @@
     ];
     const ids = jobs.map(({ id }) => String(id));
     // No task ends before each job has lost two machines.
-    cluster.holdsTask = () => true;
+    cluster.holdsTask = everyTask;
     for (const [i, job] of jobs.entries()) await cluster.submitSurely(job, i);
     await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
     await cluster.restart(await cluster.leading());
     await pause(2 * heartbeatIntervalMs);
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
-    cluster.holdsTask = () => false;
+    cluster.holdsTask = noTask;
     await cluster.allDone(ids);
   },
 );
@@ -52,7 +55,7 @@
     const cancelled = ['req-000001', 'req-000002'];
     const kept = ['req-000011', 'req-000012', 'req-000013'];
     const ids = [...cancelled, ...kept];
-    cluster.holdsTask = () => true;
+    cluster.holdsTask = everyTask;
     for (const [i, id] of ids.entries()) {
       await cluster.submitSurely(submission(id, 3, { owner: 'blue' }), i);
     }
@@ -65,7 +68,7 @@
     cluster.store.held.add('keel-0');
     for (const link of cluster.peersOf('keel-0')) link.cut();
     // The tasks of the other jobs end around the end of the partition; those of the cancelled ones never do by themselves.
-    cluster.holdsTask = (task) => cancelled.some((id) => task.startsWith(`${id}/`));
+    cluster.holdsTask = tasksOf(...cancelled);
     for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
     const until = Date.now() + cancelDeadlineMs * 1.2;
     while (Date.now() < until) {
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -5,11 +5,14 @@
 import { ledgerLayout } from '../placement/ledger-layout.js';
 import {
   type Cluster,
+  everyTask,
   labels,
   workerLeaseMs,
+  noTask,
   pause,
   heartbeatIntervalMs,
   submission,
+  tasksOf,
 } from '../testing/cluster.js';
 import { type EarlierBuild, buildCommit, productionCommit } from '../testing/earlier-build.js';
 import { scenario } from '../testing/scenario.js';
@@ -64,17 +67,13 @@
 // directions, with a process that comes back old before its turn.
 scenario(
   'controllers are replaced one by one while jobs run, and one that dies before its turn comes back old',
-  // The job that is cancelled would run for longer than all of this takes.
-  {
-    port: 29_000,
-    capacity: 10,
-    earlier,
-    nextLimits,
-    taskMs: (piece) => (piece.startsWith(`${idOf(3)}/`) ? 30_000 : 2500),
-  },
+  { port: 29_000, capacity: 10, earlier, nextLimits, taskMs: 2500 },
   async (cluster) => {
+    cluster.holdsTask = everyTask;
     const ids = await submitSmall(cluster, 1, 4, 150);
     await cluster.until('tasks run', () => cluster.runningOf(idOf(1)).length > 0);
+    // The job that is cancelled does not end by itself.
+    cluster.holdsTask = tasksOf(idOf(3));
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     // An old leader with a new owner, whose block an old one takes over and gives back.
@@ -113,8 +112,11 @@
   'all end together and come back new, and the limits fall as they do',
   { port: 29_040, taskMs: 5000, capacity: 10, earlier, nextLimits },
   async (cluster) => {
+    // Nothing ends, and with it shrinks the ledger, before it is large.
+    cluster.holdsTask = everyTask;
     const ids = await submitSmall(cluster, 1, 6, 200);
     await cluster.until('a value is larger than what is to come', () => largestValue(cluster) > nextBytes);
+    cluster.holdsTask = noTask;
     await Promise.all(labels.map((label) => cluster.upgrade(label)));
     await cluster.until('the first has announced its format', () =>
       labels.some((label) => cluster.store.value(`formats/${label}`) !== undefined),
@@ -133,8 +135,11 @@
   'the state service refuses an old leader as a new one takes over, and a cancel falls in',
   { port: 29_080, taskMs: 8000, capacity: 10, earlier, nextLimits },
   async (cluster) => {
+    cluster.holdsTask = everyTask;
     const ids = await submitSmall(cluster, 1, 4, 20);
     await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length > 0));
+    // The job that is cancelled does not end by itself.
+    cluster.holdsTask = tasksOf('req-000002');
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     await cluster.upgrade(second);
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -69,7 +69,7 @@
   /** Called as a task completes, before anybody has heard of it. */
   onDone: (piece: string) => void = () => undefined;
   /** Tasks that run until the test lets them go, so that none ends before it is looked for; their time counts from then. */
-  holdsTask: (piece: string) => boolean = () => false;
+  holdsTask: (task: string) => boolean = noTask;
   /** Tasks that share an entry in the ledger of each block, as of the last lease that began in this process. */
   readonly chunkTasks = new Map<number, number>();
   private calmAt = Date.now();
@@ -324,6 +324,14 @@
     return [...this.workers.values()].flatMap((w) => w.running.filter((p) => p.startsWith(`${id}/`)));
   }
 
+  /** How many tasks of the job have run to their end, once or more often. */
+  completedOf(id: string): number {
+    const isOfJob = tasksOf(id);
+    const left = this.history.happenings.filter((one) => one.kind === 'left');
+    const completed = left.filter((one) => one.completed && isOfJob(one.task));
+    return new Set(completed.map((one) => one.task)).size;
+  }
+
   /** Every broken rule so far. */
   violations(): string[] {
     const cancelDeadlineMs = this.times.cancel_s * 1000;
@@ -452,6 +460,17 @@
   };
 }
 
+/** The time of tasks that end only because they are stopped. */
+export const untilStopped = Infinity;
+
+/** Says of a task whether it belongs to one of the jobs. */
+export function tasksOf(...ids: string[]): (task: string) => boolean {
+  return (task) => ids.some((id) => task.startsWith(`${id}/`));
+}
+
+export const everyTask = (): boolean => true;
+export const noTask = (): boolean => false;
+
 export function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
