--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -169,7 +169,7 @@
   assert.ok(first && second);
   first.send(request('/hello', encode({})));
   assert.match(await first.receive(2), /connection: close/i);
-  while (load.openConnections > 7) await new Promise((resolve) => setTimeout(resolve, 10));
+  await tick(() => load.openConnections <= 7);
   // With the first one gone, seven are no more than there may be.
   second.send(request('/hello', encode({})));
   assert.doesNotMatch(await second.receive(2), /connection: close/i);
