--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -1,9 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { Packr } from 'msgpackr';
-import { decode, decodeFields, encode, number, sizeOf } from './codec.js';
+
 import { fromRanges, rangesSize, toRanges } from '../base/ranges.js';
 import { blockRecord, parseBlock } from './block-records.js';
+import { decode, decodeFields, encode, number, sizeOf } from './codec.js';
 import {
   compactEntryBytes,
   compactTasksPerChunk,
@@ -45,8 +47,9 @@
       { piece: 'nonsense', try: 1, status: 'running' },
     ],
   });
-  assert.equal(report?.preemptionNoticeS, null);
-  assert.deepEqual(report?.tasks, [
+  assert.ok(report);
+  assert.equal(report.preemptionNoticeS, null);
+  assert.deepEqual(report.tasks, [
     { job: 'req-000412', index: 3, attempt: 2, state: 'ended', cause: 'done' },
   ]);
   assert.equal(parseHeartbeat({ host: 'vm-1', watch: 1 }), undefined);
--- a/src/wire/job-spec-record.test.ts
+++ b/src/wire/job-spec-record.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { jobSpec } from '../testing/block-stage.js';
 import { encode } from './codec.js';
 import { jobRecord, parseJobRecord } from './job-records.js';
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -4,41 +4,41 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type {
   CloudMachine,
+  Heartbeat,
   JobSpec,
   MachineType,
-  WorkerCommand,
-  Heartbeat,
   ReportedTask,
+  WorkerCommand,
 } from '../model/types.js';
 import {
-  type OperatorSettings,
   defaultOperatorSettings,
+  type OperatorSettings,
   parseOperatorSettings,
 } from '../settings/operator.js';
-import { Samples, readSampleFile } from '../testing/samples.js';
+import { readSampleFile, Samples } from '../testing/samples.js';
 import {
   type MachineListPage,
-  type RentalRequest,
   machineListPath,
   parseMachineList,
   parseMachineNames,
   parseMachineTypes,
   releaseBody,
   rentalBody,
+  type RentalRequest,
 } from './cloud.js';
 import { jobAnswer, jobDetails, parseJob } from './jobs.js';
 import {
   type Change,
-  type Condition,
-  type Item,
-  type ListPage,
-  type Write,
   commitBody,
+  type Condition,
   createLeaseBody,
-  leasePath,
+  type Item,
   keyPath,
+  leasePath,
+  type ListPage,
   listPath,
   parseChanges,
   parseCommit,
@@ -47,8 +47,9 @@
   parseRead,
   revisionOf,
   watchPath,
+  type Write,
 } from './state.js';
-import { parseHeartbeat, redirectResponse, heartbeatResponse } from './workers.js';
+import { heartbeatResponse, parseHeartbeat, redirectResponse } from './workers.js';
 
 const sent = new Samples('sent.json');
 const received = new Samples('received.json');
@@ -304,7 +305,10 @@
   for (const xml of wrong) {
     await parseOperatorSettings(xml).then(
       () => errors.push('none'),
-      (error: Error) => errors.push(error.message),
+      (error: unknown) => {
+        assert.ok(error instanceof Error);
+        errors.push(error.message);
+      },
     );
   }
   sent.assertPlain('operator, errors', errors);
--- a/src/wire/peer-status.test.ts
+++ b/src/wire/peer-status.test.ts
@@ -1,5 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { Samples } from '../testing/samples.js';
 import type { Fields } from './codec.js';
 import { parsePeerStatus, peerStatusRecord } from './peer-status.js';
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -1,41 +1,40 @@
 /** Every form in the state service, against samples that an earlier version wrote: there as well as back. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '../model/types.js';
 import { Samples } from '../testing/samples.js';
 import {
   type BlockRecord,
-  type LeasedMachine,
   blockRecord,
+  type LeasedMachine,
   machineGroups,
   pagedBlockRecord,
   parseBlock,
 } from './block-records.js';
 import {
   type AliveRecord,
-  type LeaderRecord,
   aliveRecord,
   currentFormat,
   formatRecord,
+  type LeaderRecord,
   leaderRecord,
   parseAlive,
   parseFormat,
   parseLeader,
 } from './controller-records.js';
-import { outcomeTransaction } from './outcome-transaction.js';
 import {
-  type OutcomeRecord,
   type JobRecord,
-  type TaskRange,
-  outcomeRecord,
   jobRecord,
-  parseOutcome,
+  type OutcomeRecord,
+  outcomeRecord,
   parseJobRecord,
+  parseOutcome,
+  type TaskRange,
 } from './job-records.js';
 import {
   aliveKey,
   blockKey,
-  outcomeKey,
   formatKey,
   jobKey,
   ladderKey,
@@ -43,9 +42,11 @@
   ledgerKey,
   ledgerPrefix,
   machinesKey,
+  outcomeKey,
 } from './keys.js';
 import { ladderRecord, parseLadder } from './ladder-records.js';
 import { type LedgerEntry, ledgerPage, parseLedgerPage } from './ledger-records.js';
+import { outcomeTransaction } from './outcome-transaction.js';
 
 const samples = new Samples('stored.json');
 
