--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -1,6 +1,31 @@
-/** The lease of a block: its owner, its machines, and what its teams may use. */
+/**
+ * The lease of a block: its owner, its machines, and what teams may use in it.
+ *
+ * `block/<n>` and `machines/<n>/<page>`, written by the leader (`LeaseWriter`) and by the owner where it renews its own lease
+ * (`LeaseRenewals`), both through `BlockWriter`. Read by every controller, in `BlockRegistry`.
+ *
+ * `block/<n>`:
+ *
+ * | stored | ours | unit |
+ * | --- | --- | --- |
+ * | `owner` | `owner` | label of a controller |
+ * | `boot` | `incarnation` | opaque, one for each life of a process |
+ * | `shares` | `quotaShares` | by team: [cpus, accelerators] |
+ * | `machines` | `machines` | groups, see below; missing where pages hold them |
+ * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record itself; only where pages hold the machines |
+ *
+ * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean and a list. A
+ * machine in it is a list:
+ *
+ * | place | ours | unit |
+ * | --- | --- | --- |
+ * | 0 | `id` | name |
+ * | 1 | `fencingToken` | revision, 0: that of the record itself |
+ * | 2 | `rentedAt` | time of day, stored in s, ours in ms |
+ * | 3 | `draining` | 1; missing where the machine is not draining |
+ */
 import { type Fields, isFields, list, number, text } from './codec.js';
-import { type StoredValue, machinesPrefix } from './keys.js';
+import { machinesPrefix, type StoredValue } from './keys.js';
 
 /** A machine as its block's record names it. */
 export interface LeasedMachine {
@@ -18,10 +43,12 @@
   page?: number;
 }
 
-/** What a team's tasks in one block may use; a missing entry means that the team has no limit. */
+/** What each team's tasks in one block may use; a team without an entry has no limit. */
 export type QuotaShares = Record<string, [cpus: number, accelerators: number]>;
 
+/** The lease of a block, read from its record and its pages. */
 export interface BlockRecord {
+  /** The label of the controller that places tasks on the machines and answers their heartbeats. */
   owner: string;
   /** The life of the owner's process that it is leased to: a later life renews the lease, and with it the tokens. */
   incarnation: string;
@@ -31,7 +58,7 @@
   leaseFencingToken?: number;
 }
 
-/** Machines grouped by kind, with the names left once and times of day in seconds. */
+/** The stored form of machines: grouped by kind, each type and zone named once a group. */
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
   for (const m of machines) {
@@ -48,16 +75,17 @@
   return [...groups.values()];
 }
 
+/** A key of what the machines of a group share. */
 export function machineKind({ type, zone, spot }: LeasedMachine): string {
   return `${type}/${zone}/${spot}`;
 }
 
-/** The record of a block with all its machines, which earlier versions can read. */
+/** The stored form with all machines in the record itself, which earlier versions can read. */
 export function blockRecord(record: BlockRecord): unknown {
   return { ...leaseFields(record), machines: machineGroups(record.machines) };
 }
 
-/** The record of a block whose machines are named by pages of their own. */
+/** The stored form of a block whose machines are in pages of their own. */
 export function pagedBlockRecord(record: BlockRecord): unknown {
   return { ...leaseFields(record), leaseToken: record.leaseFencingToken ?? minFencingToken };
 }
@@ -87,7 +115,7 @@
   return new Map(pages.sort(([a], [b]) => a - b));
 }
 
-/** `pages`: the pages of the block's machines by number. */
+/** The lease; undefined where the block has no record. `version` is the record's; `pages` are the block's pages by number. */
 export function parseBlock(
   value: unknown,
   version: number,
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -1,4 +1,27 @@
-/** The form in which job records hold what a user asked for: field by field, whatever our own names for it are. */
+/**
+ * The field `spec` of the record under `job/<id>`: what the user asked for. Written by `Submissions` when the job is accepted
+ * and carried over unchanged by all later writes, with fields that only later versions know. Who reads it: see
+ * `job-records.ts`. A test compares kept samples with these forms, so our names may change and the stored ones may not.
+ *
+ * | stored | ours | unit |
+ * | --- | --- | --- |
+ * | `id`, `jobClass`, `team`, `urgency` | the same | names |
+ * | `tasks` | `tasks` | count |
+ * | `cpus`, `accelerators` | the same | amount for each task |
+ * | `memoryGb` | `memoryGb` | GB for each task |
+ * | `image` | `image` | name |
+ * | `imageGb` | `imageGb` | GB |
+ * | `types` | `machineTypes` | list of names, or null |
+ * | `zone` | `zone` | name, or null |
+ * | `oneZone` | `colocated` | boolean |
+ * | `spread`, `spot` | the same | boolean |
+ * | `estimateS` | `estimatedRunS` | s |
+ * | `checkpointS` | `checkpointIntervalS` | s |
+ * | `saveS` | `checkpointSaveS` | s |
+ * | `deadlineS` | `deadlineS` | s from the acceptance, or null |
+ * | `acceptedAt` | `acceptedAt` | time of day in ms |
+ * | `dependencies` | `dependencies` | list of ids; missing where the job has none |
+ */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { type Fields, list, number, text } from './codec.js';
 
@@ -26,7 +49,7 @@
   'dependencies',
 ]);
 
-/** A job without dependencies has no such field, since earlier versions know none. */
+/** The stored form. A job without dependencies has no such field, since earlier versions know none. */
 export function jobSpecRecord(spec: JobSpec): Fields {
   const fields: Fields = {
     id: spec.id,
@@ -54,6 +77,7 @@
   return spec.unknownFields === undefined ? fields : { ...fields, ...spec.unknownFields };
 }
 
+/** The job as it was accepted; fields that this version does not know are kept in `unknownFields`. */
 export function parseJobSpec(fields: Fields): JobSpec {
   const spec: JobSpec = {
     id: text(fields['id']),
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -1,4 +1,40 @@
-/** The pages in which the owner of a block records what becomes of tasks, and the room that their entries take. */
+/**
+ * The pages in which the owner of a block records what becomes of tasks, and the room that their entries take.
+ *
+ * `run/<n>/<page>`, written by the block's owner (`LedgerWriter`), each attempt before its start command is sent. Read by
+ * every controller, in `LedgerIndex`, and by a new owner of the block when it takes over.
+ *
+ * A page is a list of entries, an entry a list. In front, in both forms:
+ *
+ * | place | ours | unit |
+ * | --- | --- | --- |
+ * | 0 | `id` | id of the job |
+ * | 1 | `chunk` | number of the chunk from 0 |
+ * | 2 | `team` | name |
+ * | 3, 4 | `cpus`, `accelerators` | amount for each task |
+ * | 5 | `memoryGb` | GB for each task |
+ *
+ * Then in the plain form, which every version reads:
+ *
+ * | place | ours | unit |
+ * | --- | --- | --- |
+ * | 6 | `active` | list of [task, attempt, machine] |
+ * | 7 | `waiting` | list of [task, last attempt] |
+ * | 8 | `done` | first, last, first, last: numbers of tasks |
+ *
+ * Or in the compact form, from format 2 on (see `currentFormat`):
+ *
+ * | place | ours | unit |
+ * | --- | --- | --- |
+ * | 6 | `active`, first attempts | task, machine, task, machine |
+ * | 7 | `active`, later attempts | task, attempt, machine, and so on |
+ * | 8 | `waiting` | task, last attempt, and so on |
+ * | 9 | `done` | as in the plain form |
+ * | 10 | `chunkTasks` | count of tasks |
+ * | 11 | how machines are named | [prefix, count of digits]: a number above stands for such a name |
+ *
+ * Tasks are numbered from 0 in their job, attempts from 1.
+ */
 import { list, number, sizeOf, text } from './codec.js';
 
 /**
@@ -26,18 +62,22 @@
   chunkTasks?: number;
 }
 
-/** A page of a block's ledger holds entries of many jobs, so that one change of the store records a whole round. */
+/** The stored form of a page. It holds entries of many jobs, so that one change of the store records a whole round. */
 export function ledgerPage(entries: LedgerEntry[]): unknown {
   return entries.map(ledgerEntry);
 }
 
+/** The stored form of an entry: compact where it names the size of its chunk, else plain. */
 export function ledgerEntry(entry: LedgerEntry): unknown {
   const { id, chunk, team, cpus, accelerators, memoryGb, active, waiting, done } = entry;
   const job = [id, chunk, team, cpus, accelerators, memoryGb];
   return entry.chunkTasks === undefined ? [...job, active, waiting, done] : [...job, ...compactTasks(entry)];
 }
 
-/** Every controller reads every page of all the others, so the lists are taken as they come: we alone write them. */
+/**
+ * The entries of a page; none where there is no page. Every controller reads every page of all the others, so what the lists
+ * hold is not checked: only controllers write them.
+ */
 export function parseLedgerPage(value: unknown): LedgerEntry[] {
   return list(value)
     .map((entry) => {
@@ -132,18 +172,23 @@
 /** An entry takes this part of a page at most, so that pages fill well. */
 const chunkShareOfPage = 1 / 4;
 
-/** A page has to hold an entry with a task of its own. */
+/** The least size of a page in bytes: it has to hold an entry with a task of its own. */
 export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / chunkShareOfPage);
 
+/** How many tasks a plain entry takes, where pages have `valueBytes` bytes at most. */
 export function tasksPerChunk(valueBytes: number): number {
   return Math.max(1, Math.floor((valueBytes * chunkShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
+/** Bytes that a plain entry with so many tasks takes at the most. */
 export function entryBytes(tasks: number): number {
   return bytesPerEntry + tasks * bytesPerTask;
 }
 
-/** What an entry takes as it stands, at the most; compact ones are measured, since they may fill a page to the last byte. */
+/**
+ * Bytes that an entry takes as it stands, at the most; compact ones are measured, since they may fill a page to the last
+ * byte.
+ */
 export function writtenBytes(entry: LedgerEntry): number {
   if (entry.chunkTasks !== undefined) return sizeOf(ledgerEntry(entry)) + 1;
   const { active, waiting, done } = entry;
@@ -156,11 +201,12 @@
 
 const bytesPerCompactEntry = 80;
 
+/** How many tasks a compact entry takes, where pages have `pageBytes` bytes at most. */
 export function compactTasksPerChunk(pageBytes: number): number {
   return Math.max(1, Math.floor((pageBytes * chunkShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
-/** What an entry with so many tasks takes once none of them is on a machine. */
+/** Bytes that a compact entry with so many tasks takes once none of them is on a machine. */
 export function compactEntryBytes(entry: LedgerEntry, tasks: number): number {
   return writtenBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
 }
