--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -1,4 +1,22 @@
-/** What controllers tell each other, as maps of MessagePack: field by field, whatever our own names for them are. */
+/**
+ * What controllers tell each other of themselves. `PeerLinks` of one controller writes it, `PeerLinks` of the other reads it
+ * and hands it to `PeerStatusHandler`. Nothing of it is stored.
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `from` | `from` | label of the sender |
+ * | `boot` | `incarnation` | opaque, one for each life of a process |
+ * | `serial` | `sequence` | count from 1 in one incarnation |
+ * | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 |
+ * | `echoBoot` | `echoedIncarnation` | the receiver's `boot` that goes with it, else empty |
+ * | `knows` | `storeRevision` | revision of the state service |
+ * | `contactAge` | `storeContactAgeMs` | ms |
+ * | `token` | `fencingToken` | revision of the state service, 0 while the sender does not lead |
+ * | `gone` | `terminatedMachines` | list of names |
+ * | `up` | `bootedMachines` | list of names |
+ * | `since` | `cancelledSince` | revision of the state service |
+ * | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
+ */
 import { type Fields, isFields, number, text } from './codec.js';
 
 /** A job that has ended as cancelled, and the revision of its end. */
@@ -34,6 +52,7 @@
   bootedMachines: string[];
 }
 
+/** The sent form. */
 export function peerStatusRecord(status: PeerStatus): Fields {
   return {
     from: status.from,
@@ -51,7 +70,10 @@
   };
 }
 
-/** Undefined where the message does not say whose it is, or lacks one of its lists; these are taken as they come. */
+/**
+ * The status; undefined where the message does not say whose it is, or lacks one of its lists. What the lists hold is not
+ * checked: only controllers write them.
+ */
 export function parsePeerStatus(message: unknown): PeerStatus | undefined {
   if (!isFields(message)) return undefined;
   const sender = message['from'];
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,52 @@
-import type { WorkerCommand, Heartbeat, ReportedTask, TaskRef, TaskState } from '../model/types.js';
+/**
+ * Heartbeats of workers (`POST /hello`) and the responses to them. `HeartbeatHandler` reads the one and writes the others.
+ *
+ * A heartbeat:
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `host` | `machine` | name |
+ * | `endpoint` | `address` | host:port |
+ * | `hull` | `type` | name |
+ * | `berth` | `zone` | name |
+ * | `loaners` | `spot` | boolean |
+ * | `watch` | `agentEpoch` | count from 1 |
+ * | `tick` | `sequence` | count |
+ * | `helm` | `fencingToken` | revision of the state service; 0: none seen |
+ * | `recallS` | `preemptionNoticeS` | s, or null |
+ * | `pieces` | `tasks` | list, see below |
+ *
+ * A task in it:
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `piece` | `job`, `index` | `<job>/<number of the task from 0>` |
+ * | `try` | `attempt` | count from 1 |
+ * | `status` | `state` | name |
+ * | `cause` | `cause` | name, of an ended task only |
+ *
+ * The response of the controller that owns the machine (200):
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `helm` | `fencingToken` | revision of the state service |
+ * | `orders` | `commands` | list, see below; carried out in this order |
+ *
+ * A command in it:
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `verb` | `kind` | `run`: `start`, `halt`: `stop`, `reap`: `forget` |
+ * | `piece`, `try` | `job`, `index`, `attempt` | as above |
+ * | `leewayS` | `graceS` | s, of a stop only |
+ *
+ * The response of a controller that may not answer for the machine (421; 503 where no owner is known):
+ *
+ * | wire | ours | unit |
+ * | --- | --- | --- |
+ * | `skipper` | `label` | name of the controller to report to; missing where none is named |
+ */
+import type { Heartbeat, ReportedTask, TaskRef, TaskState, WorkerCommand } from '../model/types.js';
 import { type Fields, isFields, list, number, text } from './codec.js';
 
 const taskStates: Record<string, TaskState> = {
@@ -29,7 +77,10 @@
   };
 }
 
-/** A worker's report, or undefined where it lacks what identifies it. */
+/**
+ * A worker's heartbeat; undefined where it lacks its machine, epoch, sequence or list of tasks. Tasks without a proper name
+ * are left out.
+ */
 export function parseHeartbeat(body: unknown): Heartbeat | undefined {
   if (!isFields(body)) return undefined;
   const machine = text(body['host']);
@@ -63,10 +114,15 @@
   return fields;
 }
 
+/**
+ * The body of a 200. The worker drops the response where it has seen a higher fencing token; otherwise it renews the worker's
+ * lease.
+ */
 export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): unknown {
   return { helm: fencingToken, orders: commands.map(encodeCommand) };
 }
 
+/** The body of a 421 or 503: with the label of the controller to report to, or empty. */
 export function redirectResponse(label: string | undefined): unknown {
   return label === undefined ? {} : { skipper: label };
 }
