--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,10 +13,12 @@
   'src/intake',
   'src/ladder',
   'src/leadership',
+  'src/model',
   'src/peers',
   'src/placement',
   'src/settings',
   'src/store',
+  'src/wire',
   'src/workers',
 ];
 
