--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -1,4 +1,5 @@
 import assert from 'node:assert/strict';
+import { defaultOperatorSettings } from '../settings/operator.js';
 import {
   cancelDeadlineMs,
   type Cluster,
@@ -13,6 +14,8 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
+/** The last tasks within a quota may wait until its shares are divided among the blocks once more. */
+const quotaSettlesMs = defaultOperatorSettings.blocks.quotaSharePeriodS * 1000 + 15_000;
 const nodeOf = (label: string): number => labels.indexOf(label);
 
 /** A job whose tasks all run on machines of one controller, and that controller. */
@@ -200,8 +203,10 @@
     const other = 'req-000009';
     cluster.holdsTask = everyTask;
     for (const [i, id] of [cancelled, running].entries()) await cluster.submitSurely(submission(id, 6), i);
-    await cluster.until('the team is at its limit', () =>
-      [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
+    await cluster.until(
+      'the team is at its limit',
+      () => [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
+      quotaSettlesMs,
     );
     // Another team's work brings more machines up, and leaves room on them as it is cancelled.
     await cluster.submitSurely(submission(other, 18, { owner: 'blue' }));
