--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -156,40 +156,51 @@
   }
 }
 
+/** A status that is not understood is waited for in vain. */
+const linkTimeoutMs = 10_000;
+
 // Guards against controllers of two versions that no longer understand each other.
 for (const [index, [name, status]] of Object.entries(kept).entries()) {
-  test(`a status goes out in the same fields and bytes as ever: ${name}`, async () => {
-    const port = 24_910 + index * 10;
-    const stop = new AbortController();
-    const links = speaker(status, port, () => undefined);
-    const { echoedSequence, echoedIncarnation } = status;
-    if (echoedSequence > 0)
-      links.receive({
-        ...plainStatus,
-        from: 'keel-1',
-        incarnation: echoedIncarnation,
-        sequence: echoedSequence,
-      });
-    const expected = samples.bytes(name);
-    samples.assertRead(name, parsePeerStatus, status);
-    const sent = firstBytes(port + 1, expected.length, stop.signal);
-    void links.run(stop.signal);
-    assert.equal((await sent).toString('hex'), expected.toString('hex'));
-    stop.abort();
-  });
-
-  test(`a status of an earlier version is read in all its fields: ${name}`, async () => {
-    const port = 24_912 + index * 10;
-    const stop = new AbortController();
-    const heard = new Promise<PeerStatus>((resolve) => {
-      const links = speaker({ ...plainStatus, from: 'keel-1' }, port, resolve);
+  test(
+    `a status goes out in the same fields and bytes as ever: ${name}`,
+    { timeout: linkTimeoutMs },
+    async () => {
+      const port = 24_910 + index * 10;
+      const stop = new AbortController();
+      const links = speaker(status, port, () => undefined);
+      const { echoedSequence, echoedIncarnation } = status;
+      if (echoedSequence > 0)
+        links.receive({
+          ...plainStatus,
+          from: 'keel-1',
+          incarnation: echoedIncarnation,
+          sequence: echoedSequence,
+        });
+      const expected = samples.bytes(name);
+      samples.assertRead(name, parsePeerStatus, status);
+      const sent = firstBytes(port + 1, expected.length, stop.signal);
       void links.run(stop.signal);
-    });
-    const socket = await sendBytes(port, samples.bytes(name));
-    assert.deepEqual(await heard, status);
-    socket.destroy();
-    stop.abort();
-  });
+      assert.equal((await sent).toString('hex'), expected.toString('hex'));
+      stop.abort();
+    },
+  );
+
+  test(
+    `a status of an earlier version is read in all its fields: ${name}`,
+    { timeout: linkTimeoutMs },
+    async () => {
+      const port = 24_912 + index * 10;
+      const stop = new AbortController();
+      const heard = new Promise<PeerStatus>((resolve) => {
+        const links = speaker({ ...plainStatus, from: 'keel-1' }, port, resolve);
+        void links.run(stop.signal);
+      });
+      const socket = await sendBytes(port, samples.bytes(name));
+      assert.deepEqual(await heard, status);
+      socket.destroy();
+      stop.abort();
+    },
+  );
 }
 
 /** Links without sockets; `at` sets the clock, `reaches` the revision of our replica of the store. */
