--- a/src/placement/heartbeat-findings.ts
+++ b/src/placement/heartbeat-findings.ts
@@ -1,25 +1,33 @@
-/** What the findings of a heartbeat change in the state of a block. */
+/** Applies the findings of a heartbeat to the state of a block. */
 import { type JobState, keyOfTask, type Task } from './job-state.js';
 import type { MachineState } from './machine-state.js';
 import type { Finding } from './reconciliation.js';
 
 /** The state of the block that a finding is applied to. */
 export interface FindingTarget {
-  /** Has a task wait again of which it is proven that no machine has it. */
+  /** Makes a task wait again; may be called only if it is proven that the task is on no machine. */
   unassign(task: Task): void;
+  /** Returns the machine to which the task is assigned, if the block has this machine. */
   machineOf(task: Task): MachineState | undefined;
-  /** The last task that the block has of the job is done. */
+  /** Called when all tasks of the job that belong to this block are done. */
   noteCompleted(job: JobState): void;
-  /** The first pause of a job whose task has failed, in ms. */
+  /** Initial retry back-off of a job in ms, after the first failure of one of its tasks. */
   readonly firstRetryPauseMs: number;
 }
 
-/** Causes of a task's end that speak against the machine or the job, rather than being our own doing. */
+/** Causes that are failures of the machine or the job, and not results of a controller's command. */
 const failureCauses: ReadonlySet<string> = new Set(['error']);
-/** The cause by which a worker refuses to start a task, since it knows no such job or task. */
+/** The cause that a worker reports when it refuses a start because it does not know the job or the task. */
 const unknownTaskCause = 'no_such';
 
-/** Applies one finding of the machine's heartbeat; `now` is steady time in ms. */
+/**
+ * Applies one finding of a heartbeat.
+ *
+ * @param target the state of the block
+ * @param machine the machine that sent the heartbeat
+ * @param finding the finding to apply
+ * @param now steady time in ms
+ */
 export function applyFinding(
   target: FindingTarget,
   machine: MachineState,
@@ -35,7 +43,7 @@
       break;
     case 'left':
       target.unassign(finding.task);
-      noteCause(target, machine, finding.task.job, finding.cause, now);
+      recordCause(target, machine, finding.task.job, finding.cause, now);
       break;
   }
 }
@@ -50,13 +58,14 @@
 
 function applyTaskCompleted(target: FindingTarget, job: JobState, index: number, now: number): void {
   const task = job.tasks.get(index);
-  // One that the leader has recalled meanwhile stays with its machine until it is this block's again.
+  // If the leader has recalled the task in the meantime, the task remains assigned to its machine until this
+  // block has the task again.
   if (!job.finishTask(index, now)) return;
   if (job.isComplete) target.noteCompleted(job);
   if (task) target.machineOf(task)?.tasks.delete(keyOfTask(task));
 }
 
-function noteCause(
+function recordCause(
   target: FindingTarget,
   machine: MachineState,
   job: JobState,
--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -6,14 +6,15 @@
 
 const twoTasks = { cpus: 4, accelerators: 0 };
 
-// Guards against a broken quota: the leader cut the share and gave the room to another block, the commit of the intents
-// failed for the block's version, and they were committed again under the new one.
-test('an intent whose commit failed for the block is not committed under a record that cuts its team’s share', async () => {
-  const versions: number[] = [];
+// Guards against exceeding a team's quota: the leader reduces the block's share and assigns the difference to
+// another block. The commit of the intents then fails with a conflict on the block's record, and must not be
+// repeated unchanged under the new version of the record.
+test('an intent whose commit had a conflict on the block is withdrawn if the new record reduces its team’s share', async () => {
+  const blockVersions: number[] = [];
   const stage = createBlockStage(
     (conditions, { putBlock }) => {
-      versions.push(conditions.find((c) => c.key === 'block/0')?.version ?? 0);
-      if (versions.length > 1) return { kind: 'applied', revision: 9 };
+      blockVersions.push(conditions.find((c) => c.key === 'block/0')?.version ?? 0);
+      if (blockVersions.length > 1) return { kind: 'applied', revision: 9 };
       putBlock(8, { shares: { red: [4, 0] } });
       return { kind: 'conflict', failed: ['block/0'], revision: 8 };
     },
@@ -25,11 +26,12 @@
   assert.equal(phases.filter((phase) => phase === 'placed').length, 2);
   assert.equal(phases.filter((phase) => phase === 'placing').length, 0);
   assert.deepEqual(stage.blockState.teamUsage().usedBy('red'), twoTasks);
-  assert.equal(versions[1], 8);
+  assert.equal(blockVersions[1], 8);
 });
 
-// The commit without an answer may have been carried out before the cut, or never: nothing of it was sent to a worker.
-test('an intent of unknown fate is withdrawn when its team’s share is cut', async () => {
+// A commit without a response may have been applied before the share was reduced, or not at all. No start of
+// its tasks was sent to a worker.
+test('an intent whose commit has an unknown outcome is withdrawn when its team’s share is reduced', async () => {
   let commits = 0;
   const stage = createBlockStage(
     (_conditions, { putBlock }) => {
@@ -43,8 +45,9 @@
   assert.deepEqual(stage.blockState.teamUsage().usedBy('red'), twoTasks);
 });
 
-// Guards against a machine that is given back with a task on it: it was empty when its record said that it is leaving.
-test('an intent is not committed for a machine that the block’s new record calls leaving', async () => {
+// Guards against the release of a machine that has a task: the machine was empty when the block's record
+// marked it as draining, and the commit of an intent for it was still in progress.
+test('an intent is not committed for a machine that the block’s new record marks as draining', async () => {
   let commits = 0;
   const stage = createBlockStage((_conditions, { putBlock }) => {
     if (commits++ > 0) return { kind: 'applied', revision: 9 };
@@ -57,30 +60,32 @@
   assert.deepEqual([stage.task()?.machine, stage.task()?.phase], ['m2', 'placed']);
 });
 
-// Guards against a job that waits for ever: its new version was read before the refusal of the old one came.
-test('a job whose intents were turned down is placed again under the version that has been read since', async () => {
-  const seen: number[] = [];
+// Guards against a job that waits forever: the new version of its record was read before the commit on the
+// old version failed with a conflict.
+test('a job whose intents had a commit conflict is placed again under the version read in the meantime', async () => {
+  const jobVersions: number[] = [];
   const stage = createBlockStage((conditions, { putJob }) => {
-    seen.push(conditions.find((c) => c.key === 'job/req-1')?.version ?? 0);
-    if (seen.length > 1) return { kind: 'applied', revision: 9 };
+    jobVersions.push(conditions.find((c) => c.key === 'job/req-1')?.version ?? 0);
+    if (jobVersions.length > 1) return { kind: 'applied', revision: 9 };
     putJob(5);
     return { kind: 'conflict', failed: ['job/req-1'], revision: 6 };
   });
   await stage.place('m1');
   await stage.place('m1');
-  assert.deepEqual(seen, [3, 5]);
+  assert.deepEqual(jobVersions, [3, 5]);
   assert.equal(stage.task()?.phase, 'placed');
 });
 
-// Guards against a start that no commit speaks of: the machine went while its intent was on the way.
-test('a commit confirms the attempt that it was made for, and no later one', async () => {
+// Guards against the start of a task whose intent is not committed: the machine is removed while the commit
+// is in progress, and the task is placed on another machine.
+test('a commit confirms only the attempt that it was made for, not a later one', async () => {
   let commits = 0;
   const stage = createBlockStage((_conditions, { blockState, scheduler }) => {
     if (commits++ === 0) {
       blockState.removeTerminated('m1');
-      const other = blockState.machines.get('m2') as MachineState;
-      blockState.applyHeartbeat(other, { ...emptyReport('m2', 1), fencingToken: machineToken }, true);
-      scheduler.placeOn(other);
+      const secondMachine = blockState.machines.get('m2') as MachineState;
+      blockState.applyHeartbeat(secondMachine, { ...emptyReport('m2', 1), fencingToken: machineToken }, true);
+      scheduler.placeOn(secondMachine);
       assert.deepEqual([stage.task()?.machine, stage.task()?.phase], ['m2', 'placing']);
       return { kind: 'applied', revision: 8 };
     }
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -1,4 +1,6 @@
-/** What the ledgers of all blocks say, as this controller's replica of the store has them. */
+/**
+ * Indexes the ledger entries of all blocks by job, as this controller's replica of the store contains them.
+ */
 import { groupBy } from '../base/group-by.js';
 import { rangesSize } from '../base/ranges.js';
 import type { JobSpec, Resources } from '../model/types.js';
@@ -6,37 +8,43 @@
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
 import { withoutSuperseded } from './superseded-entries.js';
 
-/** What one block has on record of a job, or of a part of its tasks. */
+/** A ledger entry with its block: the tasks of a job, or of one chunk of it, that this block has recorded. */
 export interface IndexedEntry extends LedgerEntry {
   /** Number of the block. */
   block: number;
+  /** Number of tasks that the entry records as done. */
   doneCount: number;
 }
 
-/** A task that is or may be on a machine, with the entry that says so. */
+/** A task that is or may be on a machine, with the ledger entry that records it. */
 export interface ActiveTask {
-  /** Id of its job. */
+  /** Id of the job of the task. */
   id: string;
   entry: IndexedEntry;
   machine: string;
 }
 
-/** How many tasks of a job are done, and how many are or may be on machines. */
+/** Number of tasks of a job that are done, and number of its tasks that are or may be on machines. */
 export interface JobProgress {
   done: number;
   active: number;
 }
 
-/** Pages are parsed when somebody asks for the first time after they have changed: of several versions only the last is. */
+/**
+ * The ledger entries of all blocks. A changed page is parsed at the first query after the change; if it has
+ * changed several times since the last query, only its latest version is parsed.
+ */
 export class LedgerIndex {
-  /** Values of changed pages by key; undefined if the page is gone. */
+  /**
+   * Values of the pages that have changed since the last query, by key; undefined if the page was deleted.
+   */
   private readonly changedPages = new Map<string, unknown>();
   private readonly entriesByPage = new Map<string, IndexedEntry[]>();
-  /** Entries by job; those of an ended job stay until its tasks have left their machines. */
+  /** Entries by job. The entries of an ended job remain until its tasks have left their machines. */
   private readonly entriesByJob = new Map<string, Set<IndexedEntry>>();
   private cachedLoads: Map<string, Resources> | undefined;
 
-  /** Forgets all pages. */
+  /** Removes all pages from the index. */
   clear(): void {
     this.entriesByPage.clear();
     this.entriesByJob.clear();
@@ -44,20 +52,20 @@
     this.cachedLoads = undefined;
   }
 
-  /** Takes over a page of some block's ledger, or notes with `undefined` that it is gone. */
+  /** Replaces a page of some block's ledger; `undefined` as the value removes the page. */
   setPage(key: string, value: unknown): void {
     this.changedPages.set(key, value);
   }
 
-  /** All that blocks have on record of the job, without entries that smaller ones have superseded. */
+  /** The entries that all blocks have recorded for the job, without tasks that smaller entries supersede. */
   entriesOf(id: string): Iterable<IndexedEntry> {
     this.parseChangedPages();
     const entries = this.entriesByJob.get(id);
     if (!entries) return [];
-    return haveOneChunkSize(entries) ? entries : newestOfEachBlock(entries);
+    return haveSameChunkSize(entries) ? entries : newestEntriesOfEachBlock(entries);
   }
 
-  /** All tasks that are or may be on machines, those of ended jobs among them. */
+  /** All tasks that are or may be on machines, including tasks of ended jobs. */
   *activeTasks(): Iterable<ActiveTask> {
     this.parseChangedPages();
     for (const id of this.entriesByJob.keys()) {
@@ -67,14 +75,14 @@
     }
   }
 
-  /** What the tasks on each machine take of it; machines without any are not in it. */
+  /** Resources that the tasks on each machine use, by machine; machines without tasks are not included. */
   machineLoads(): ReadonlyMap<string, Resources> {
     this.parseChangedPages();
     this.cachedLoads ??= this.sumLoads();
     return this.cachedLoads;
   }
 
-  /** How far one block, or all of them, are with the job. */
+  /** Progress of the job in one block, or in all blocks if no block is given. */
   progress(id: string, block?: number): JobProgress {
     let done = 0;
     let active = 0;
@@ -107,40 +115,40 @@
 
   private replaceEntries(key: string, entries: IndexedEntry[]): void {
     this.cachedLoads = undefined;
-    for (const old of this.entriesByPage.get(key) ?? []) {
-      const ofJob = this.entriesByJob.get(old.id);
-      ofJob?.delete(old);
-      if (ofJob?.size === 0) this.entriesByJob.delete(old.id);
+    for (const oldEntry of this.entriesByPage.get(key) ?? []) {
+      const jobEntries = this.entriesByJob.get(oldEntry.id);
+      jobEntries?.delete(oldEntry);
+      if (jobEntries?.size === 0) this.entriesByJob.delete(oldEntry.id);
     }
     if (entries.length > 0) this.entriesByPage.set(key, entries);
     else this.entriesByPage.delete(key);
     for (const entry of entries) {
-      const ofJob = this.entriesByJob.get(entry.id);
-      if (ofJob) ofJob.add(entry);
+      const jobEntries = this.entriesByJob.get(entry.id);
+      if (jobEntries) jobEntries.add(entry);
       else this.entriesByJob.set(entry.id, new Set([entry]));
     }
   }
 }
 
-/** What one task of the job takes of its machine. */
+/** Returns the resources that one task of the job uses on its machine. */
 export function needOf(from: Pick<JobSpec, 'cpus' | 'accelerators' | 'memoryGb'>): Resources {
   const { cpus, accelerators, memoryGb } = from;
   return { cpus, accelerators, memoryGb };
 }
 
-/** A key that names no block has no entries: no controller writes such a key. */
+/** Parses a page. A key that does not name a block yields no entries: no controller writes such a key. */
 function parseEntries(key: string, value: unknown): IndexedEntry[] {
-  const place = parseLedgerKey(key);
-  if (!place) return [];
+  const parsedKey = parseLedgerKey(key);
+  if (!parsedKey) return [];
   return parseLedgerPage(value).map((entry) => ({
     ...entry,
-    block: place.block,
+    block: parsedKey.block,
     doneCount: rangesSize(entry.done),
   }));
 }
 
-/** Asked for each job many times in a round, so nothing is allocated. */
-function haveOneChunkSize(entries: ReadonlySet<IndexedEntry>): boolean {
+/** Called for each job many times in a placement round, so it does not allocate memory. */
+function haveSameChunkSize(entries: ReadonlySet<IndexedEntry>): boolean {
   let first: IndexedEntry | undefined;
   for (const entry of entries) {
     first ??= entry;
@@ -149,8 +157,8 @@
   return true;
 }
 
-function newestOfEachBlock(entries: Iterable<IndexedEntry>): IndexedEntry[] {
+function newestEntriesOfEachBlock(entries: Iterable<IndexedEntry>): IndexedEntry[] {
   return [...groupBy(entries, ({ block }) => block).values()]
-    .flatMap((ofBlock) => withoutSuperseded(ofBlock))
+    .flatMap((blockEntries) => withoutSuperseded(blockEntries))
     .map((entry) => ({ ...entry, doneCount: rangesSize(entry.done) }));
 }
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -20,10 +20,10 @@
   const { state } = file['settings'] as { state: Record<string, unknown> };
   state['next'] = { value_kb: 1, txn_ops: 6 };
 });
-const small = ledgerLayout(settings, true);
+const compactLayout = ledgerLayout(settings, true);
 
-/** As version 67f789d writes it: two chunks of 288 tasks on one page, without their size. */
-const keptPage = [
+/** A page as version 67f789d writes it: two chunks of 288 tasks, without the number of tasks of a chunk. */
+const legacyPage = [
   [
     ...[id, 0, 'red', 2, 0, 2],
     ...[Array.from({ length: 100 }, (_, i) => [150 + i, 1, `vm-${100 + (i % 12)}`]), [[140, 2]], [0, 139]],
@@ -31,7 +31,7 @@
   [...[id, 1, 'red', 2, 0, 2], ...[[[290, 3, 'vm-100']], [[291, 1]], [288, 289, 299, 299]]],
 ];
 
-async function storeWithKeptPage(): Promise<HeldStore> {
+async function storeWithLegacyPage(): Promise<HeldStore> {
   const store = new HeldStore();
   const spec = jobSpec(id, tasks);
   await store.commit(
@@ -39,13 +39,13 @@
     [],
     [
       { put: jobKey(id), value: jobRecord({ spec, taskRanges: [{ block: 0, first: 0, count: tasks }] }) },
-      { put: ledgerKey(0, 0), value: keptPage },
+      { put: ledgerKey(0, 0), value: legacyPage },
     ],
   );
   return store;
 }
 
-async function blockStateOf(store: HeldStore, layout: LedgerLayout): Promise<BlockState> {
+async function loadBlockState(store: HeldStore, layout: LedgerLayout): Promise<BlockState> {
   const blockState = new BlockState({
     block: 0,
     layout,
@@ -57,84 +57,87 @@
   return blockState;
 }
 
-/** All that a block's state says of the job's tasks. */
-function contentOf(blockState: BlockState): unknown {
+/** The state of all tasks of the job in a comparable form. */
+function jobContentOf(blockState: BlockState): unknown {
   const job = blockState.jobs.get(id);
-  const known = [...(job?.tasks.values() ?? [])].filter((task) => task.attempt > 0);
+  const startedTasks = [...(job?.tasks.values() ?? [])].filter((task) => task.attempt > 0);
   return {
     done: Array.from({ length: tasks }, (_, i) => i).filter((i) => job?.isDoneCommitted(i)),
-    tasks: known.map((t) => `${t.index}.${t.attempt} ${t.phase} ${t.machine}`).sort(),
+    tasks: startedTasks.map((t) => `${t.index}.${t.attempt} ${t.phase} ${t.machine}`).sort(),
     active: job?.activeCount,
   };
 }
 
-async function indexOf(store: HeldStore): Promise<{ done: number; active: number; machines: number }> {
+async function loadIndexedProgress(
+  store: HeldStore,
+): Promise<{ done: number; active: number; machines: number }> {
   const jobIndex = new JobIndex(() => 0);
   jobIndex.load(await mirrorOf(store));
   return { ...jobIndex.progress(id), machines: [...jobIndex.activeTasks()].length };
 }
 
-describe('a ledger that an earlier version has written', () => {
-  test('keeps its layout until every controller reads the new one, and where no smaller value is to come', () => {
+describe('a ledger written by an earlier version', () => {
+  test('keeps its layout until every controller can read the new one, and if no smaller value limit is to come', () => {
     assert.equal(ledgerLayout(settings, false).isLegacy, true);
     assert.equal(ledgerLayout(testSettings(), true).isLegacy, true);
-    assert.equal(small.isLegacy, false);
-    assert.ok(small.pageBytes <= 1024);
+    assert.equal(compactLayout.isLegacy, false);
+    assert.ok(compactLayout.pageBytes <= 1024);
   });
 
-  // Guards against tasks that vanish from the record, and start once more, because two sizes of entries meet: whoever is
-  // ended between any two commits leaves a ledger that says the same as before.
-  test('is laid out anew page by page, and says the same after every commit on the way', async () => {
-    const store = await storeWithKeptPage();
-    const before = contentOf(await blockStateOf(store, ledgerLayout(settings, false)));
-    const blockState = await blockStateOf(store, small);
-    assert.deepEqual(contentOf(blockState), before);
+  // Guards against tasks that are lost from the ledger, and started again, while it contains entries of two
+  // chunk sizes. If the owner of the block stops between any two commits, the stored ledger must still
+  // describe the same tasks.
+  test('is converted to the new layout page by page and describes the same tasks after every commit', async () => {
+    const store = await storeWithLegacyPage();
+    const before = jobContentOf(await loadBlockState(store, ledgerLayout(settings, false)));
+    const blockState = await loadBlockState(store, compactLayout);
+    assert.deepEqual(jobContentOf(blockState), before);
     const { ledger } = blockState;
     assert.deepEqual([...ledger.retiredPages.keys()], [0]);
-    let writes = 0;
+    let pageWrites = 0;
     for (const page of ledger.pages.values()) {
-      const shot = snapshotPage(page, Infinity, () => assert.fail('nothing is taken off'));
-      const value = ledgerPage(shot.entries);
+      const snapshot = snapshotPage(page, Infinity, () => assert.fail('no task should be unassigned'));
+      const value = ledgerPage(snapshot.entries);
       assert.ok(sizeOf(value) <= 1024, `${sizeOf(value)} bytes`);
-      assert.equal(ledger.removablePages().length, 0);
+      assert.equal(ledger.deletableRetiredPages().length, 0);
       await store.commit('duty', [], [{ put: ledgerKey(0, page.index), value }]);
-      ledger.markWritten(shot.chunks);
-      writes++;
-      assert.deepEqual(contentOf(await blockStateOf(store, small)), before);
-      assert.deepEqual(await indexOf(store), { done: 143, active: 101, machines: 101 });
+      ledger.markWritten(snapshot.chunks);
+      pageWrites++;
+      assert.deepEqual(jobContentOf(await loadBlockState(store, compactLayout)), before);
+      assert.deepEqual(await loadIndexedProgress(store), { done: 143, active: 101, machines: 101 });
     }
-    assert.ok(writes >= 5);
+    assert.ok(pageWrites >= 5);
     assert.deepEqual(
-      ledger.removablePages().map(({ index }) => index),
+      ledger.deletableRetiredPages().map(({ index }) => index),
       [0],
     );
     await store.commit('duty', [], [{ drop: ledgerKey(0, 0) }]);
-    const after = await blockStateOf(store, small);
-    assert.deepEqual(contentOf(after), before);
-    assert.equal(after.ledger.retiredPages.size, 0);
-    assert.deepEqual(await indexOf(store), { done: 143, active: 101, machines: 101 });
+    const loadedAfterDeletion = await loadBlockState(store, compactLayout);
+    assert.deepEqual(jobContentOf(loadedAfterDeletion), before);
+    assert.equal(loadedAfterDeletion.ledger.retiredPages.size, 0);
+    assert.deepEqual(await loadIndexedProgress(store), { done: 143, active: 101, machines: 101 });
   });
 
-  test('counts for less than a smaller entry, also where that says that less has been done', async () => {
-    const store = await storeWithKeptPage();
-    const blockState = await blockStateOf(store, small);
+  test('is superseded by smaller entries, also if these record less progress', async () => {
+    const store = await storeWithLegacyPage();
+    const blockState = await loadBlockState(store, compactLayout);
     const job = blockState.jobs.get(id);
-    // The machine of task 150 is gone before anything is laid out anew.
+    // The machine of task 150 is terminated before the first page is written in the new layout.
     for (const task of blockState.removeTerminated('vm-100')) assert.equal(task.phase, 'waiting');
     assert.equal(job?.activeCount, 91);
     for (const page of [...blockState.ledger.pages.values()].slice(0, 4)) {
       const value = ledgerPage(snapshotPage(page, Infinity, () => undefined).entries);
       await store.commit('duty', [], [{ put: ledgerKey(0, page.index), value }]);
     }
-    const next = await blockStateOf(store, small);
-    assert.equal(next.jobs.get(id)?.tasks.get(150)?.phase, 'waiting');
+    const reloaded = await loadBlockState(store, compactLayout);
+    assert.equal(reloaded.jobs.get(id)?.tasks.get(150)?.phase, 'waiting');
   });
 
-  test('whose entries are smaller than those of the settings keeps them small', async () => {
-    const store = await storeWithKeptPage();
+  test('keeps its chunk size if its entries are smaller than the settings require', async () => {
+    const store = await storeWithLegacyPage();
     const value = [[id, 0, 'red', 2, 0, 2, [3, 1], [], [], [0, 2], 10, ['vm-', 1]]];
     await store.commit('duty', [], [{ put: ledgerKey(0, 0), value }]);
-    const blockState = await blockStateOf(store, ledgerLayout(settings, false));
+    const blockState = await loadBlockState(store, ledgerLayout(settings, false));
     assert.equal(blockState.ledger.retiredPages.size, 0);
     const [chunk] = blockState.ledger.page(0).chunks;
     assert.deepEqual(chunk?.builder.buildEntry(0).entry.chunkTasks, 10);
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -1,4 +1,7 @@
-/** Writes the pages of a block's ledger: intents at once, what workers can tell again when there is room for it. */
+/**
+ * Writes the pages of a block's ledger to the store: intents immediately, and changes that workers would
+ * report again in their heartbeats later, when a transaction has space for them.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import { logDefect } from '../base/defects.js';
 import type { Log } from '../base/log.js';
@@ -14,18 +17,24 @@
 import type { LedgerPage, RetiredPage } from './ledger.js';
 import { type PageSnapshot, snapshotPage } from './page-snapshot.js';
 
-/** Gathering completions may cost at most so many changes of a controller's even share. */
-const minGatherChanges = 4;
-/** Likewise for each page of the ledger. */
-const gatherChangesPerPage = 1 / 2;
-/** Completions are gathered for this part of a heartbeat interval at least. */
-const minGatherHeartbeats = 1 / 8;
-/** One commit of a page places tasks of so many jobs at most: half of the conditions that a transaction can hold. */
-const jobsPerTransactionOp = 2;
-/** After a failed commit a page is left alone for this part of a heartbeat interval before it is read. */
-const retryHeartbeats = 1 / 4;
+/**
+ * Minimum delay of deferred writes, as the number of writes that a controller's equal share of the write rate
+ * admits in this time.
+ */
+const minDelayWrites = 4;
+/** The same for each page in use: with many pages, the delay admits this many writes for each of them. */
+const delayWritesPerPage = 1 / 2;
+/** Minimum delay of deferred writes, in heartbeat intervals. */
+const minDelayHeartbeats = 1 / 8;
+/**
+ * One commit of a page may place tasks of at most this many jobs for each write that a transaction can hold.
+ * This uses half of the conditions that a transaction can hold.
+ */
+const maxJobsPerTransactionOp = 2;
+/** Delay between a failed deletion of a retired page and the next read of it, in heartbeat intervals. */
+const retryDelayHeartbeats = 1 / 4;
 
-/** What the writer uses. */
+/** Dependencies of the ledger writer. */
 export interface LedgerWriterPorts {
   clock: Clock;
   log: Log;
@@ -33,50 +42,52 @@
   store: Pick<StoreClient, 'read' | 'failing' | 'writeWaitMs'>;
   commits: Pick<CommitQueue, 'commit' | 'full' | 'writableLength'>;
   blockState: BlockState;
-  /** Ends with the lease of the block. */
+  /** Aborted when the lease of the block ends. */
   signal: AbortSignal;
-  /** A page has been committed, or turned down: what changed meanwhile is to be written at once. */
+  /** Called after the commit of a page was applied or has failed; writes what changed during the commit. */
   onCommitSettled: () => void;
 }
 
-/** One commit of a page, with what its outcome has to be compared with. */
+/** One commit of a page, with the state at its start that is needed to process the outcome. */
 interface PageCommit {
   page: LedgerPage;
   key: string;
   snapshot: PageSnapshot;
-  /** The version of the block's record that the commit is conditioned on. */
+  /** The condition of the commit on the version of the block's record. */
   blockCondition: Condition;
-  /** Likewise for the jobs whose tasks it places. */
+  /** Versions of the records of the jobs whose tasks the commit places; conditions of the commit as well. */
   jobVersions: ReadonlyMap<JobState, number>;
-  /** The attempts that it confirms. */
+  /** Attempt number, at the start of the commit, of each task that the commit places. */
   attempts: ReadonlyMap<Task, number>;
 }
 
 /**
- * Keeps the pages in the store in step with the state of the block. Every commit is conditioned on the block's record and on
- * the page, so that only the owner of the block can make it, and on the records of the jobs whose tasks it places.
+ * Writes the changes of the block's state to the ledger pages in the store. Every commit is conditioned on
+ * the versions of the block's record and of the page, so that only the owner of the block can make it. It is
+ * also conditioned on the versions of the records of the jobs whose tasks it places.
  */
 export class LedgerWriter {
-  /** The version of the block's record that the store has turned down. */
+  /** The version of the block's record for which the store last reported a commit conflict. */
   private rejectedBlockVersion: number | undefined;
 
   constructor(private readonly ports: LedgerWriterPorts) {}
 
-  /** In how many ms pages that nothing waits for are worth another look. */
+  /** Time in ms after which the caller should check again whether deferred writes are due. */
   get nextCheckMs(): number {
-    return this.gatherTimeMs(this.ports.blockState.ledger.pagesInUse) / 2;
+    return this.deferredWriteDelayMs(this.ports.blockState.ledger.usedPageCount) / 2;
   }
 
   /**
-   * Only what can go out at once is gathered: the block's record changes often, and what waits for its turn has been
-   * turned down by then. Nor can anything be committed while the store knows the block under another version.
+   * Whether a commit can be sent without waiting for the rate limit. The block's record changes often, so a
+   * commit that waited would fail with a conflict. This is also false after a conflict on the block's record,
+   * until a newer version of the record has been read.
    */
   get canCommit(): boolean {
     const { blockState, store } = this.ports;
     return blockState.version !== this.rejectedBlockVersion && store.writeWaitMs('duty') === 0;
   }
 
-  /** Starts the commits of pages that are due; to be called only while `canCommit`. */
+  /** Starts the commits of all pages that are due. May be called only while `canCommit` is true. */
   writePages(): void {
     const { blockState, commits } = this.ports;
     const pages = [...blockState.ledger.pages.values()].filter((page) => !page.isCommitting);
@@ -85,48 +96,53 @@
       if (page.writeUrgency === 'immediate') page.commit = this.commitPage(page);
     }
     this.writeDeferredPages(pages);
-    if (commits.writableLength === 0) this.dropRetiredPages();
+    if (commits.writableLength === 0) this.deleteRetiredPages();
   }
 
   /**
-   * How long completions are gathered before a page is written for their sake alone. Where the store takes few changes, or
-   * the pages are many, these must not keep intents waiting.
+   * Time in ms for which completions are collected before a page is written only to record them. If the store
+   * admits few writes, or the ledger has many pages, these deferred writes must not delay the commits of
+   * intents.
    */
-  private gatherTimeMs(pages: number): number {
+  private deferredWriteDelayMs(pageCount: number): number {
     const { heartbeatIntervalMs, controllers, state } = this.ports.settings;
-    const changes = Math.max(minGatherChanges, pages * gatherChangesPerPage);
-    const changesMs = (changes * controllers * 1000) / state.writeRps;
-    return Math.max(heartbeatIntervalMs * minGatherHeartbeats, changesMs);
+    const delayWrites = Math.max(minDelayWrites, pageCount * delayWritesPerPage);
+    const writesMs = (delayWrites * controllers * 1000) / state.writeRps;
+    return Math.max(heartbeatIntervalMs * minDelayHeartbeats, writesMs);
   }
 
-  /** They fill up the next transaction: behind more of them, what becomes urgent would wait. */
+  /**
+   * Writes at most as many deferred pages as fit into the next transaction: more of them would delay pages
+   * that become urgent afterwards.
+   */
   private writeDeferredPages(pages: LedgerPage[]): void {
     const { blockState, commits, clock, settings } = this.ports;
-    const gatherMs = this.gatherTimeMs(blockState.ledger.pagesInUse);
+    const delayMs = this.deferredWriteDelayMs(blockState.ledger.usedPageCount);
     const now = clock();
-    const due = pages
-      .filter((page) => page.writeUrgency === 'deferred' && now - page.dirtySince > gatherMs)
+    const duePages = pages
+      .filter((page) => page.writeUrgency === 'deferred' && now - page.dirtySince > delayMs)
       .sort((a, b) => a.dirtySince - b.dirtySince);
-    const room = Math.max(0, settings.state.txnOps - commits.writableLength);
-    for (const page of due.slice(0, room)) page.commit = this.commitPage(page);
+    const freeWrites = Math.max(0, settings.state.txnOps - commits.writableLength);
+    for (const page of duePages.slice(0, freeWrites)) page.commit = this.commitPage(page);
   }
 
-  private dropRetiredPages(): void {
-    for (const page of this.ports.blockState.ledger.removablePages()) void this.dropRetiredPage(page);
+  private deleteRetiredPages(): void {
+    for (const page of this.ports.blockState.ledger.deletableRetiredPages())
+      void this.deleteRetiredPage(page);
   }
 
-  private async dropRetiredPage(page: RetiredPage): Promise<void> {
+  private async deleteRetiredPage(page: RetiredPage): Promise<void> {
     const { blockState, commits, settings, signal, log } = this.ports;
     const key = ledgerKey(blockState.block, page.index);
     try {
-      page.isDropping = true;
+      page.isBeingDeleted = true;
       const conditions = [this.blockCondition, { key, version: page.version }];
       const outcome = await commits.commit(conditions, [{ drop: key }]);
       if (outcome.kind === 'applied') {
         blockState.ledger.retiredPages.delete(page.index);
         return;
       }
-      await sleep(settings.heartbeatIntervalMs * retryHeartbeats, signal);
+      await sleep(settings.heartbeatIntervalMs * retryDelayHeartbeats, signal);
       await this.refreshRetiredPage(page, key);
     } catch (error) {
       logDefect(log, 'removal of a ledger page', error);
@@ -143,7 +159,7 @@
     } catch (error) {
       this.logReadFailure(key, error);
     } finally {
-      page.isDropping = false;
+      page.isBeingDeleted = false;
     }
   }
 
@@ -152,7 +168,7 @@
     return { key: blockKey(block), version };
   }
 
-  /** Intent before action: only what this commit has confirmed may be sent to a machine. */
+  /** Commits a page. Only after this commit has confirmed an intent may the start be sent to the machine. */
   private async commitPage(page: LedgerPage): Promise<void> {
     const { commits, blockState, signal, store, log, onCommitSettled } = this.ports;
     try {
@@ -167,7 +183,7 @@
       page.isCommitting = false;
       if (outcome.kind === 'applied') this.confirmCommit(commit, outcome.revision);
       else await this.recoverFromFailedCommit(commit, outcome);
-      // What became dirty meanwhile goes at once.
+      // Pages that became dirty during the commit are written immediately.
       if (!signal.aborted && !store.failing) onCommitSettled();
     } catch (error) {
       logDefect(log, 'commit of a ledger page', error);
@@ -180,7 +196,7 @@
     const { blockCondition } = this;
     page.isCommitting = true;
     page.writeUrgency = undefined;
-    const maxJobs = settings.state.txnOps * jobsPerTransactionOp;
+    const maxJobs = settings.state.txnOps * maxJobsPerTransactionOp;
     const unassign = (task: Task): void => blockState.unassign(task);
     const snapshot = snapshotPage(page, maxJobs, unassign, blockState.ledger.pageBytes);
     return {
@@ -193,19 +209,26 @@
     };
   }
 
-  /** A job's record goes with its end, so its version says that the job is open, and placed as we know it. */
+  /**
+   * Conditions of the commit. The record of a job is deleted when the job ends, so a condition on its version
+   * guarantees that the job is open and that its tasks are still assigned to blocks as this controller has
+   * read it.
+   */
   private conditionsOf({ page, key, blockCondition, jobVersions }: PageCommit): Condition[] {
     const openJobs = [...jobVersions].map(([job, version]) => ({ key: jobKey(job.id), version }));
     return [blockCondition, { key, version: page.version }, ...openJobs];
   }
 
-  /** Too large for a value: it is written once enough of its tasks are done. */
+  /** Postpones the commit of a page that is too large: it is written after enough of its tasks are done. */
   private postponePage(page: LedgerPage): void {
     const { clock, log } = this.ports;
     page.discardBuiltEntries();
     page.isCommitting = false;
     page.markDirty('deferred', clock());
-    log.info({ event: 'page-postponed', page: page.index }, 'a page of the ledger is too large for now');
+    log.info(
+      { event: 'page-postponed', page: page.index },
+      'ledger page exceeds its maximum size; it will be written after more of its tasks are done',
+    );
   }
 
   private confirmCommit({ page, snapshot, attempts }: PageCommit, revision: number): void {
@@ -213,7 +236,8 @@
     page.version = revision;
     blockState.ledger.markWritten(snapshot.chunks);
     for (const task of snapshot.placing) {
-      // Its machine may have gone meanwhile, and another been chosen, which this commit knows nothing of.
+      // The machine may have been removed during the commit and another one chosen. This commit does not
+      // cover that attempt.
       if (task.phase !== 'placing' || task.attempt !== attempts.get(task)) continue;
       task.phase = 'placed';
       blockState.machineOf(task)?.sendHeldResponse?.();
@@ -233,27 +257,36 @@
     await this.refreshPageVersion(commit, outcome);
   }
 
-  /** Their jobs have ended, or the leader has dispatched them anew. Nothing of these intents was sent to anybody. */
+  /**
+   * Withdraws the intents of jobs whose records have changed: the job has ended, or the leader has dispatched
+   * its tasks again. No start of these intents was sent to a worker.
+   */
   private withdrawRejectedIntents({ snapshot, jobVersions }: PageCommit, failedKeys: string[]): void {
     for (const task of snapshot.placing) {
       const { job } = task;
       if (!failedKeys.includes(jobKey(job.id))) continue;
-      // The version that was turned down: its successor may be known here by now.
+      // Stores the version that had the conflict, not the current one: a newer version may have been read
+      // already.
       job.rejectedVersion = jobVersions.get(job);
       if (task.phase === 'placing') this.ports.blockState.unassign(task);
     }
   }
 
   /**
-   * After a commit that failed or whose fate is unknown. Only this owner writes the page while the block is ours, so
-   * whatever version it has now came from one of our own commits, and the next one is built on it. An older one that
-   * is still on its way is conditioned on a version that is gone by then.
+   * Updates the version of the page after a commit that had a conflict on the page or whose outcome is
+   * unknown. After a malformed commit, waits for one heartbeat interval instead. While this controller owns
+   * the block, only this controller writes the page. So the version in the store is from one of its own
+   * commits, and the next commit is conditioned on it. An earlier commit that is still in transit then fails,
+   * since it is conditioned on an older version.
    */
   private async refreshPageVersion({ page, key }: PageCommit, outcome: CommitOutcome): Promise<void> {
     const { signal, log, settings } = this.ports;
     if (signal.aborted || outcome.kind === 'refused') return;
     if (outcome.kind === 'malformed') {
-      log.error({ event: 'page-refused', key }, 'the state service calls a page malformed');
+      log.error(
+        { event: 'page-refused', key },
+        'state service rejected a ledger page as malformed; retrying after one heartbeat interval',
+      );
       page.isCommitting = true;
       await sleep(settings.heartbeatIntervalMs, signal);
       page.isCommitting = false;
@@ -275,6 +308,9 @@
   }
 
   private logReadFailure(key: string, error: unknown): void {
-    this.ports.log.debug({ event: 'page-read-failed', key, err: error }, 'page not read');
+    this.ports.log.debug(
+      { event: 'page-read-failed', key, err: error },
+      'could not read a ledger page; its last known version is kept',
+    );
   }
 }
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -1,130 +1,148 @@
-/** The pages in which the owner of a block records, in the store, what it has started. */
+/** The ledger of a block: pages in the store in which the block's owner records the tasks it has started. */
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
 import type { RecordingPage, WriteUrgency } from './task-recorder.js';
 
-/** An entry, and the completed tasks that it names one by one. */
+/** A ledger entry together with the indices of the completed tasks that it records. */
 export interface BuiltEntry {
   entry: LedgerEntry;
   done: number[];
 }
 
-/** Builds the entries of a job from its state. */
+/** Builds the ledger entries of one job from the state of the job. */
 export interface EntryBuilder {
   readonly job: JobState;
   buildEntry(chunk: number): BuiltEntry;
   placingTasksOf(chunk: number): Task[];
 }
 
-/** Consecutive tasks of a job that share an entry of the ledger. */
+/** A range of consecutive tasks of a job that is recorded in one ledger entry. */
 export interface Chunk {
   readonly builder: EntryBuilder;
-  /** Number of the chunk within its job, from 0. */
+  /** Number of the chunk within its job, counted from 0. */
   readonly index: number;
   readonly page: LedgerPage;
-  /** Room that the page keeps for its entry. */
+  /** Bytes of the page that are reserved for the entry of this chunk. */
   readonly reservedBytes: number;
-  /** Its entry as last built, while nothing of it has changed since. */
+  /** The entry as it was last built; undefined if a task of the chunk has changed since. */
   entry: LedgerEntry | undefined;
-  /** What that entry takes. */
+  /** Size of the last built entry, in bytes. */
   entryBytes: number;
-  /** Tasks that the entry names and that are being placed. */
+  /** Tasks in phase `placing` that the last built entry contains. */
   placing: Task[];
-  /** Tasks that the entry has as done and that are not known to be committed. */
+  /**
+   * Indices of the tasks that the last built entry records as done; empty once a snapshot for a commit
+   * includes them.
+   */
   done: number[];
 }
 
-/** One value of the store, with entries of several jobs. */
+/** One page of a ledger: a single value of the store that holds entries of several jobs. */
 export class LedgerPage implements RecordingPage {
-  /** Its version in the store; 0 while it is not there. */
+  /** Version of the page in the store; 0 if the store does not contain the page. */
   version = 0;
-  /** Undefined: the page has nothing to write. */
+  /** How soon the page has to be written; undefined if it has no unwritten changes. */
   writeUrgency: WriteUrgency | undefined;
-  /** Steady time in ms since when it has had something to write. */
+  /** Steady time in ms since which the page has had unwritten changes. */
   dirtySince = 0;
-  /** The page is being written, or its version in the store is being found out: no other commit may begin. */
+  /**
+   * True while a commit of the page is in progress or its version is being read: no other commit may start.
+   */
   isCommitting = false;
-  /** Settles with the last commit that was started. */
+  /** Settles when the most recently started commit of the page is finished. */
   commit: Promise<void> = Promise.resolve();
-  /** Room that is set aside for the entries of its chunks. */
+  /** Sum of the bytes reserved for the entries of the chunks on this page. */
   reservedBytes = 0;
   readonly chunks = new Set<Chunk>();
 
   constructor(readonly index: number) {}
 
-  /** Has the page written; the more pressing of two urgencies counts. */
+  /** Schedules the page to be written. Of two urgencies the higher one applies. */
   markDirty(urgency: WriteUrgency, now: number): void {
     if (this.writeUrgency === undefined) this.dirtySince = now;
     if (this.writeUrgency !== 'immediate') this.writeUrgency = urgency;
   }
 
-  /** Gives the room of the chunk back; the page still has to be written without it. */
+  /** Removes the chunk and frees its reserved bytes. The caller has to mark the page dirty. */
   removeChunk(chunk: Chunk): void {
     if (this.chunks.delete(chunk)) this.reservedBytes -= chunk.reservedBytes;
   }
 
-  /** Has all entries built anew for the next commit. */
+  /** Discards all built entries, so that the next commit rebuilds each of them. */
   discardBuiltEntries(): void {
     for (const chunk of this.chunks) chunk.entry = undefined;
   }
 }
 
-/** A stored page with entries of another size, which is dropped once smaller entries record all that it says. */
+/**
+ * A stored page whose entries have another chunk size than the current layout. It is deleted from the store
+ * after smaller entries on other pages record all of its tasks.
+ */
 export interface RetiredPage {
   readonly index: number;
-  /** Its version in the store. */
+  /** Version of the page in the store. */
   version: number;
-  /** Chunks that have yet to be written elsewhere. */
+  /** Chunks with tasks of this page that have not been written to another page yet. */
   readonly unwrittenChunks: Set<Chunk>;
-  isDropping: boolean;
+  /** True while the deletion of the page is in progress. */
+  isBeingDeleted: boolean;
 }
 
 /**
- * The ledger of one block. A chunk gets its place when it first has anything to record and keeps it, with room for the most
- * that it can grow to: a page never outgrows a value of the store.
+ * The ledger of one block. A chunk is assigned to a page when it first has something to record, and stays on
+ * that page. The page reserves bytes for the growth of the chunk's entry, so that the page does not exceed
+ * the size of a value in the store.
  */
 export class Ledger {
   readonly pages = new Map<number, LedgerPage>();
   readonly retiredPages = new Map<number, RetiredPage>();
 
-  /** `pageBytes`: the most that a page may take in the store. */
+  /** @param pageBytes maximum size of a page in the store, in bytes */
   constructor(readonly pageBytes: number) {}
 
-  /** Something waits for a commit that has not begun. */
+  /** True if some page has an immediate write for which no commit has been started. */
   get hasUrgentWrites(): boolean {
     for (const page of this.pages.values())
       if (page.writeUrgency === 'immediate' && !page.isCommitting) return true;
     return false;
   }
 
-  /** Something has yet to be written. */
+  /** True if some page has unwritten changes. */
   get hasUnwrittenChanges(): boolean {
     for (const page of this.pages.values()) if (page.writeUrgency !== undefined) return true;
     return false;
   }
 
-  /** How many pages have entries. */
-  get pagesInUse(): number {
+  /** Number of pages that have at least one chunk. */
+  get usedPageCount(): number {
     let count = 0;
     for (const page of this.pages.values()) if (page.chunks.size > 0) count++;
     return count;
   }
 
-  /** The page with this number, which is made if there is none. */
+  /** Returns the page with this number; creates it if it does not exist. */
   page(index: number): LedgerPage {
     let page = this.pages.get(index);
     if (!page) this.pages.set(index, (page = new LedgerPage(index)));
     return page;
   }
 
-  /** Keeps a stored page whose entries are of another size until they are recorded elsewhere. */
+  /** Retires a stored page with another chunk size: it is kept until other pages record its tasks. */
   retirePage(index: number, version: number): void {
-    this.retiredPages.set(index, { index, version, unwrittenChunks: new Set(), isDropping: false });
+    this.retiredPages.set(index, { index, version, unwrittenChunks: new Set(), isBeingDeleted: false });
   }
 
-  /** `reservedBytes`: the most that its entry may take; `storedPage`: where the store has it already. */
+  /**
+   * Assigns a chunk to a page and reserves space for its entry.
+   *
+   * @param builder builds the entry of the chunk
+   * @param index number of the chunk within its job
+   * @param reservedBytes bytes to reserve for the entry of the chunk
+   * @param storedPage the page on which the store already has the chunk; by default the first page with
+   *   enough space
+   */
   addChunk(builder: EntryBuilder, index: number, reservedBytes: number, storedPage?: LedgerPage): Chunk {
-    const page = storedPage ?? this.pageWithRoom(reservedBytes);
+    const page = storedPage ?? this.pageWithSpaceFor(reservedBytes);
     const chunk: Chunk = {
       builder,
       index,
@@ -140,14 +158,14 @@
     return chunk;
   }
 
-  private pageWithRoom(bytes: number): LedgerPage {
+  private pageWithSpaceFor(bytes: number): LedgerPage {
     for (const page of this.pages.values()) if (page.reservedBytes + bytes <= this.pageBytes) return page;
     let index = 0;
     while (this.pages.has(index) || this.retiredPages.has(index)) index++;
     return this.page(index);
   }
 
-  /** Notes that the chunks stand in the store, or need no record any more. */
+  /** Marks the chunks as recorded in the store, or as no longer needing a record. */
   markWritten(chunks: Iterable<Chunk>): void {
     if (this.retiredPages.size === 0) return;
     for (const chunk of chunks) {
@@ -155,10 +173,12 @@
     }
   }
 
-  /** Retired pages that say nothing which is not recorded elsewhere in the store. */
-  removablePages(): RetiredPage[] {
+  /**
+   * Retired pages whose tasks are all stored on other pages, without pages that are already being deleted.
+   */
+  deletableRetiredPages(): RetiredPage[] {
     return [...this.retiredPages.values()].filter(
-      ({ unwrittenChunks, isDropping }) => unwrittenChunks.size === 0 && !isDropping,
+      ({ unwrittenChunks, isBeingDeleted }) => unwrittenChunks.size === 0 && !isBeingDeleted,
     );
   }
 }
--- a/src/placement/page-snapshot.ts
+++ b/src/placement/page-snapshot.ts
@@ -1,24 +1,34 @@
-/** A page of the ledger as one commit is to write it. */
+/** Builds the content of a ledger page for one commit. */
 import { type LedgerEntry, writtenBytes } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
 import type { Chunk, LedgerPage } from './ledger.js';
 
-/** What a commit of a page writes, and what it decides if it is applied. */
+/**
+ * The content that a commit writes to a page, and the task changes that take effect if the commit is applied.
+ */
 export interface PageSnapshot {
   chunks: Chunk[];
   entries: LedgerEntry[];
-  /** What the entries take at the most: measuring them each time would cost more than writing them. */
+  /**
+   * Upper bound of the size of the entries: measuring them for each commit would cost more than writing them.
+   */
   bytes: number;
-  /** Tasks that turn from placing to placed. */
+  /** Tasks whose phase changes from `placing` to `placed` if the commit is applied. */
   placing: Task[];
-  /** Tasks that are committed as done. */
+  /** Tasks that the commit records as done, by job. */
   done: { job: JobState; indices: number[] }[];
 }
 
 /**
- * The page as it should stand in the store. A commit can be conditioned on so many jobs only, and a page holds so many bytes:
- * tasks that are being placed beyond that are handed to `unassign`, to be placed again. What is on machines takes more room
- * than what is done, so without tasks that are being placed the result may still have more than `maxBytes` for a while.
+ * Returns the content of the page for the next commit. A commit can be conditioned on a limited number of
+ * jobs, and a page has a maximum size. Tasks in phase `placing` that exceed one of these limits are passed to
+ * `unassign`, so that they are placed again later. A task on a machine needs more space than a done task. So
+ * the result can temporarily exceed `maxBytes` even without tasks in phase `placing`.
+ *
+ * @param page the page to write
+ * @param maxJobs maximum number of jobs whose tasks the commit may place
+ * @param unassign makes a task wait again
+ * @param maxBytes maximum size of the page in bytes
  */
 export function snapshotPage(
   page: LedgerPage,
@@ -34,7 +44,7 @@
 function limitJobs(page: LedgerPage, maxJobs: number, unassign: (task: Task) => void): void {
   const jobs = new Set<JobState>();
   for (const chunk of page.chunks) {
-    rebuildEntry(chunk);
+    rebuildEntryIfChanged(chunk);
     if (chunk.placing.length === 0) continue;
     const { job } = chunk.builder;
     if (jobs.has(job) || jobs.size < maxJobs) jobs.add(job);
@@ -42,7 +52,10 @@
   }
 }
 
-/** Returns what the entries take then. */
+/**
+ * Unassigns the `placing` tasks of chunks, beginning with the last chunk, until the entries fit into
+ * `maxBytes`. Returns the resulting size in bytes.
+ */
 function limitBytes(page: LedgerPage, maxBytes: number, unassign: (task: Task) => void): number {
   let bytes = 0;
   for (const { entryBytes } of page.chunks) bytes += entryBytes;
@@ -55,8 +68,8 @@
   return bytes;
 }
 
-/** Builds the entry anew if any of its tasks has changed. */
-function rebuildEntry(chunk: Chunk): void {
+/** Rebuilds the entry of the chunk if one of its tasks has changed. */
+function rebuildEntryIfChanged(chunk: Chunk): void {
   if (chunk.entry) return;
   const { entry, done } = chunk.builder.buildEntry(chunk.index);
   chunk.entry = entry;
@@ -67,7 +80,7 @@
 
 function unassignPlacingTasks(chunk: Chunk, unassign: (task: Task) => void): void {
   for (const task of chunk.placing) unassign(task);
-  rebuildEntry(chunk);
+  rebuildEntryIfChanged(chunk);
 }
 
 function assembleSnapshot(page: LedgerPage, bytes: number): PageSnapshot {
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -1,4 +1,7 @@
-/** What a worker's heartbeat proves about its machine and tasks, and which commands follow from it. */
+/**
+ * Compares a worker's heartbeat with the intended tasks of its machine, and derives findings and commands
+ * from it.
+ */
 import {
   type Heartbeat,
   type ReportedTask,
@@ -9,39 +12,46 @@
 import type { JobState, Task } from './job-state.js';
 import type { MachineState } from './machine-state.js';
 
-/** Something that a heartbeat proves: none of it rests on a timer. */
+/**
+ * A fact about a task that a heartbeat proves; no finding depends on a timer. `completed`: some attempt of
+ * the task has completed. `left`: the attempt has ended without completing, or is not on the machine. `seen`:
+ * the attempt is on the machine.
+ */
 export type Finding =
   | { kind: 'completed'; job: JobState; index: number }
   | { kind: 'left'; task: Task; cause: string }
   | { kind: 'seen'; task: Task; running: boolean };
 
 /**
- * `stale`: a later heartbeat is known. `outranked`: the worker has seen a higher fencing token than ours. `unreconciled`: it
- * has yet to see ours. Only what a `reconciled` heartbeat says of tasks counts.
+ * How a heartbeat is classified. `stale`: a later heartbeat of the worker has been processed. `outranked`:
+ * the worker has received a higher fencing token than the machine's present one. `unreconciled`: the worker
+ * has not received the present fencing token yet. `reconciled`: the worker has received it. The reported
+ * tasks are used only in a `reconciled` heartbeat.
  */
 export type Verdict = 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
 
-/** What comes of a heartbeat. */
+/** The result of processing a heartbeat. */
 export interface Reconciliation {
   verdict: Verdict;
   findings: Finding[];
   commands: WorkerCommand[];
 }
 
-/** What else decides which commands follow. */
+/** The state, other than that of the machine, that determines the commands for the worker. */
 export interface ReconciliationInputs {
   /** Steady time in ms. */
   now: number;
+  /** The jobs of the block, by job id. */
   jobs: ReadonlyMap<string, JobState>;
-  /** False while nothing may be started, for instance without the state service. */
+  /** False while no task may be started, for example without contact to the state service. */
   mayStart: boolean;
 }
 
 const noResources: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
 
 /**
- * Brings the machine, its orphaned tasks among it, in line with the heartbeat. What this means for tasks is returned as
- * findings, for the caller to apply.
+ * Updates the state of the machine, including its orphaned tasks, from the heartbeat. The consequences for
+ * tasks are not applied but returned as findings, which the caller has to apply.
  */
 export function reconcile(
   machine: MachineState,
@@ -63,10 +73,13 @@
   return result;
 }
 
-/** Takes over what the heartbeat says of the machine itself, unless it is history or the machine is another owner's. */
+/**
+ * Updates the attributes of the machine from the heartbeat. Changes nothing if the heartbeat is stale, or if
+ * the worker has received a higher fencing token because another controller owns the machine.
+ */
 function acceptHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): Verdict {
   if (heartbeat.fencingToken > machine.fencingToken) return 'outranked';
-  // Held back by a network partition and overtaken by a later one: its task list is history.
+  // A network partition delayed this heartbeat and a later one arrived first: its task list is out of date.
   if (!isNewer(heartbeat, machine)) return 'stale';
   machine.agentEpoch = heartbeat.agentEpoch;
   machine.sequence = heartbeat.sequence;
@@ -75,7 +88,7 @@
   machine.hasSentHeartbeat = true;
   machine.address = heartbeat.address;
   machine.preemptionNoticeS = heartbeat.preemptionNoticeS;
-  // Until it has seen our token, a command of an earlier owner may still reach it.
+  // Until the worker has received the present token, it may still accept a command of an earlier owner.
   machine.reconciled = heartbeat.fencingToken === machine.fencingToken;
   return machine.reconciled ? 'reconciled' : 'unreconciled';
 }
@@ -86,7 +99,7 @@
   );
 }
 
-/** A worker may report several attempts of a task. */
+/** Groups the reported attempts by task: a worker may report several attempts of the same task. */
 function groupByTask(reported: ReportedTask[]): Map<string, ReportedTask[]> {
   const byTask = new Map<string, ReportedTask[]>();
   for (const task of reported) {
@@ -96,7 +109,7 @@
   return byTask;
 }
 
-/** Compares a task that the machine has or should have with what is reported of it. */
+/** Compares a task that is intended to be on the machine with the reported attempts of this task. */
 function reconcileIntent(
   task: Task,
   reported: ReportedTask[],
@@ -110,7 +123,7 @@
 
 function reconcileReportedAttempt(task: Task, reported: ReportedTask, result: Reconciliation): void {
   if (reported.state === 'ended') {
-    // A completion is found with the reported tasks, whichever attempt it is of.
+    // `reconcileEndedTask` handles completions, for all attempts of the task.
     if (reported.cause !== 'done') result.findings.push({ kind: 'left', task, cause: reported.cause });
     return;
   }
@@ -122,8 +135,9 @@
 }
 
 /**
- * A reconciled heartbeat without the task proves that it is not there: a start travels only in the response to a heartbeat,
- * and the worker has settled that response before it sends the next one.
+ * Handles a task whose present attempt is missing in the heartbeat. A start command is sent only in the
+ * response to a heartbeat, and the worker finishes processing this response before it sends the next
+ * heartbeat. So a reconciled heartbeat without the attempt proves that the attempt is not on the machine.
  */
 function reconcileMissingAttempt(
   task: Task,
@@ -140,7 +154,7 @@
   if (mayStart && !hasEarlierAttempt) result.commands.push({ kind: 'start', job: job.id, index, attempt });
 }
 
-/** Compares a task that the machine reports with what it should have. */
+/** Compares a reported task attempt with the tasks that are intended to be on the machine. */
 function reconcileReportedTask(
   machine: MachineState,
   reported: ReportedTask,
@@ -172,7 +186,8 @@
 ): void {
   const isOpen = job !== undefined && job.outcome === undefined;
   if (isOpen && cause === 'done' && !job.isDoneCommitted(index)) {
-    // Whichever attempt completed it, the task is complete; the worker keeps it until that is committed.
+    // The task is complete whichever attempt completed it. The worker keeps the attempt until the completion
+    // is committed.
     if (!job.isDone(index)) result.findings.push({ kind: 'completed', job, index });
     return;
   }
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -1,4 +1,4 @@
-/** A block's ledger as the replica of the store has it. */
+/** Reads the ledger of a block from the controller's replica of the store. */
 import { groupBy } from '../base/group-by.js';
 import type { Mirror } from '../store/mirror.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
@@ -7,33 +7,34 @@
 import type { LedgerLayout } from './ledger-layout.js';
 import { chunkTasksOf, withoutSuperseded } from './superseded-entries.js';
 
-/** A page of the ledger. */
+/** A page of the ledger as the replica of the store contains it. */
 export interface StoredPage {
+  /** Number of the page within the ledger of the block. */
   index: number;
-  /** Its version in the store. */
+  /** Version of the page in the store. */
   version: number;
   entries: LedgerEntry[];
 }
 
-/** An entry, and the page that holds it. */
+/** A ledger entry and the page that contains it. */
 export interface StoredEntry {
   entry: LedgerEntry;
   page: StoredPage;
 }
 
-/** The pages of one block's ledger. */
+/** Returns the pages of the ledger of one block. */
 export function storedPages(mirror: Pick<Mirror, 'entriesWithPrefix'>, block: number): StoredPage[] {
   const pages: StoredPage[] = [];
   for (const [key, { value, version }] of mirror.entriesWithPrefix(ledgerPrefix(block))) {
-    const place = parseLedgerKey(key);
-    if (place) pages.push({ index: place.page, version, entries: parseLedgerPage(value) });
+    const parsedKey = parseLedgerKey(key);
+    if (parsedKey) pages.push({ index: parsedKey.page, version, entries: parseLedgerPage(value) });
   }
   return pages;
 }
 
 /**
- * Has the ledger go on with the stored pages. Those with entries of another size are retired: their tasks are to be recorded
- * anew in entries of this layout.
+ * Adds the stored pages to the ledger. A page that contains an entry with another chunk size than the layout
+ * is retired: its tasks have to be recorded again in entries of this layout.
  */
 export function addStoredPages(ledger: Ledger, pages: StoredPage[], layout: LedgerLayout): void {
   const chunkTasks = layout.isLegacy ? Infinity : layout.chunkTasks;
@@ -43,13 +44,13 @@
   }
 }
 
-/** The entries of all pages, without the tasks that smaller entries cover. */
+/** Yields the entries of all pages, without the tasks that entries with a smaller chunk size cover. */
 export function* newestEntries(pages: StoredPage[]): Iterable<StoredEntry> {
   const stored = pages.flatMap((page) => page.entries.map((entry) => ({ entry, page })));
-  for (const ofJob of groupBy(stored, ({ entry }) => entry.id).values()) {
-    const pageOf = new Map(ofJob.map(({ entry, page }) => [chunkKey(entry), page]));
-    for (const entry of withoutSuperseded(ofJob.map((one) => one.entry))) {
-      const page = pageOf.get(chunkKey(entry));
+  for (const jobEntries of groupBy(stored, ({ entry }) => entry.id).values()) {
+    const pageByChunk = new Map(jobEntries.map(({ entry, page }) => [chunkKey(entry), page]));
+    for (const entry of withoutSuperseded(jobEntries.map((storedEntry) => storedEntry.entry))) {
+      const page = pageByChunk.get(chunkKey(entry));
       if (page) yield { entry, page };
     }
   }
@@ -60,12 +61,13 @@
 }
 
 /**
- * The layout, with chunks as small as the smallest stored ones. Entries are never made larger: a larger one would count for
- * less than the smaller ones that it replaces.
+ * Returns the layout with its chunk size reduced to that of the smallest stored chunk, if that is smaller.
+ * The chunk size never increases: the smaller stored entries would supersede the larger entries that were
+ * written to replace them.
  */
 export function keepStoredChunkSize(layout: LedgerLayout, pages: StoredPage[]): LedgerLayout {
   const sizes = pages.flatMap(({ entries }) => entries.map(chunkTasksOf));
-  const smallest = sizes.reduce((min, size) => Math.min(min, size), Infinity);
-  const wanted = layout.isLegacy ? Infinity : layout.chunkTasks;
-  return smallest < wanted ? { ...layout, chunkTasks: smallest, isLegacy: false } : layout;
+  const smallestStored = sizes.reduce((min, size) => Math.min(min, size), Infinity);
+  const configured = layout.isLegacy ? Infinity : layout.chunkTasks;
+  return smallestStored < configured ? { ...layout, chunkTasks: smallestStored, isLegacy: false } : layout;
 }
--- a/src/placement/superseded-entries.ts
+++ b/src/placement/superseded-entries.ts
@@ -1,20 +1,25 @@
-/** Entries of different sizes that cover the same tasks. */
+/** Resolves overlaps between ledger entries of different chunk sizes that cover the same tasks. */
 import { fromRanges, toRanges } from '../base/ranges.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 
+/** Task indices from `first` up to, but not including, `end`. */
 interface IndexInterval {
   first: number;
   end: number;
 }
 
-/** How many tasks the entry covers; entries of earlier versions, which do not say so, count as the largest. */
+/**
+ * Number of tasks that the entry covers; Infinity for entries of earlier versions, which do not contain this
+ * number.
+ */
 export function chunkTasksOf({ chunkTasks }: Pick<LedgerEntry, 'chunkTasks'>): number {
   return chunkTasks ?? Infinity;
 }
 
 /**
- * The entries of one job in one block, without the tasks that smaller entries cover: a ledger is moved to smaller entries one
- * by one, and each smaller entry says all there is to know of its tasks.
+ * Returns the entries of one job in one block, without the tasks that entries with a smaller chunk size
+ * cover. A ledger is converted to smaller entries one entry at a time, and each smaller entry contains the
+ * complete state of its tasks.
  */
 export function withoutSuperseded<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
@@ -23,9 +28,9 @@
   const newest: E[] = [];
   const covered: IndexInterval[] = [];
   for (const size of sizes) {
-    const ofSize = all.filter((entry) => chunkTasksOf(entry) === size);
-    newest.push(...ofSize.map((entry) => withoutTasksIn(entry, covered)));
-    covered.push(...ofSize.map(({ chunk }) => ({ first: chunk * size, end: (chunk + 1) * size })));
+    const sameSizeEntries = all.filter((entry) => chunkTasksOf(entry) === size);
+    newest.push(...sameSizeEntries.map((entry) => withoutTasksIn(entry, covered)));
+    covered.push(...sameSizeEntries.map(({ chunk }) => ({ first: chunk * size, end: (chunk + 1) * size })));
   }
   return newest;
 }
