--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -1,24 +1,26 @@
-/** Classes of jobs that miss their objectives. */
+/** Reports classes of jobs that miss their objectives. */
 import type { Objective } from '../settings/settings.js';
 import type { QueuedJob } from './queue-order.js';
 
-/** An objective that more of a class's open jobs have missed than it allows. */
+/** An objective of a job class that more open jobs have missed than the objective allows. */
 export interface LateClass {
   jobClass: string;
-  /** Kind and measure of the objective, for people to read. */
+  /** Kind and limit of the objective in readable form, for the log. */
   objective: string;
-  /** How many jobs of the class are open. */
+  /** Number of open jobs of the class. */
   open: number;
-  /** How many of them have missed the objective. */
+  /** Number of these jobs that have missed the objective. */
   late: number;
 }
 
-/** Shares are decimals, so what they allow may differ in its last bits. */
+/**
+ * Shares are decimal fractions, so the number of jobs that they allow to be late may have a rounding error.
+ */
 const shareTolerance = 1e-6;
 
 /**
- * The classes that miss their objectives at `now`, the time of day in ms: people on call are to hear of it before users
- * complain.
+ * Returns the classes that miss their objectives at `now`, the time of day in ms. Their purpose is to alert
+ * people on call before users complain.
  */
 export function lateClasses(
   objectives: Iterable<Objective>,
@@ -27,8 +29,8 @@
 ): LateClass[] {
   const byClass = new Map<string, QueuedJob[]>();
   for (const job of jobs) {
-    const known = byClass.get(job.spec.jobClass);
-    if (known) known.push(job);
+    const classJobs = byClass.get(job.spec.jobClass);
+    if (classJobs) classJobs.push(job);
     else byClass.set(job.spec.jobClass, [job]);
   }
   const result: LateClass[] = [];
--- a/src/placement/queue-order.test.ts
+++ b/src/placement/queue-order.test.ts
@@ -10,7 +10,12 @@
   { kind: 'deadline', jobClass: 'due', share: 0.9, withinS: undefined, times: 1 },
 ];
 
-function queued(id: string, waiting: number, acceptedS: number, change: Partial<JobSpec> = {}): QueuedJob {
+function queuedJob(
+  id: string,
+  waiting: number,
+  acceptedS: number,
+  overrides: Partial<JobSpec> = {},
+): QueuedJob {
   const spec = {
     id,
     jobClass: 'quick',
@@ -19,7 +24,7 @@
     estimatedRunS: 10,
     deadlineS: null,
     acceptedAt: acceptedS * 1000,
-    ...change,
+    ...overrides,
   } as JobSpec;
   return { spec, dependencyFacts: withoutDependencies(spec), waiting, started: false };
 }
@@ -28,52 +33,58 @@
   return new QueueOrder(objectives).sorted(jobs, (job) => job, nowS * 1000).map(({ spec }) => spec.id);
 }
 
-// Guards against a burst that makes every job late: in the order of arrival all of them wait for the backlog.
-test('small jobs come before large ones, and a large one has its turn before its objective has passed', () => {
-  const large = queued('req-1', 90, 0);
-  const small = (acceptedS: number): QueuedJob => queued('req-2', 10, acceptedS);
+// Guards against a burst that makes every job late: in the order of arrival, every job waits for the whole
+// backlog.
+test('small jobs start before large ones, but a large job starts before its objective has passed', () => {
+  const large = queuedJob('req-1', 90, 0);
+  const small = (acceptedS: number): QueuedJob => queuedJob('req-2', 10, acceptedS);
   assert.deepEqual(ids([large, small(1)], 2), ['req-2', 'req-1']);
   assert.deepEqual(ids([large, small(50)], 50), ['req-1', 'req-2']);
 });
 
-test('what can still meet an objective comes before what cannot, and what has waited for minutes before both', () => {
-  const late = queued('req-1', 5, 0);
-  const fresh = queued('req-2', 50, 80);
+test('starving jobs start before jobs that can meet an objective, and these before jobs that cannot', () => {
+  const late = queuedJob('req-1', 5, 0);
+  const fresh = queuedJob('req-2', 50, 80);
   assert.deepEqual(ids([late, fresh], 81), ['req-2', 'req-1']);
-  assert.deepEqual(ids([late, queued('req-2', 50, 150)], 151), ['req-1', 'req-2']);
+  assert.deepEqual(ids([late, queuedJob('req-2', 50, 150)], 151), ['req-1', 'req-2']);
 });
 
-test('urgency decides first, then the time that a deadline leaves', () => {
-  const urgent = queued('req-3', 50, 0);
-  const soon = queued('req-1', 4, 0, { urgency: 'standard', jobClass: 'due', deadlineS: 40 });
-  const later = queued('req-2', 4, 0, { urgency: 'standard', jobClass: 'due', deadlineS: 90 });
+test('jobs are ordered by urgency first, then by the time left until the deadline', () => {
+  const urgent = queuedJob('req-3', 50, 0);
+  const soon = queuedJob('req-1', 4, 0, { urgency: 'standard', jobClass: 'due', deadlineS: 40 });
+  const later = queuedJob('req-2', 4, 0, { urgency: 'standard', jobClass: 'due', deadlineS: 90 });
   assert.deepEqual(ids([later, soon, urgent], 1), ['req-3', 'req-1', 'req-2']);
 });
 
-// Guards against the last to come being served first: on a busy day half of the jobs waited for the end of the burst.
-test('an objective of a few seconds does not put what has just come before what has waited for a moment', () => {
-  const quick = [
+// Guards against starting the newest jobs first: on a busy day half of the jobs waited until the end of the
+// burst.
+test('an objective of a few seconds does not put new jobs before jobs that have waited slightly longer', () => {
+  const shortWaitObjectives = [
     { ...objectives[0], kind: 'wait', jobClass: 'quick', withinS: 4 } as (typeof objectives)[number],
   ];
-  const jobs = [queued('req-1', 20, 0), queued('req-2', 20, 8)];
-  const sorted = new QueueOrder([...quick, ...objectives], 16_000).sorted(jobs, (job) => job, 9000);
+  const jobs = [queuedJob('req-1', 20, 0), queuedJob('req-2', 20, 8)];
+  const sorted = new QueueOrder([...shortWaitObjectives, ...objectives], 16_000).sorted(
+    jobs,
+    (job) => job,
+    9000,
+  );
   assert.deepEqual(
     sorted.map(({ spec }) => spec.id),
     ['req-1', 'req-2'],
   );
 });
 
-test('a class is named as late once more of its open jobs miss an objective than that allows', () => {
-  const waiting = (id: string, acceptedS: number): QueuedJob => queued(id, 3, acceptedS);
+test('a class is reported as late once more of its open jobs miss an objective than the objective allows', () => {
+  const waiting = (id: string, acceptedS: number): QueuedJob => queuedJob(id, 3, acceptedS);
   const jobs = [...Array(9).keys()].map((i) => waiting(`req-${i}`, 50));
   const allowed = [...jobs, waiting('req-9', 0)];
   assert.deepEqual(lateClasses(objectives, allowed, 61_000), []);
   const late = { jobClass: 'quick', objective: 'wait 60 s', open: 11, late: 2 };
   assert.deepEqual(lateClasses(objectives, [...allowed, waiting('req-10', 0)], 61_000), [late]);
-  // What has all its tasks on machines waits no more; a deadline counts for as long as the job is open.
-  const started = { ...queued('req-1', 0, 0), started: true };
+  // A job whose tasks are all on machines no longer waits; a deadline counts as long as the job is open.
+  const started = { ...queuedJob('req-1', 0, 0), started: true };
   assert.deepEqual(lateClasses(objectives, [started], 61_000), []);
-  const due = queued('req-1', 0, 0, { jobClass: 'due', deadlineS: 40 });
+  const due = queuedJob('req-1', 0, 0, { jobClass: 'due', deadlineS: 40 });
   assert.deepEqual(
     lateClasses(objectives, [due], 61_000).map(({ objective }) => objective),
     ['deadline 1x'],
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -3,40 +3,48 @@
 import { urgencyRanks } from '../model/urgency.js';
 import type { Objective } from '../settings/settings.js';
 
-/** A job of which nothing has started for so long comes first: any has to begin within four minutes. */
+/**
+ * A job with no started task is sorted first after it has waited for this many seconds: every job has to
+ * start within four minutes.
+ */
 const starvedAfterS = 150;
-/** One that has started and still has waiting tasks comes first after so many times that. */
+/**
+ * A job that has started but still has waiting tasks is sorted first after this multiple of `starvedAfterS`.
+ */
 const starvedStartedFactor = 2;
 
-/** What follows for a job from those that it needs and those that need it. */
+/** What a job's dependencies and dependents imply for its place in the queue. */
 export interface DependencyFacts {
-  /** Time of day in ms from which its times count, other than its deadline's. */
+  /**
+   * Time of day in ms from which the job's waiting time and objectives count; its deadline counts from
+   * submission.
+   */
   readyAt: number;
-  /** The highest urgency of the job and of all that need it. */
+  /** The highest urgency of the job and of all its dependents. */
   urgency: Urgency;
-  /** Time of day in ms by which it has to end so that all that need it can meet their deadlines. */
+  /** Time of day in ms by which the job has to end so that all its dependents can meet their deadlines. */
   endBy: number | undefined;
 }
 
-/** The facts of a job that needs no other and that none needs. */
+/** The facts of a job without dependencies and dependents. */
 export function withoutDependencies(spec: JobSpec): DependencyFacts {
   return { readyAt: spec.acceptedAt, urgency: spec.urgency, endBy: undefined };
 }
 
-/** What a job's place in the order depends on. */
+/** The properties of a job that determine its place in the queue. */
 export interface QueuedJob {
   spec: JobSpec;
   dependencyFacts: DependencyFacts;
-  /** How many tasks have yet to start. */
+  /** Number of tasks that have yet to start. */
   waiting: number;
-  /** Some task has started. */
+  /** Whether any task has started. */
   started: boolean;
 }
 
 /** Within an urgency, jobs of a lower tier start first. */
 const tiers = { starved: 0, canMeetObjective: 1, hasMissedObjectives: 2 } as const;
 
-/** Compared field by field, in this order. */
+/** Sort keys are compared field by field, in this order. */
 interface SortKey {
   urgencyRank: number;
   tier: number;
@@ -46,28 +54,36 @@
 }
 
 /**
- * More urgent jobs start first. Among equals come first those that can still meet the next of their objectives, small jobs
- * before large ones: while there is less room than work, that lets most jobs be in time and a few wait, where the order of
- * arrival would make all of them late. A large job's turn comes by the end of the time that the objective leaves, and what
- * has missed all its objectives comes after what has not, but no job is left without any start.
+ * Sorts jobs by urgency, then by tier, then by due time. Among jobs of equal urgency, those that can still
+ * meet their next objective come first, with small jobs before large ones. While there is more work than
+ * room, this lets most jobs meet their objectives and a few wait, whereas the order of arrival would make all
+ * of them late. A large job is due by the end of the time that its objective leaves. Jobs that have missed
+ * all their objectives come after the others, but starved jobs come first, so that no job is left without any
+ * start.
  */
 export class QueueOrder {
   private readonly objectivesByClass = new Map<string, Objective[]>();
 
-  /** `minWindowMs`: objectives that leave less time than this say nothing about what may wait. */
+  /**
+   * `minWindowMs`: objectives that leave no more than this time for the start are ignored if others leave
+   * more.
+   */
   constructor(
     objectives: Objective[],
     private readonly minWindowMs = 0,
   ) {
     for (const objective of objectives) {
       if (objective.jobClass === undefined) continue;
-      const known = this.objectivesByClass.get(objective.jobClass);
-      if (known) known.push(objective);
+      const classObjectives = this.objectivesByClass.get(objective.jobClass);
+      if (classObjectives) classObjectives.push(objective);
       else this.objectivesByClass.set(objective.jobClass, [objective]);
     }
   }
 
-  /** The items, those first whose jobs are to start first; `now` is the time of day in ms, by which jobs are dated. */
+  /**
+   * Returns the items sorted by the order in which their jobs are to start. `now` is the time of day in ms,
+   * the time base of job timestamps.
+   */
   sorted<T>(items: Iterable<T>, toJob: (item: T) => QueuedJob, now: number): T[] {
     const queued = [...items].map((item) => ({ item, job: toJob(item) }));
     const meanWaiting = meanWaitingByUrgency(queued);
@@ -91,21 +107,26 @@
     const windows = this.startWindowsS(spec, dependencyFacts);
     const nextWindow = windows.find((windowS) => windowS >= ageS);
     const tier = nextWindow === undefined ? tiers.hasMissedObjectives : tiers.canMeetObjective;
-    // The larger the job, the later in the time that its objective leaves.
+    // The larger the job compared with the mean, the later it is due within the time that its objective
+    // leaves.
     const sizeShare = waiting / Math.max(1, waiting + meanWaiting);
     const dueAt = readyAt + (nextWindow ?? windows.at(-1) ?? 0) * 1000 * sizeShare;
     return { urgencyRank, tier, dueAt, id };
   }
 
-  /** Within how many seconds of getting ready its tasks have to start for each of its objectives, shortest first. */
+  /**
+   * The time after `readyAt` within which the job's tasks have to start to meet each objective, in seconds,
+   * shortest first.
+   */
   private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyFacts): number[] {
     const { estimatedRunS, deadlineS } = spec;
-    // A deadline counts from the submission, however long the job waited for others.
+    // A deadline counts from submission, including the time for which the job waited for its dependencies.
     const waitedS = (readyAt - spec.acceptedAt) / 1000;
     const objectives = this.objectivesByClass.get(spec.jobClass) ?? [];
     const windows = objectives.flatMap((objective) => startWindowS(objective, spec, waitedS) ?? []);
     if (endBy !== undefined) windows.push((endBy - readyAt) / 1000 - estimatedRunS);
-    // Work that nothing is promised for counts as due when its estimate has passed once over.
+    // Without an objective, a job is due in time for its deadline. Without a deadline, it is due once its
+    // estimated run time has passed.
     if (windows.length === 0)
       windows.push(deadlineS === null ? estimatedRunS : deadlineS - waitedS - estimatedRunS);
     const meaningful = windows.filter((windowS) => windowS * 1000 > this.minWindowMs);
@@ -114,18 +135,21 @@
 }
 
 function meanWaitingByUrgency(queued: Iterable<{ job: QueuedJob }>): Map<Urgency, number> {
-  const sizes = new Map<Urgency, { jobs: number; tasks: number }>();
+  const totalsByUrgency = new Map<Urgency, { jobs: number; tasks: number }>();
   for (const { job } of queued) {
     const { dependencyFacts, waiting } = job;
-    const size = sizes.get(dependencyFacts.urgency) ?? { jobs: 0, tasks: 0 };
-    size.jobs++;
-    size.tasks += waiting;
-    sizes.set(dependencyFacts.urgency, size);
+    const totals = totalsByUrgency.get(dependencyFacts.urgency) ?? { jobs: 0, tasks: 0 };
+    totals.jobs++;
+    totals.tasks += waiting;
+    totalsByUrgency.set(dependencyFacts.urgency, totals);
   }
-  return new Map([...sizes].map(([urgency, size]) => [urgency, size.tasks / size.jobs]));
+  return new Map([...totalsByUrgency].map(([urgency, totals]) => [urgency, totals.tasks / totals.jobs]));
 }
 
-/** Undefined where the objective says nothing about the start of the job. */
+/**
+ * Seconds after `readyAt` within which the job has to start to meet the objective; undefined if the objective
+ * does not constrain the start.
+ */
 function startWindowS(
   { kind, withinS, times }: Objective,
   { estimatedRunS, deadlineS }: JobSpec,
--- a/src/placement/waiting-queue.test.ts
+++ b/src/placement/waiting-queue.test.ts
@@ -6,7 +6,7 @@
 import { QueueOrder } from './queue-order.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-test('the queue has open jobs with waiting tasks, and is made anew when it is invalidated or too old', () => {
+test('the queue lists open jobs with waiting tasks, and is sorted again when invalidated or too old', () => {
   let now = 0;
   const jobs = new Map(['req-1', 'req-2', 'req-3'].map((id) => [id, createJobState(jobSpec(id, 2))]));
   const queue = new WaitingQueue({
@@ -18,15 +18,15 @@
     maxAgeMs: 250,
   });
   const ids = (): string[] => queue.jobs().map(({ id }) => id);
-  const [one, two] = [...jobs.values()];
-  assert.ok(one && two);
+  const [firstJob, secondJob] = [...jobs.values()];
+  assert.ok(firstJob && secondJob);
   assert.deepEqual(ids(), ['req-1', 'req-2', 'req-3']);
-  one.outcome = 'cancelled';
+  firstJob.outcome = 'cancelled';
   now = 249;
   assert.deepEqual(ids(), ['req-1', 'req-2', 'req-3']);
   now = 250;
   assert.deepEqual(ids(), ['req-2', 'req-3']);
-  placeAll(two, 'm1');
+  placeAll(secondJob, 'm1');
   queue.invalidate();
   assert.deepEqual(ids(), ['req-3']);
 });
--- a/src/placement/waiting-queue.ts
+++ b/src/placement/waiting-queue.ts
@@ -4,33 +4,36 @@
 import type { JobState } from './job-state.js';
 import { type DependencyFacts, type QueuedJob, type QueueOrder, withoutDependencies } from './queue-order.js';
 
-/** What the queue is made of. */
+/** The dependencies and settings of a waiting queue. */
 export interface WaitingQueueOptions {
   /** All jobs of the block. */
   jobs: ReadonlyMap<string, JobState>;
   order: QueueOrder;
-  /** What follows for a job from those that it needs and those that need it; by default nothing does. */
+  /**
+   * Returns what a job's dependencies and dependents imply for it; by default jobs are treated as having
+   * none.
+   */
   dependencyFactsOf: ((spec: JobSpec) => DependencyFacts) | undefined;
   clock: Clock;
-  /** Time of day in ms, by which jobs are dated. */
+  /** Returns the time of day in ms, the time base of job timestamps. */
   wallClock: () => number;
-  /** The order changes with time alone, so it is made anew after so many ms. */
+  /** Maximum age of the sorted queue in ms: the order changes as time passes, even without other changes. */
   maxAgeMs: number;
 }
 
-/** Nearly every heartbeat asks for the queue, so it is kept for a while. */
+/** Caches the sorted queue for a limited time, since nearly every heartbeat reads it. */
 export class WaitingQueue {
   private sortedJobs: JobState[] | undefined;
   private sortedAt = -Infinity;
 
   constructor(private readonly options: WaitingQueueOptions) {}
 
-  /** Has the queue made anew: some job has other tasks waiting than before. */
+  /** Discards the sorted queue because the waiting tasks of some job have changed. */
   invalidate(): void {
     this.sortedJobs = undefined;
   }
 
-  /** Open jobs with waiting tasks, those first that are to start first. */
+  /** Open jobs with waiting tasks, sorted by the order in which they are to start. */
   jobs(): JobState[] {
     const { clock, maxAgeMs } = this.options;
     if (this.sortedJobs && clock() - this.sortedAt < maxAgeMs) return this.sortedJobs;
@@ -41,15 +44,15 @@
 
   private sort(): JobState[] {
     const { jobs, order, wallClock, dependencyFactsOf = withoutDependencies } = this.options;
-    const open = [...jobs.values()].flatMap((job) =>
+    const openJobs = [...jobs.values()].flatMap((job) =>
       job.waitingCount > 0 && job.spec ? [{ job, spec: job.spec }] : [],
     );
-    const queued = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
+    const toQueuedJob = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
       spec,
       dependencyFacts: dependencyFactsOf(spec),
       waiting: job.waitingCount,
       started: job.activeCount + job.doneCount > 0,
     });
-    return order.sorted(open, queued, wallClock()).map(({ job }) => job);
+    return order.sorted(openJobs, toQueuedJob, wallClock()).map(({ job }) => job);
   }
 }
