--- a/src/placement/intent-commits.ts
+++ b/src/placement/intent-commits.ts
@@ -1,20 +1,25 @@
-/** Waiting for the commits that decide which tasks may start. */
+/** Waits for the commits that decide which tasks may start. */
 import { type Clock, timer } from '../base/clock.js';
 import type { Task } from './job-state.js';
 import type { RecordingPage } from './task-recorder.js';
 
-/** Settles once it is known which of the tasks that are being placed may start, or when the time is up. */
+/**
+ * Settles once the commits under way have decided which of the tasks being placed may start, or after
+ * `withinMs`.
+ */
 export async function waitForIntentCommits(
   tasks: () => Iterable<Task>,
   withinMs: number,
   clock: Clock,
 ): Promise<void> {
-  const until = clock() + withinMs;
+  const deadline = clock() + withinMs;
   let pages = pagesOfPlacingTasks(tasks());
   if (pages.size === 0) return;
   const timeUp = timer(withinMs);
-  for (; pages.size > 0 && clock() < until; pages = pagesOfPlacingTasks(tasks())) {
-    // A page that cannot be committed now, since the store knows the block differently, takes longer than we wait.
+  for (; pages.size > 0 && clock() < deadline; pages = pagesOfPlacingTasks(tasks())) {
+    // A page that is not being committed cannot be committed now, because the store has another version of
+    // the block's record. Resolving that takes longer than this function may wait, so it waits for the
+    // time-out.
     const commits = [...pages].filter((page) => page.isCommitting).map((page) => page.commit);
     await (commits.length > 0 ? Promise.race([timeUp.expired, Promise.all(commits)]) : timeUp.expired);
   }
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -1,14 +1,14 @@
-/** One rented machine as the owner of its block sees it. */
+/** The state of one rented machine, as seen by the controller that owns its block. */
 import type { MachineType, ReportedTask, Resources } from '../model/types.js';
 import type { Task } from './job-state.js';
 
-/** Zone of a machine that a ledger names and no block's record does: it may be anywhere. */
+/** Zone of a machine that only a ledger names and no block's record: the machine may be in any zone. */
 export const unknownZone = '';
 
-/** Type of such a machine; the cloud has none by this name. */
+/** Type of a machine that only a ledger names; no type of the cloud has this name. */
 const unknownType = '';
 
-/** What the block's record says of a machine. */
+/** The properties of a machine in the block's record. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -19,56 +19,83 @@
 /** Why the owner of a block has decided to terminate a machine. */
 export type ReleaseReason = 'never-started' | 'one-way-partition' | 'faulty' | 'silent';
 
-/** A task that a machine has and should not have. */
+/** A task that a machine reports but that is not assigned to the machine. */
 export interface OrphanedTask {
   task: ReportedTask;
   need: Resources;
-  /** Unknown if the block has no record of its job. */
+  /** Undefined if the block has no record of the task's job. */
   team: string | undefined;
 }
 
-/** A machine on which tasks of so many jobs have failed is taken for faulty: one job's failures say little of it. */
+/**
+ * Number of jobs with failed tasks on a machine at which the machine is considered faulty. Failures of a
+ * single job do not count as evidence against the machine.
+ */
 const faultyAfterFailedJobs = 2;
 
-/** What the block's record, the machine's heartbeats and the placing of tasks say of a machine. Times are steady, in ms. */
+/**
+ * State of a machine from the block's record, the machine's heartbeats and the placement of tasks. Times are
+ * monotonic, in ms.
+ */
 export class MachineState {
   info: MachineInfo;
-  /** Entitles us to command the machine; a worker that has seen it drops commands with a lower one. */
+  /**
+   * Token that authorizes commands to the machine. A worker drops commands with a lower token than it has
+   * seen.
+   */
   fencingToken = 0;
-  /** Address of its worker, empty before the first heartbeat. */
+  /** Address of the machine's worker; empty before the first heartbeat. */
   address = '';
-  /** Agent epoch and sequence of the latest heartbeat; epochs grow with each start of a worker, sequences within one. */
+  /**
+   * Agent epoch and sequence number of the latest heartbeat. The epoch grows with each start of the worker,
+   * the sequence number with each heartbeat within an epoch.
+   */
   agentEpoch = 0;
   sequence = -1;
-  /** Its last heartbeat carried our fencing token: what it says of tasks counts as truth. */
+  /** The latest heartbeat carried this owner's fencing token, so its list of tasks is authoritative. */
   reconciled = false;
-  /** When a heartbeat without our fencing token was first responded to; undefined again once a heartbeat has carried it. */
+  /**
+   * When this controller first responded to a heartbeat without its fencing token. Reset to undefined by a
+   * heartbeat with the token.
+   */
   fencingTokenOfferedAt: number | undefined;
-  /** It has sent a heartbeat to this owner. */
+  /** Whether this owner has received a heartbeat of the machine. */
   hasSentHeartbeat = false;
   firstHeartbeatAt = 0;
-  /** To be terminated or leased to another block: nothing more is placed on it. */
+  /** The machine is to be terminated or leased to another block; no more tasks are placed on it. */
   draining = false;
-  /** Nothing more is placed on it, and it is terminated once it is empty. */
+  /** No more tasks are placed on the machine, and it is terminated once it is empty. */
   faulty = false;
-  /** Set once its termination has been decided; the cloud's response will be the proof that it is gone. */
+  /**
+   * Set once the termination of the machine is decided. The cloud's response will be the proof that the
+   * machine is gone.
+   */
   releaseReason: ReleaseReason | undefined;
-  /** Seconds until the cloud takes it back, from when its worker was told; null unless it has been. */
+  /**
+   * Seconds until the cloud reclaims the spot machine, counted from the notice to its worker; null without a
+   * notice.
+   */
   preemptionNoticeS: number | null = null;
-  /** Time of day of its rental in ms. */
+  /** Time of day in ms at which the machine was rented. */
   rentedAt = 0;
-  /** The last heartbeat, or when we began to expect one. */
+  /** When the latest heartbeat was received or, before the first, when this owner began to expect one. */
   lastHeartbeatAt: number;
   readonly leasedAt: number;
-  /** Set while the response to its heartbeat is held: sends it, with whatever there is to say by then. */
+  /**
+   * Sends the response to the machine's heartbeat, with the commands that are due by then. Set only while the
+   * response is held open.
+   */
   sendHeldResponse: (() => void) | undefined;
-  /** When its worker was last told to forget anything. */
+  /** When the worker last received a `forget` command. */
   lastForgetAt = 0;
-  /** Tasks that are on it, or that it may have been told to start, or that are about to be placed on it. */
+  /**
+   * Tasks that are on the machine, that it may have received the command to start, or that are about to be
+   * placed on it.
+   */
   readonly tasks = new Map<string, Task>();
-  /** Reported tasks that it should not have: they take room until they are gone. */
+  /** Reported tasks that are not assigned to the machine. They use its resources until they are gone. */
   orphanedTasks: OrphanedTask[] = [];
-  /** Images that it has fetched. */
+  /** Images that the machine has fetched. */
   readonly cachedImages = new Set<string>();
   private readonly failedJobs = new Set<string>();
 
@@ -78,12 +105,12 @@
     this.leasedAt = now;
   }
 
-  /** Name of the machine in the cloud. */
+  /** Id of the machine in the cloud. */
   get id(): string {
     return this.info.id;
   }
 
-  /** Takes over the token of a lease; with another one than before, the machine has to be reconciled again. */
+  /** Sets the fencing token of a lease. If the token changes, the machine has to be reconciled again. */
   setFencingToken(fencingToken: number): void {
     if (fencingToken === this.fencingToken) return;
     this.fencingToken = fencingToken;
@@ -91,7 +118,10 @@
     this.fencingTokenOfferedAt = undefined;
   }
 
-  /** Whether tasks may be placed on it, if its last heartbeat is no older than this. */
+  /**
+   * Whether tasks may be placed on the machine; its latest heartbeat must be less than `maxHeartbeatAgeMs`
+   * old.
+   */
   isUsable(now: number, maxHeartbeatAgeMs: number): boolean {
     return (
       this.reconciled &&
@@ -103,13 +133,16 @@
     );
   }
 
-  /** A task of the job has failed on the machine. */
+  /** Records that a task of the job has failed on the machine. */
   noteFailedJob(job: string): void {
     this.failedJobs.add(job);
     if (this.failedJobs.size >= faultyAfterFailedJobs) this.faulty = true;
   }
 
-  /** The controller was held up for so long itself: that time counts neither as silence nor as disobedience. */
+  /**
+   * Excludes `graceMs`, a time during which the controller itself was delayed: it counts neither as missed
+   * heartbeats nor as commands that the machine did not execute.
+   */
   addGrace(graceMs: number): void {
     this.lastHeartbeatAt += graceMs;
     if (this.fencingTokenOfferedAt !== undefined) this.fencingTokenOfferedAt += graceMs;
@@ -117,8 +150,9 @@
   }
 
   /**
-   * Since when it has sent heartbeats without doing what it was told: its requests reach us and our responses do not reach
-   * it. Such a machine would take tasks for ever and start none.
+   * Since when the machine has sent heartbeats without executing its commands, which means that its requests
+   * reach this controller but the responses do not reach the machine. Tasks would be placed on such a machine
+   * indefinitely and none would start. Undefined if there is no sign of this.
    */
   oneWayPartitionSince(): number | undefined {
     let since = this.reconciled ? undefined : this.fencingTokenOfferedAt;
@@ -129,7 +163,10 @@
     return since;
   }
 
-  /** What of it is left beside its tasks and orphaned tasks; below 0 if it has too many. */
+  /**
+   * Resources of the machine that its tasks and orphaned tasks leave free; negative if they exceed the
+   * machine.
+   */
   freeResources(machineType: MachineType): Resources {
     let { cpus, accelerators, memoryGb } = machineType;
     const subtract = (need: Resources): void => {
--- a/src/placement/placement-round.test.ts
+++ b/src/placement/placement-round.test.ts
@@ -12,11 +12,13 @@
 import { type Placement, type PlacementRound, placeTasks } from './placement-round.js';
 import { TeamUsage } from './team-usage.js';
 
-/** A whole round in which everything may be used, unless `change` says otherwise. */
+/**
+ * Runs a round over all machines in which every machine is usable, unless `overrides` specifies otherwise.
+ */
 function runRound(
   jobs: JobState[],
   machines: Iterable<MachineState>,
-  change: Partial<PlacementRound> = {},
+  overrides: Partial<PlacementRound> = {},
 ): Placement[] {
   return placeTasks({
     now: 0,
@@ -29,12 +31,12 @@
     teamUsage: () => new TeamUsage(),
     maxTasks: 10,
     isUsable: () => true,
-    ...change,
+    ...overrides,
   });
 }
 
-// Guards against ordinary machines filled with work that could have waited for a spot machine.
-test('work that may use spot machines leaves ordinary ones alone while there is a spot machine, even a full one', () => {
+// Guards against regular machines filled with jobs that could have waited for a spot machine.
+test('jobs that may use spot machines are not placed on regular ones while there is a spot machine, even a full one', () => {
   const machines = [createMachineState('m1', { spot: true }), createMachineState('m2')];
   const job = createJobState({ ...jobSpec('req-1', 6), spot: true });
   const place = (): string[] => {
@@ -49,8 +51,9 @@
   assert.deepEqual(place(), ['m2', 'm2']);
 });
 
-// Guards against a round that leaves machines out too early: what is full for one job may have room for a smaller one.
-test('a round goes on to smaller jobs after larger ones have found no room, and past teams at their limit', () => {
+// Guards against a round that drops machines too early: a machine that is full for one job may have room for
+// a smaller one.
+test('a round places smaller jobs after larger ones have found no room, and skips teams at their limit', () => {
   const jobs = [
     { ...jobSpec('req-1', 1), cpus: 6, team: 'blue' },
     { ...jobSpec('req-2', 1), cpus: 6, team: 'blue' },
@@ -66,11 +69,12 @@
   );
 });
 
-// Guards against a round that walked the block's machines twice though their iterator is spent after the first time: it saw
-// no task of the job anywhere, and what had to stay in the zone of its others started in any.
-test('a round keeps colocated and spread jobs to the zones that follow from tasks placed before', () => {
-  const zonesOf = (change: Partial<JobSpec>, placedOn: string[]): string[] => {
-    const job = createJobState({ ...jobSpec('req-1', 4), ...change });
+// Guards against a round that iterates the block's machines twice with an iterator that is consumed the first
+// time. Such a round found no placed task of the job, and placed tasks in any zone that had to be in the zone
+// of the job's other tasks.
+test('a round keeps colocated and spread jobs to the zones that their placed tasks allow', () => {
+  const zonesOf = (overrides: Partial<JobSpec>, placedOn: string[]): string[] => {
+    const job = createJobState({ ...jobSpec('req-1', 4), ...overrides });
     const machines = new Map(
       ['a', 'b', ''].map((zone) => [`m-${zone}`, createMachineState(`m-${zone}`, { zone })]),
     );
@@ -82,14 +86,14 @@
     }
     const placements = runRound([job], machines.values(), {
       teamOf: () => testSettings().teams.get('blue'),
-      // One whose zone is not known yet takes nothing.
+      // A machine whose zone is not known yet gets no tasks.
       isUsable: (machine) => machine.info.zone !== '',
     });
     return placements.map(({ machine }) => machine.info.zone);
   };
   assert.deepEqual(zonesOf({ colocated: true }, ['m-b']), ['b', 'b', 'b']);
   assert.deepEqual(zonesOf({ spread: true }, ['m-a', 'm-a']), ['b', 'b']);
-  // Where one of them is, nobody knows: it may be in either zone.
+  // The zone of the placed task is unknown: it may be either zone.
   assert.deepEqual(zonesOf({ spread: true }, ['m-']), ['a', 'b']);
   assert.deepEqual(zonesOf({ colocated: true }, ['m-']), []);
 });
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -5,23 +5,29 @@
 import { type MachineState, unknownZone } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** What one round starts from. */
+/** The inputs of one placement round. */
 export interface PlacementRound {
-  /** Steady time in ms. */
+  /** Monotonic time in ms. */
   now: number;
-  /** Jobs with waiting tasks, those first that are to start first. */
+  /** Jobs with waiting tasks, sorted by the order in which they are to start. */
   jobs: JobState[];
   machines: Iterable<MachineState>;
-  /** Types of which the block has usable spot machines, with room or without. */
+  /** Types of which the block has usable spot machines, whether these have free resources or not. */
   spotTypes: ReadonlySet<string>;
-  /** A round over some of the block's machines only: jobs whose tasks depend on each other's zones wait for a whole one. */
+  /**
+   * Whether the round covers only some of the block's machines. Jobs that are colocated or spread over zones
+   * are placed only in rounds over all machines.
+   */
   isPartial: boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
-  /** The team with what this block may use of its limits. */
+  /**
+   * Returns the team with its limits reduced to this block's share; undefined if the settings do not have the
+   * team.
+   */
   teamOf: (name: string) => Team | undefined;
-  /** What teams use at present; the round adds what it places. */
+  /** Returns the present usage of all teams; the round adds the tasks that it places. */
   teamUsage: () => TeamUsage;
-  /** How many tasks may be placed at most: what one round of commits can carry. */
+  /** Maximum number of tasks to place: as many as one round of commits can record. */
   maxTasks: number;
   isUsable: (machine: MachineState) => boolean;
 }
@@ -32,7 +38,9 @@
   machine: MachineState;
 }
 
-/** A machine that tasks may be placed on, and what is left of it at this point of the round. */
+/**
+ * A machine that tasks may be placed on, with the resources that are still free at this point of the round.
+ */
 interface Candidate {
   readonly machine: MachineState;
   readonly free: Resources;
@@ -41,15 +49,16 @@
 type PlaceableJob = JobState & { readonly spec: JobSpec };
 
 /**
- * First-fit: each waiting task, in the order of the jobs, goes to the first machine that has room for it. The tasks are marked
- * as placed on their machines; the caller has to count them among those of the machines.
+ * Places tasks by first-fit: each waiting task, in the order of the jobs, goes to the first machine with
+ * enough free resources. The tasks are marked as assigned to their machines; the caller has to add them to
+ * the machines' own lists of tasks.
  */
 export function placeTasks(round: PlacementRound): Placement[] {
   const jobs = round.jobs.filter((job) => isPlaceable(job, round));
-  // Most rounds have nothing to place, and there is one for nearly every heartbeat.
+  // There is a round for nearly every heartbeat, and most rounds have nothing to place.
   if (jobs.length === 0) return [];
   const minNeed = smallestNeed(jobs.map((job) => job.need));
-  // They are walked more than once, and an iterator is spent after the first time.
+  // The machines are iterated more than once, and an iterator can be consumed only once.
   const machines = [...round.machines];
   const candidates = findCandidates(round, machines, minNeed);
   if (candidates.length === 0) return [];
@@ -67,7 +76,10 @@
   );
 }
 
-/** A machine without room for this has none for any of them. */
+/**
+ * The minimum of each resource over all needs. A machine without room for this has no room for any of the
+ * tasks.
+ */
 function smallestNeed(needs: Resources[]): Resources {
   return {
     cpus: Math.min(...needs.map((need) => need.cpus)),
@@ -76,7 +88,7 @@
   };
 }
 
-/** Usable machines with room for the smallest task, by name. */
+/** Usable machines with room for the smallest need, sorted by id. */
 function findCandidates(round: PlacementRound, machines: MachineState[], minNeed: Resources): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of machines) {
@@ -105,8 +117,8 @@
     for (const job of jobs) {
       const placedBefore = this.placements.length;
       this.placeJob(job);
-      if (this.isFull) break;
-      // With what is full left out, a long queue beside little room is soon gone through.
+      if (this.hasReachedTaskLimit) break;
+      // Removing full machines keeps the round short when the queue is long and few machines have room.
       if (this.placements.length > placedBefore)
         this.candidates = this.candidates.filter(({ free }) => fits(minNeed, free));
       if (this.candidates.length === 0) break;
@@ -114,7 +126,7 @@
     return this.placements;
   }
 
-  private get isFull(): boolean {
+  private get hasReachedTaskLimit(): boolean {
     return this.placements.length >= this.round.maxTasks;
   }
 
@@ -124,15 +136,16 @@
     const tasksByZone = countTasksByZone(job, this.machines);
     const candidates = fastestStartFirst(this.candidatesFor(job.spec), job.spec.image);
     let waiting = job.waitingCount;
-    let next = 0;
-    while (waiting > 0 && !this.isFull && this.usage.admits(team, job.need)) {
-      // What does not suit one task of the job does not suit its next: nothing frees up within a round.
-      next = indexOfSuitable(candidates, next, job, tasksByZone);
-      const candidate = candidates[next];
+    let candidateIndex = 0;
+    while (waiting > 0 && !this.hasReachedTaskLimit && this.usage.admits(team, job.need)) {
+      // A machine that does not suit one task of the job does not suit the job's next task either: no
+      // resources are freed within a round.
+      candidateIndex = indexOfSuitable(candidates, candidateIndex, job, tasksByZone);
+      const candidate = candidates[candidateIndex];
       const task = candidate && job.nextWaitingTask();
       if (!task) break;
       this.place(task, candidate);
-      addTo(tasksByZone, candidate.machine.info.zone, 1);
+      addToZone(tasksByZone, candidate.machine.info.zone, 1);
       waiting--;
     }
   }
@@ -145,8 +158,9 @@
         (zone === null || zone === info.zone) &&
         (spot || !info.spot),
     );
-    // Work that may use spot machines leaves ordinary ones to work that may not, as long as there are spot ones, even
-    // if all of them are full.
+    // A job that may use spot machines is not placed on regular machines while the block has usable spot
+    // machines, even if these are full. This keeps the regular machines free for jobs that may not use spot
+    // machines.
     const hasSpot = [...this.round.spotTypes].some(
       (type) => machineTypes === null || machineTypes.includes(type),
     );
@@ -164,17 +178,23 @@
   }
 }
 
-/** A machine that has the image need not fetch it; one whose response is held hears of the task at once. */
+/**
+ * Sorts machines by how fast they can start the job. A machine that has the image need not fetch it, and a
+ * machine whose heartbeat response is held open receives the start command at once.
+ */
 function fastestStartFirst(candidates: Candidate[], image: string): Candidate[] {
-  const ranked: Candidate[][] = [[], [], [], []];
+  const candidatesByRank: Candidate[][] = [[], [], [], []];
   for (const candidate of candidates) {
     const { cachedImages, sendHeldResponse } = candidate.machine;
-    ranked[(cachedImages.has(image) ? 0 : 2) + (sendHeldResponse ? 0 : 1)]?.push(candidate);
+    candidatesByRank[(cachedImages.has(image) ? 0 : 2) + (sendHeldResponse ? 0 : 1)]?.push(candidate);
   }
-  return ranked.flat();
+  return candidatesByRank.flat();
 }
 
-/** The first candidate from `start` on that suits the next task of the job; none does beyond the last. */
+/**
+ * Index of the first candidate at or after `start` that suits the next task of the job; the number of
+ * candidates if none does.
+ */
 function indexOfSuitable(
   candidates: Candidate[],
   start: number,
@@ -200,19 +220,24 @@
   return !spec.colocated || tasksByZone.size === 0 || tasksByZone.has(zone);
 }
 
-/** A job that only the ledger names has no spec, and so no constraint that is known. */
+/**
+ * Whether the zones of the job's tasks depend on each other. A job that only the ledger names has no spec, so
+ * it has no known constraint.
+ */
 function isJobZoneConstrained({ spec }: JobState): boolean {
   return spec !== undefined && isZoneConstrained(spec);
 }
 
-/** Tasks of the job that are or may be on machines, by zone; not counted where zones do not matter to it. */
+/**
+ * Number of the job's tasks that are or may be on machines, by zone; empty for a job without zone constraint.
+ */
 function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
   const tasksByZone = new Map<string, number>();
   if (!isJobZoneConstrained(job)) return tasksByZone;
   for (const { info, tasks, orphanedTasks } of machines) {
     let count = orphanedTasks.filter(({ task }) => task.job === job.id).length;
     for (const task of tasks.values()) if (task.job === job) count++;
-    if (count > 0) addTo(tasksByZone, info.zone, count);
+    if (count > 0) addToZone(tasksByZone, info.zone, count);
   }
   return tasksByZone;
 }
@@ -221,6 +246,6 @@
   return (tasksByZone.get(zone) ?? 0) + (tasksByZone.get(unknownZone) ?? 0);
 }
 
-function addTo(tasksByZone: Map<string, number>, zone: string, count: number): void {
+function addToZone(tasksByZone: Map<string, number>, zone: string, count: number): void {
   tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + count);
 }
--- a/src/placement/round-trigger.test.ts
+++ b/src/placement/round-trigger.test.ts
@@ -3,14 +3,14 @@
 
 import { RoundTrigger } from './round-trigger.js';
 
-/** Longer than any test may take: only something else than time can settle such a wait. */
-const foreverMs = 600_000;
+/** Longer than any test may take, so only an event other than the time-out can end the wait. */
+const longWaitMs = 600_000;
 
-test('a request ends the wait for the next round and stays until a round begins', async () => {
+test('a request ends the wait for the next round and stays pending until a round begins', async () => {
   const trigger = new RoundTrigger();
   assert.equal(trigger.isRequested, true);
   trigger.clear();
-  const waited = trigger.wait(foreverMs, new AbortController().signal);
+  const waited = trigger.wait(longWaitMs, new AbortController().signal);
   trigger.request();
   await waited;
   assert.equal(trigger.isRequested, true);
@@ -18,11 +18,11 @@
   assert.equal(trigger.isRequested, false);
 });
 
-test('the end of the lease ends the wait for the next round without requesting one', async () => {
+test('the end of the lease ends the wait for the next round without requesting a round', async () => {
   const trigger = new RoundTrigger();
   trigger.clear();
   const lease = new AbortController();
-  const waited = trigger.wait(foreverMs, lease.signal);
+  const waited = trigger.wait(longWaitMs, lease.signal);
   lease.abort();
   await waited;
   assert.equal(trigger.isRequested, false);
--- a/src/placement/round-trigger.ts
+++ b/src/placement/round-trigger.ts
@@ -1,30 +1,33 @@
-/** Says when the next placement round of a block is wanted. */
+/** Signals that a placement round of a block is requested. */
 import { onAbort } from '../base/aborts.js';
 import { timer } from '../base/clock.js';
 
-/** Requests that come before a round begins are served by that round together. The first round is always wanted. */
+/**
+ * Collects requests for placement rounds. All requests before the start of a round are handled by that round.
+ * The first round is requested from the start.
+ */
 export class RoundTrigger {
   private requested = true;
-  /** Set while somebody waits. */
+  /** Ends the wait in progress; undefined while nothing waits. */
   private wake: (() => void) | undefined;
 
-  /** Whether a round has been requested since the last one began. */
+  /** Whether a round has been requested since the last round began. */
   get isRequested(): boolean {
     return this.requested;
   }
 
-  /** Something changed that may let a task start: a round is wanted soon. */
+  /** Requests a round, because a change may let a task start. */
   request(): void {
     this.requested = true;
     this.wake?.();
   }
 
-  /** A round begins: it serves all requests so far. */
+  /** Marks all requests so far as handled, because a round begins. */
   clear(): void {
     this.requested = false;
   }
 
-  /** Settles after so many ms, or as soon as a round is requested or the signal fires. */
+  /** Settles after `ms`, or as soon as a round is requested or the signal fires. */
   async wait(ms: number, signal: AbortSignal): Promise<void> {
     const timeUp = timer(ms);
     const stopListening = onAbort(signal, () => this.wake?.());
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -1,18 +1,18 @@
-/** What teams use of their limits. */
+/** Tracks how much of their limits teams use. */
 import { type Resources, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 
-/** What of a machine counts against the limits of a team. */
+/** The resources that team limits apply to. */
 export interface LimitedResources {
   cpus: number;
   accelerators: number;
 }
 
-/** What the tasks of each team take, in every state in which they may be on a machine. */
+/** Sums of the resources of each team's tasks, including all tasks that may be on a machine. */
 export class TeamUsage {
   private readonly usageByTeam = new Map<string, LimitedResources>();
 
-  /** What the team uses; the result follows later additions. */
+  /** The usage of the team; the returned object reflects later additions. */
   usedBy(team: string): LimitedResources {
     let entry = this.usageByTeam.get(team);
     if (!entry) {
@@ -22,14 +22,14 @@
     return entry;
   }
 
-  /** Adds so many tasks of this size; a negative count takes them away. */
+  /** Adds the needs of `count` tasks; a negative count subtracts them. */
   add(team: string, need: Resources, count = 1): void {
     const entry = this.usedBy(team);
     entry.cpus += need.cpus * count;
     entry.accelerators += need.accelerators * count;
   }
 
-  /** Whether the team uses more than its limit; a team that the settings do not know has none. */
+  /** Whether the team uses more than its limit. A team that is not in the settings has no limit to exceed. */
   exceedsLimit(team: Team | undefined): boolean {
     if (!team) return false;
     const used = this.usedBy(team.name);
@@ -38,7 +38,10 @@
     );
   }
 
-  /** Whether the team may have one more task of this size; one that the settings do not know may not. */
+  /**
+   * Whether the team's limit admits one more task with this need. A team that is not in the settings may not
+   * have any.
+   */
   admits(team: Team | undefined, need: Resources): boolean {
     if (!team) return false;
     const used = this.usedBy(team.name);
