--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -1,4 +1,7 @@
-/** All open jobs and all tasks on machines: the same on every controller, a moment late. */
+/**
+ * Index of all open jobs and all tasks on machines, kept on every controller with a slight lag behind the
+ * store.
+ */
 import { DependencyGraph, type DependencyState } from '../dependencies/dependency-graph.js';
 import type { JobSpec, Resources } from '../model/types.js';
 import type { Mirror } from '../store/mirror.js';
@@ -11,31 +14,34 @@
 /** An open job. */
 export interface IndexedJob extends JobRecord {
   id: string;
-  /** Version of its record. */
+  /** Version of the job's record. */
   version: number;
-  /** Steady time in ms at which this controller first saw it ready to run. */
+  /** Monotonic time in ms at which this controller first saw the job ready to run. */
   readySeenAt: number;
 }
 
-/** Waiting tasks of a job that belong to one block, or to none yet. */
+/** Number of waiting tasks of a job in one block, or not dispatched to any block yet. */
 export interface WaitingTasks {
   block: number | undefined;
   count: number;
 }
 
 /**
- * Follows the records of jobs, their outcomes and the ledgers of all blocks as the replica of the store brings them. A job is
- * ready once all jobs that it depends on are done.
+ * Follows the records of jobs, their outcomes and the ledgers of all blocks in the replica of the store. A
+ * job is ready once all jobs that it depends on are done.
  */
 export class JobIndex {
-  /** Open jobs that are ready: all others take nothing of anything. */
+  /** Open jobs that are ready; jobs that are not ready use no resources. */
   readonly jobs = new Map<string, IndexedJob>();
   readonly dependencies: DependencyGraph;
-  /** Open jobs that wait for others to be done. */
-  private readonly blocked = new Map<string, IndexedJob>();
+  /** Open jobs with dependencies that are not done yet. */
+  private readonly blockedJobs = new Map<string, IndexedJob>();
   private readonly ledgers = new LedgerIndex();
 
-  /** `clock` tells steady time in ms; `outcomeOf` knows outcomes that are not among the changes. */
+  /**
+   * `clock` returns monotonic time in ms. `outcomeOf` looks up outcomes that are not among the received
+   * changes.
+   */
   constructor(
     private readonly clock: () => number,
     outcomeOf?: (id: string) => OutcomeRecord | undefined,
@@ -43,10 +49,10 @@
     this.dependencies = new DependencyGraph(clock, outcomeOf);
   }
 
-  /** Starts anew from the replica. */
+  /** Replaces the contents of the index with those of the replica. */
   load(mirror: Mirror): void {
     this.jobs.clear();
-    this.blocked.clear();
+    this.blockedJobs.clear();
     this.dependencies.clear();
     this.ledgers.clear();
     for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
@@ -55,7 +61,7 @@
       this.applyValue(key, value, version);
   }
 
-  /** Follows changes of the store. */
+  /** Applies changes of the store. */
   applyChanges(changes: Change[]): void {
     for (const { key, value, version, deleted } of changes) {
       if (!deleted) this.applyValue(key, value, version);
@@ -64,52 +70,59 @@
     }
   }
 
-  /** Whether the record of the job is known here, be it ready or not. */
+  /** Whether the index has the record of the job, ready or not. */
   isOpen(id: string): boolean {
-    return this.jobs.has(id) || this.blocked.has(id);
+    return this.jobs.has(id) || this.blockedJobs.has(id);
   }
 
-  /** An open job by its id, be it ready or not. */
+  /** Returns an open job by its id, ready or not. */
   openJob(id: string): IndexedJob | undefined {
-    return this.jobs.get(id) ?? this.blocked.get(id);
+    return this.jobs.get(id) ?? this.blockedJobs.get(id);
   }
 
-  /** Whether a job with these dependencies could run at once. */
+  /** Whether a job with these dependencies would be ready immediately. */
   isReadyAfter(dependencies: Iterable<string>): boolean {
     return this.dependencies.areDone(dependencies);
   }
 
-  /** Whether the job can still become ready, and what it waits for. */
+  /**
+   * Whether the job is ready, waits for dependencies, or has dependencies that are cancelled or unknown here.
+   */
   dependencyState(id: string): DependencyState {
     return this.dependencies.stateOf(id, (other) => this.isOpen(other));
   }
 
-  /** What follows for a job from those that it needs and those that need it. */
+  /** What the job's dependencies and dependents imply for its place in the queue. */
   dependencyFactsOf(spec: JobSpec): DependencyFacts {
     return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.downstreamDemand(spec) };
   }
 
-  /** All that blocks have on record of the job, without entries that smaller ones have superseded. */
+  /**
+   * All ledger entries of the job in all blocks, without those that entries for fewer tasks have superseded.
+   */
   entriesOf(id: string): Iterable<IndexedEntry> {
     return this.ledgers.entriesOf(id);
   }
 
-  /** All tasks that are or may be on machines, those of ended jobs among them. */
+  /** All tasks that are or may be on machines, including tasks of ended jobs. */
   activeTasks(): Iterable<ActiveTask> {
     return this.ledgers.activeTasks();
   }
 
-  /** What the tasks on each machine take of it; machines without any are not in it. */
+  /** The resources that tasks use on each machine, by machine id. Machines without tasks are not included. */
   machineLoads(): ReadonlyMap<string, Resources> {
     return this.ledgers.machineLoads();
   }
 
-  /** How far one block, or all of them, are with the job. */
+  /** Numbers of the job's tasks that are done and active, in one block or in all blocks. */
   progress(id: string, block?: number): JobProgress {
     return this.ledgers.progress(id, block);
   }
 
-  /** The given jobs, by default all that are ready, in the order in which they are to start; `now` is the time of day. */
+  /**
+   * Sorts the given jobs, by default all ready jobs, by the order in which they are to start. `now` is the
+   * time of day in ms.
+   */
   inQueueOrder(
     queueOrder: QueueOrder,
     now: number,
@@ -118,7 +131,7 @@
     return queueOrder.sorted(jobs, (job) => this.asQueuedJob(job), now);
   }
 
-  /** What the job's place in the queue depends on. */
+  /** The properties of the job that determine its place in the queue. */
   asQueuedJob({ id, spec }: IndexedJob): QueuedJob {
     const { done, active } = this.progress(id);
     return {
@@ -129,7 +142,10 @@
     };
   }
 
-  /** The job's waiting tasks by block, without blocks that have none; those that are not dispatched yet come first. */
+  /**
+   * The job's waiting tasks by block. Tasks that are not dispatched yet come first; blocks without waiting
+   * tasks are omitted.
+   */
   waitingByBlock({ id, spec, taskRanges }: IndexedJob): WaitingTasks[] {
     const dispatched = new Map<number, number>();
     let undispatched = spec.tasks;
@@ -160,24 +176,24 @@
     const readySeenAt = this.jobs.get(id)?.readySeenAt ?? this.clock();
     const job = { ...record, id, version, readySeenAt };
     if (this.dependencies.isReady(id)) this.jobs.set(id, job);
-    else this.blocked.set(id, job);
+    else this.blockedJobs.set(id, job);
   }
 
   private applyOutcomeRecord(key: string, value: unknown): void {
-    const ended = jobOfOutcomeKey(key);
-    const outcome = ended === undefined ? undefined : parseOutcome(value);
-    if (ended === undefined || !outcome) return;
-    for (const ready of this.dependencies.recordOutcome(ended, outcome)) {
-      const job = this.blocked.get(ready);
+    const endedJobId = jobOfOutcomeKey(key);
+    const outcome = endedJobId === undefined ? undefined : parseOutcome(value);
+    if (endedJobId === undefined || !outcome) return;
+    for (const readyJobId of this.dependencies.recordOutcome(endedJobId, outcome)) {
+      const job = this.blockedJobs.get(readyJobId);
       if (!job) continue;
-      this.blocked.delete(ready);
-      this.jobs.set(ready, { ...job, readySeenAt: this.clock() });
+      this.blockedJobs.delete(readyJobId);
+      this.jobs.set(readyJobId, { ...job, readySeenAt: this.clock() });
     }
   }
 
   private remove(id: string): void {
     this.jobs.delete(id);
-    this.blocked.delete(id);
+    this.blockedJobs.delete(id);
     this.dependencies.remove(id);
   }
 }
--- a/src/placement/job-recorder.ts
+++ b/src/placement/job-recorder.ts
@@ -1,4 +1,7 @@
-/** Records the tasks of one job in chunks, which share the pages of the block's ledger with those of other jobs. */
+/**
+ * Records the tasks of one job in chunks. The chunks share the pages of the block's ledger with chunks of
+ * other jobs.
+ */
 import { fromRanges, toRanges } from '../base/ranges.js';
 import { compactEntryBytes, entryBytes, type LedgerEntry } from '../wire/ledger-records.js';
 import { isAssigned, type JobState, type Task } from './job-state.js';
@@ -6,10 +9,12 @@
 import type { LedgerLayout } from './ledger-layout.js';
 import type { TaskRecorder, WriteUrgency } from './task-recorder.js';
 
-/** What of a ledger's layout concerns its entries. */
+/** The parts of the ledger's layout that concern entries. */
 export type EntryLayout = Pick<LedgerLayout, 'chunkTasks' | 'isLegacy'>;
 
-/** Knows which chunks of the ledger record the job, and builds their entries from its state. */
+/**
+ * Maps the job's tasks to chunks of the ledger, and builds the entries of these chunks from the job's state.
+ */
 export class JobRecorder implements TaskRecorder, EntryBuilder {
   private readonly chunks = new Map<number, Chunk>();
 
@@ -19,24 +24,30 @@
     private readonly layout: EntryLayout,
   ) {}
 
-  /** Has the chunk of the task written anew; it gets its place in the ledger when this first happens. */
+  /**
+   * Marks the chunk of the task to be written again. The chunk is added to a page of the ledger at the first
+   * call.
+   */
   markDirty(index: number, urgency: WriteUrgency, now: number): void {
     this.markChunkDirty(index, urgency, now);
   }
 
-  /** The page that records the task; none before there is anything to record of its chunk. */
+  /** The page that records the task; undefined while nothing of its chunk has been recorded. */
   pageOf(index: number): LedgerPage | undefined {
     return this.chunks.get(this.chunkOf(index))?.page;
   }
 
-  /** Takes over where an entry of the stored ledger stands, or has its tasks recorded anew if its page is retired. */
+  /**
+   * Adds the chunk of a stored entry to its page. If that page is retired, marks the entry's tasks to be
+   * recorded in new chunks instead.
+   */
   restore(entry: LedgerEntry, pageIndex: number, now: number): void {
     const retired = this.ledger.retiredPages.get(pageIndex);
-    if (retired) this.recordAnew(entry, retired, now);
+    if (retired) this.recordInNewChunks(entry, retired, now);
     else this.addStoredChunk(entry, this.ledger.page(pageIndex));
   }
 
-  /** Drops the job's chunks from their pages. */
+  /** Removes the job's chunks from their pages. */
   remove(now: number): void {
     for (const chunk of this.chunks.values()) {
       chunk.page.removeChunk(chunk);
@@ -46,7 +57,7 @@
     this.chunks.clear();
   }
 
-  /** The entry as it should stand in the store. */
+  /** Builds the entry that the store should have for the chunk. */
   buildEntry(chunk: number): BuiltEntry {
     const active: LedgerEntry['active'] = [];
     const waiting: LedgerEntry['waiting'] = [];
@@ -56,8 +67,11 @@
     }
     const done = this.doneTasksOf(chunk);
     const { id, team, need } = this.job;
-    const size = this.layout.isLegacy ? {} : { chunkTasks: this.layout.chunkTasks };
-    return { entry: { id, chunk, team, ...need, active, waiting, done: toRanges(done), ...size }, done };
+    const chunkSizeField = this.layout.isLegacy ? {} : { chunkTasks: this.layout.chunkTasks };
+    return {
+      entry: { id, chunk, team, ...need, active, waiting, done: toRanges(done), ...chunkSizeField },
+      done,
+    };
   }
 
   /** Tasks of the chunk whose intent is not committed yet. */
@@ -77,7 +91,7 @@
     return done;
   }
 
-  private recordAnew(entry: LedgerEntry, retired: RetiredPage, now: number): void {
+  private recordInNewChunks(entry: LedgerEntry, retired: RetiredPage, now: number): void {
     const indices = [
       ...entry.active.map(([index]) => index),
       ...entry.waiting.map(([index]) => index),
@@ -113,7 +127,7 @@
     return Math.min(this.layout.chunkTasks, this.job.spec?.tasks ?? this.layout.chunkTasks);
   }
 
-  /** What the entry of a chunk needs room for. */
+  /** Number of bytes to reserve for the entry of a chunk. */
   private reservedBytesFor(chunk: number, tasks: number): number {
     return this.layout.isLegacy ? entryBytes(tasks) : compactEntryBytes(this.buildEntry(chunk).entry, tasks);
   }
