--- a/src/placement/block-machines.ts
+++ b/src/placement/block-machines.ts
@@ -1,29 +1,35 @@
-/** The machines of one block, as its owner knows them. */
+/** The machines of one block, as seen by the controller that owns the block. */
 import type { Clock } from '../base/clock.js';
 import { RecentNames } from '../base/recent-names.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import { MachineState } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Follows the block's record, and remembers machines that are proven terminated. */
+/** Applies the block's record to the block's machines, and remembers machines that are proven terminated. */
 export class BlockMachines {
   readonly byId = new Map<string, MachineState>();
-  /** Terminated machines, however long the block's record or a late heartbeat still names them. */
+  /** Terminated machines, including those that the block's record or a delayed heartbeat still names. */
   private readonly terminated: RecentNames;
-  /** Machines with tasks that they should not have: their teams are charged for them all the same. */
-  private readonly withOrphans = new Set<MachineState>();
+  /**
+   * Machines that run orphaned tasks, i.e. tasks not assigned to them. These tasks still count as usage of
+   * their teams.
+   */
+  private readonly machinesWithOrphans = new Set<MachineState>();
 
-  /** `rememberTerminatedMs`: long enough for the leader to take a terminated machine out of the block's record. */
+  /**
+   * `terminatedRetentionMs`: how long a terminated machine is remembered. It has to be long enough for the
+   * leader to remove the machine from the block's record.
+   */
   constructor(
     private readonly clock: Clock,
-    rememberTerminatedMs: number,
+    terminatedRetentionMs: number,
   ) {
-    this.terminated = new RecentNames(clock, rememberTerminatedMs);
+    this.terminated = new RecentNames(clock, terminatedRetentionMs);
   }
 
   /**
-   * Takes over which machines the block has. A machine is taken out of a block only when it is empty; should it not be, its
-   * tasks keep their place until the cloud proves them gone.
+   * Applies the block's list of machines. The leader removes only empty machines from a block. If a removed
+   * machine still has tasks, these tasks stay assigned to it until the cloud proves that the machine is gone.
    */
   applyRecord({ machines }: BlockRecord): void {
     const listed = new Set(machines.map(({ id }) => id));
@@ -37,12 +43,15 @@
     }
     for (const machine of this.byId.values()) {
       if (listed.has(machine.id)) continue;
-      if (machine.tasks.size === 0) this.forget(machine.id);
+      if (machine.tasks.size === 0) this.remove(machine.id);
       else machine.draining = true;
     }
   }
 
-  /** The machine with this name; one that neither the record nor a ledger has named yet is added. */
+  /**
+   * Returns the machine with this id, and adds it if neither the block's record nor the ledger has named it
+   * before.
+   */
   ensure(id: string): MachineState {
     let machine = this.byId.get(id);
     if (!machine) {
@@ -52,45 +61,45 @@
     return machine;
   }
 
-  /** Forgets a machine of which the cloud has proven that it is gone, and remembers that it is. */
+  /** Removes a machine that the cloud has proven to be gone, and remembers it as terminated. */
   removeTerminated(id: string): void {
     this.terminated.add(id);
-    this.forget(id);
+    this.remove(id);
   }
 
-  /** Whether the cloud has lately proven the machine gone. */
+  /** Whether the cloud has proven within the retention time that the machine is gone. */
   isTerminated(id: string): boolean {
     return this.terminated.has(id);
   }
 
-  /** Machines proven gone since this steady time. */
+  /** Machines proven terminated at or after `time`, in ms of monotonic time. */
   terminatedSince(time: number): string[] {
     return this.terminated.since(time);
   }
 
-  /** Machines whose first heartbeat came since this steady time. */
+  /** Machines whose first heartbeat was received at or after `time`, in ms of monotonic time. */
   upSince(time: number): string[] {
     return [...this.byId.values()]
       .filter((machine) => machine.hasSentHeartbeat && machine.firstHeartbeatAt >= time)
       .map(({ id }) => id);
   }
 
-  /** Notes whether the machine's last heartbeat named tasks that it should not have. */
-  noteOrphans(machine: MachineState): void {
-    if (machine.orphanedTasks.length > 0) this.withOrphans.add(machine);
-    else this.withOrphans.delete(machine);
+  /** Records whether the machine's latest heartbeat reported orphaned tasks. */
+  trackOrphans(machine: MachineState): void {
+    if (machine.orphanedTasks.length > 0) this.machinesWithOrphans.add(machine);
+    else this.machinesWithOrphans.delete(machine);
   }
 
-  /** Adds what those tasks take of the limits of their teams. */
+  /** Adds the resources of orphaned tasks to the usage of their teams. */
   addOrphanUsage(usage: TeamUsage): void {
-    for (const machine of this.withOrphans) {
+    for (const machine of this.machinesWithOrphans) {
       for (const { team, need } of machine.orphanedTasks) if (team !== undefined) usage.add(team, need);
     }
   }
 
-  private forget(id: string): void {
+  private remove(id: string): void {
     const machine = this.byId.get(id);
-    if (machine) this.withOrphans.delete(machine);
+    if (machine) this.machinesWithOrphans.delete(machine);
     this.byId.delete(id);
   }
 }
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -1,4 +1,4 @@
-/** All that the owner of a block knows of its jobs, tasks and machines. */
+/** The in-memory state of a block at its owner: the block's jobs, tasks and machines. */
 import type { Clock } from '../base/clock.js';
 import type { Heartbeat, JobSpec } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
@@ -28,39 +28,49 @@
 import { TeamUsage } from './team-usage.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-/** What the state of a block begins with. */
+/** The initial inputs of a block's state. */
 export interface BlockStateOptions {
   /** Number of the block. */
   block: number;
-  /** How the ledger is laid out; where it has smaller entries already, these keep their size. */
+  /**
+   * Layout of the ledger. If stored entries cover fewer tasks than this layout has per entry, their size is
+   * kept.
+   */
   layout: LedgerLayout;
   heartbeatIntervalMs: number;
   clock: Clock;
-  /** Time of day in ms, by which jobs are dated; by default that of the machine. */
+  /** Returns the time of day in ms, the time base of job timestamps; by default the system clock. */
   wallClock?: () => number;
-  /** By default jobs have no objectives. */
+  /** Order in which waiting jobs start; by default no job has objectives. */
   queueOrder?: QueueOrder;
-  /** What follows for a job from those that it needs and those that need it; by default nothing does. */
+  /**
+   * Returns what a job's dependencies and dependents imply for it; by default the job is treated as having
+   * none.
+   */
   dependencyFactsOf?: (spec: JobSpec) => DependencyFacts;
-  /** The teams of the settings: the block may use a share of the limits that they have. */
+  /** The teams from the settings. The block may use its share of their limits. */
   teams: ReadonlyMap<string, Team>;
 }
 
-/** The queue of waiting jobs is sorted again after this part of a heartbeat interval. */
-const resortAfterHeartbeats = 0.25;
-/** How long terminated machines are remembered: the leader takes them out of the block's record meanwhile. */
-const rememberTerminatedHeartbeats = 60;
+/** The queue of waiting jobs is sorted again after this fraction of a heartbeat interval. */
+const resortIntervalHeartbeats = 0.25;
+/**
+ * How long terminated machines are remembered, in heartbeat intervals. The leader removes them from the
+ * block's record within this time.
+ */
+const terminatedRetentionHeartbeats = 60;
 
 /**
- * Rebuilt from the store when the lease of the block begins; from then on it follows the block's record, the records and
- * outcomes of jobs, and the heartbeats of machines. No task leaves a machine here without evidence, and what changes is
- * marked for the ledger at once.
+ * The state of one block. It is rebuilt from the store when the lease of the block begins. From then on it
+ * follows the block's record, the records and outcomes of jobs, and the heartbeats of machines. A task is
+ * removed from its machine only on evidence that the machine does not have it, and every change is marked for
+ * the ledger at once.
  */
 export class BlockState implements FindingTarget {
-  /** The jobs of which this block has tasks. */
+  /** The jobs that have tasks in this block. */
   readonly jobs = new Map<string, JobState>();
   readonly ledger: Ledger;
-  /** The first pause of a job whose task has failed, in ms. */
+  /** Initial back-off in ms after a task of a job has failed. */
   readonly firstRetryPauseMs: number;
   private readonly blockMachines: BlockMachines;
   private readonly quotas: TeamQuotas;
@@ -76,7 +86,7 @@
     this.firstRetryPauseMs = heartbeatIntervalMs;
     this.ledger = new Ledger(layout.pageBytes);
     this.owningBlock = { block, createRecorder: (job) => new JobRecorder(job, this.ledger, this.layout) };
-    this.blockMachines = new BlockMachines(clock, heartbeatIntervalMs * rememberTerminatedHeartbeats);
+    this.blockMachines = new BlockMachines(clock, heartbeatIntervalMs * terminatedRetentionHeartbeats);
     this.quotas = new TeamQuotas(teams);
     this.queue = new WaitingQueue({
       jobs: this.jobs,
@@ -84,7 +94,7 @@
       dependencyFactsOf: options.dependencyFactsOf,
       clock,
       wallClock: options.wallClock ?? Date.now,
-      maxAgeMs: heartbeatIntervalMs * resortAfterHeartbeats,
+      maxAgeMs: heartbeatIntervalMs * resortIntervalHeartbeats,
     });
   }
 
@@ -93,17 +103,19 @@
     return this.options.block;
   }
 
-  /** Version of the block's record that this state follows; 0 before the first. */
+  /** Version of the block's record that this state reflects; 0 before the first record. */
   get version(): number {
     return this.blockVersion;
   }
 
-  /** The block's machines by name, whether the block's record or only its ledger names them. */
+  /** The block's machines by id, including machines that only the ledger names. */
   get machines(): ReadonlyMap<string, MachineState> {
     return this.blockMachines.byId;
   }
 
-  /** Takes over the jobs and the ledger of the block as the replica of the store has them. Called once, first of all. */
+  /**
+   * Loads the block's jobs and ledger from the replica of the store. Called once, before all other methods.
+   */
   load(mirror: Mirror): void {
     const pages = storedPages(mirror, this.block);
     this.layout = keepStoredChunkSize(this.options.layout, pages);
@@ -117,7 +129,9 @@
     }
   }
 
-  /** Takes over the block's record, in which the leader says what machines and shares of limits the block has. */
+  /**
+   * Applies the block's record, in which the leader sets the block's machines and its shares of team limits.
+   */
   applyBlockRecord(record: BlockRecord, version: number): void {
     this.blockVersion = version;
     this.quotas.shares = record.quotaShares;
@@ -126,36 +140,40 @@
   }
 
   /**
-   * Follows what other controllers commit of jobs: their records, the ranges of their tasks, their outcomes. The ledger of the
-   * block is not among it: only its owner writes it. True if any of it concerns this block.
+   * Applies changes that other controllers have committed to jobs: their records with the task ranges, and
+   * their outcomes. Changes of the block's ledger are not included, since only the block's owner writes the
+   * ledger. Returns true if any change affects this block.
    */
   applyChanges(changes: Change[]): boolean {
-    let concerned = false;
+    let affectsBlock = false;
     for (const change of changes) {
       const job = this.applyChange(change);
-      concerned ||= job !== undefined;
+      affectsBlock ||= job !== undefined;
     }
-    return concerned;
+    return affectsBlock;
   }
 
-  /** Open jobs with waiting tasks, those first that are to start first. */
+  /** Open jobs with waiting tasks, sorted by the order in which they are to start. */
   waitingJobs(): JobState[] {
     return this.queue.jobs();
   }
 
-  /** The last task that this block has of the job is done. */
+  /** Records that all tasks of the job in this block are done. */
   noteCompleted(job: JobState): void {
     this.completedJobs.add(job);
   }
 
-  /** Jobs of which the last task here has completed since this was last asked. */
+  /** Returns the jobs whose last task in this block has completed since the previous call. */
   takeCompletedJobs(): JobState[] {
     const completed = [...this.completedJobs];
     this.completedJobs.clear();
     return completed;
   }
 
-  /** Nothing more of the job is started. Machines with tasks of it whose response is held hear of it at once. */
+  /**
+   * Records the job's outcome, after which none of its tasks is started. Machines that run tasks of the job
+   * and whose heartbeat response is held open receive the response at once.
+   */
   endJob(job: JobState, outcome: Outcome): void {
     this.queue.invalidate();
     job.outcome ??= outcome;
@@ -163,31 +181,37 @@
     for (const task of job.tasks.values()) this.machineOf(task)?.sendHeldResponse?.();
   }
 
-  /** Whether the cloud has lately proven the machine gone. */
+  /** Whether the cloud has lately proven that the machine is gone. */
   isTerminated(machine: string): boolean {
     return this.blockMachines.isTerminated(machine);
   }
 
-  /** Machines proven gone since this steady time, for the leader. */
+  /** Machines proven terminated at or after `time`, in ms of monotonic time; the leader uses them. */
   machinesTerminatedSince(time: number): string[] {
     return this.blockMachines.terminatedSince(time);
   }
 
-  /** Machines whose first heartbeat came since this steady time, for all who dispatch tasks to blocks. */
+  /**
+   * Machines whose first heartbeat was received at or after `time`, in ms of monotonic time; used wherever
+   * tasks are dispatched to blocks.
+   */
   machinesUpSince(time: number): string[] {
     return this.blockMachines.upSince(time);
   }
 
-  /** Brings machine and tasks in line with the heartbeat, and returns what it proves and what to command. */
+  /**
+   * Updates the machine and its tasks from the heartbeat. Returns what the heartbeat proves and which
+   * commands to send.
+   */
   applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
     const result = reconcile(machine, heartbeat, { now, mayStart, jobs: this.jobs });
-    this.blockMachines.noteOrphans(machine);
+    this.blockMachines.trackOrphans(machine);
     for (const finding of result.findings) applyFinding(this, machine, finding, now);
     return result;
   }
 
-  /** Has the tasks of a machine wait again that the cloud has proven gone; returns them. */
+  /** Removes a machine that is proven terminated, requeues its tasks and returns them. */
   removeTerminated(id: string): Task[] {
     const tasks = [...(this.machines.get(id)?.tasks.values() ?? [])];
     for (const task of tasks) this.unassign(task);
@@ -195,24 +219,30 @@
     return tasks;
   }
 
-  /** The machine that the task is on or is to start on, as far as the block knows it. */
+  /**
+   * The machine that the task is assigned to; undefined if the task waits or the block does not have the
+   * machine.
+   */
   machineOf({ machine }: Task): MachineState | undefined {
     return machine === undefined ? undefined : this.machines.get(machine);
   }
 
-  /** Counts a task among those of the machine that was chosen for it. */
+  /** Adds a task to the tasks of the machine that was chosen for it. */
   addTask(task: Task, machine: MachineState): void {
     machine.tasks.set(keyOfTask(task), task);
   }
 
-  /** Has a task wait again of which it is proven that no machine has it. */
+  /** Requeues a task once it is proven that no machine has the task. */
   unassign(task: Task): void {
     this.queue.invalidate();
     this.machineOf(task)?.tasks.delete(keyOfTask(task));
     task.job.unassignTask(task, this.options.clock());
   }
 
-  /** What every task takes that is or may be on a machine: seen or not, saving its state, or out of reach. */
+  /**
+   * The resources of all tasks that are or may be on machines, by team. This includes tasks that no heartbeat
+   * has reported yet, tasks that are saving a checkpoint, and tasks on unreachable machines.
+   */
   teamUsage(): TeamUsage {
     const usage = new TeamUsage();
     for (const job of this.jobs.values())
@@ -221,14 +251,18 @@
     return usage;
   }
 
-  /** The team with what this block may use of its limits; undefined where the settings do not know it. */
-  teamWithinShares(name: string): Team | undefined {
-    return this.quotas.teamWithinShare(name);
+  /**
+   * The team with its limits reduced to this block's share; undefined if the settings do not have the team.
+   */
+  teamWithBlockShare(name: string): Team | undefined {
+    return this.quotas.teamWithBlockShare(name);
   }
 
   /**
-   * An intent was chosen under an earlier record of the block, and its next commit is conditioned on this one. What this
-   * record no longer allows must not ride along: the leader may have given the room to another block already.
+   * Withdraws uncommitted intents that the block's present record does not allow. An intent may have been
+   * chosen under an earlier record, but its next commit is conditioned on the present one, so a disallowed
+   * intent must not be part of that commit: the leader may already have given the machine or the quota to
+   * another block.
    */
   private withdrawDisallowedIntents(): void {
     const placing = [...this.jobs.values()].flatMap((job) => (job.activeCount > 0 ? job.placingTasks() : []));
@@ -238,13 +272,16 @@
       const { team, need } = task.job;
       const machine = this.machineOf(task);
       const mayBeUsed = machine !== undefined && !machine.draining;
-      if (mayBeUsed && !usage.exceedsLimit(this.teamWithinShares(team))) continue;
+      if (mayBeUsed && !usage.exceedsLimit(this.teamWithBlockShare(team))) continue;
       usage.add(team, need, -1);
       this.unassign(task);
     }
   }
 
-  /** Drops intents that are not committed and now never will be; where that commit is under way, it decides. */
+  /**
+   * Withdraws the job's intents that are not committed and will not be. If a commit of the page is under way,
+   * its outcome decides.
+   */
   private withdrawIntents(job: JobState): void {
     for (const task of [...job.tasks.values()]) {
       if (task.phase === 'placing' && job.recorder.pageOf(task.index)?.isCommitting !== true)
@@ -252,7 +289,7 @@
     }
   }
 
-  /** Returns the job of this block that the change concerns. */
+  /** Returns the job of this block that the change affects, if any. */
   private applyChange({ key, value, version, deleted }: Change): JobState | undefined {
     if (deleted) return this.applyDeletion(key);
     if (key.startsWith('job/')) return this.applyJobRecord(key, value, version);
@@ -262,7 +299,10 @@
     return job;
   }
 
-  /** The record goes in the same commit as the outcome comes, and after a gap in the changes its loss may be all there is. */
+  /**
+   * The commit that writes a job's outcome also deletes the job's record. After a gap in the stream of
+   * changes, this deletion may be the only change that is received, so it ends the job as well.
+   */
   private applyDeletion(key: string): JobState | undefined {
     if (!key.startsWith('job/')) return undefined;
     const job = this.jobs.get(key.slice('job/'.length));
@@ -282,9 +322,10 @@
     }
     this.queue.invalidate();
     job.assignRanges(taskRanges, version);
-    // Ranges that the leader took back had not started; intents for them that are under way will fail.
+    // The leader takes back only tasks that have not started. A task outside the new ranges has at most an
+    // uncommitted intent, and a commit of that intent that is under way will fail.
     for (const task of [...job.tasks.values()]) {
-      if (task.phase === 'placing' && !job.held.has(task.index)) this.unassign(task);
+      if (task.phase === 'placing' && !job.dispatchedRanges.has(task.index)) this.unassign(task);
     }
     return job;
   }
--- a/src/placement/held-ranges.ts
+++ b/src/placement/dispatched-ranges.ts
@@ -1,23 +1,26 @@
-/** Which tasks of a job the leader has assigned to one block. */
+/** The ranges of a job's tasks that the leader has dispatched to one block. */
 import type { TaskRange } from '../wire/job-records.js';
 
-/** For most jobs these are all tasks, in a single range. */
-export class HeldRanges {
-  /** The block's ranges, by their first task. */
+/** The block's task ranges of one job; for most jobs a single range with all tasks. */
+export class DispatchedRanges {
+  /** The block's ranges, sorted by their first task. */
   readonly ranges: readonly TaskRange[];
-  /** How many tasks they have. */
+  /** Number of tasks in the block's ranges. */
   readonly count: number;
-  /** Of the blocks that have tasks of the job, the one with its first range commits its outcome. */
+  /**
+   * Whether the block has the job's first range. If several blocks have tasks of the job, the owner of this
+   * block commits the job's outcome.
+   */
   readonly includesFirstRange: boolean;
 
-  /** `allRanges`: those of all blocks, as the job's record has them. */
+  /** `allRanges`: the ranges of all blocks, as in the job's record. */
   constructor(allRanges: readonly TaskRange[], block: number) {
     this.ranges = allRanges.filter((range) => range.block === block).sort((a, b) => a.first - b.first);
     this.count = this.ranges.reduce((sum, range) => sum + range.count, 0);
     this.includesFirstRange = allRanges[0]?.block === block;
   }
 
-  /** Whether the task is the block's. */
+  /** Whether the task is in one of the block's ranges. */
   has(index: number): boolean {
     return this.ranges.some(({ first, count }) => index >= first && index < first + count);
   }
--- a/src/placement/job-completion.test.ts
+++ b/src/placement/job-completion.test.ts
@@ -4,9 +4,10 @@
 import { createBlockStage, emptyReport, machineToken } from '../testing/block-stage.js';
 import type { MachineState } from './machine-state.js';
 
-// Guards against outcomes that wait for their turn while the block's record changes: nearly all that a controller committed
-// for minutes on end was turned down, its intents among them.
-test("a job's outcome is conditioned on the job alone", async () => {
+// Guards against outcome commits that are conditioned on the block's record. The record changes while the
+// commits wait to be sent, so for minutes the store rejected nearly every commit of a controller, including
+// its intents.
+test("the commit of a job's outcome is conditioned on the job alone", async () => {
   const ends: string[][] = [];
   const stage = createBlockStage((conditions) => {
     const keys = conditions.map((c) => c.key);
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -10,53 +10,65 @@
 import type { JobIndex } from './job-index.js';
 import type { JobState } from './job-state.js';
 
-/** Outcomes under way may take so many seconds of a controller's even share of the changes. */
-const outcomesUnderWayS = 2;
-/** After a failed commit a job is left alone for this part of a heartbeat interval. */
-const retryHeartbeats = 1 / 4;
+/**
+ * Limit of the outcome commits in flight, in seconds' worth of a controller's even share of the store's
+ * changes.
+ */
+const outcomesInFlightS = 2;
+/**
+ * After a failed commit, the job's outcome is not committed again for this fraction of a heartbeat interval.
+ */
+const retryDelayHeartbeats = 1 / 4;
 
-/** What the completion of jobs uses. */
+/** The dependencies and settings of job completion. */
 export interface JobCompletionPorts {
   clock: Clock;
-  /** Time of day in ms, by which the end of a job is dated. */
+  /** Returns the time of day in ms, which is recorded as the end of a job. */
   wallClock: () => number;
   log: Log;
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'controllers' | 'state'>;
   commits: Pick<CommitQueue, 'commit' | 'full'>;
   blockState: BlockState;
-  /** Ends with the lease of the block. */
+  /** Fires when the lease of the block ends. */
   signal: AbortSignal;
   jobIndex: Pick<JobIndex, 'progress'>;
-  /** An outcome has been committed, or turned down. */
+  /** Called after an outcome commit has been applied or rejected. */
   onOutcomeSettled: () => void;
 }
 
 /**
- * Commits the outcome of jobs that are done, and takes ended jobs off the block once nothing of them is left on machines. The
- * outcome of a job is decided once, whoever commits it.
+ * Commits the outcome of jobs whose tasks are all done, and removes ended jobs from the block once none of
+ * their tasks is on a machine. Only the first commit of a job's outcome succeeds, whichever controller makes
+ * it.
  */
 export class JobCompletion {
-  /** Outcomes that are being committed. They take turns with the pages: both wait for the same changes. */
-  private outcomesUnderWay = 0;
-  private readonly maxOutcomesUnderWay: number;
+  /**
+   * Number of outcome commits in flight. Outcomes and ledger pages use the same budget of changes and take
+   * turns.
+   */
+  private outcomesInFlight = 0;
+  private readonly maxOutcomesInFlight: number;
 
   constructor(private readonly ports: JobCompletionPorts) {
     const { controllers, state } = ports.settings;
-    const changes = (state.writeRps * outcomesUnderWayS) / controllers;
-    this.maxOutcomesUnderWay = Math.max(1, Math.floor(changes / changesPerOutcome));
+    const changes = (state.writeRps * outcomesInFlightS) / controllers;
+    this.maxOutcomesInFlight = Math.max(1, Math.floor(changes / changesPerOutcome));
   }
 
-  /** Looks at every job of the block. */
+  /** Checks every job of the block. */
   checkAllJobs(): void {
-    for (const job of this.ports.blockState.jobs.values()) this.endOrRemove(job);
+    for (const job of this.ports.blockState.jobs.values()) this.commitOutcomeOrRemove(job);
   }
 
-  /** Looks at the jobs that have just been completed: users wait for their end, and so do the jobs that need them. */
+  /**
+   * Checks the jobs that have completed since the last call. Users and dependent jobs wait for their
+   * outcomes.
+   */
   checkCompletedJobs(): void {
-    for (const job of this.ports.blockState.takeCompletedJobs()) this.endOrRemove(job);
+    for (const job of this.ports.blockState.takeCompletedJobs()) this.commitOutcomeOrRemove(job);
   }
 
-  private endOrRemove(job: JobState): void {
+  private commitOutcomeOrRemove(job: JobState): void {
     if (job.isCommittingOutcome) return;
     if (job.outcome) this.removeIfIdle(job);
     else if (this.mayCommitOutcome && job.isComplete && this.isCompleteInAllBlocks(job))
@@ -71,31 +83,37 @@
   }
 
   private get mayCommitOutcome(): boolean {
-    return this.outcomesUnderWay < this.maxOutcomesUnderWay && !this.ports.commits.full;
+    return this.outcomesInFlight < this.maxOutcomesInFlight && !this.ports.commits.full;
   }
 
-  /** Completed tasks stay so, which is why a late view of the other blocks' pages is enough. */
+  /**
+   * The replica may lag behind the ledgers of other blocks. This is safe, since a completed task stays
+   * completed.
+   */
   private isCompleteInAllBlocks(job: JobState): boolean {
-    if (job.holdsAllTasks) return true;
-    // Only one of the owners commits: rivals would only spend writes on conflicts.
-    if (!job.held.includesFirstRange || !job.isCompleteCommitted || !job.spec) return false;
+    if (job.hasAllTasks) return true;
+    // Only the owner of the block with the job's first range commits the outcome: competing commits would
+    // only spend writes on conflicts.
+    if (!job.dispatchedRanges.includesFirstRange || !job.isCompleteCommitted || !job.spec) return false;
     return this.ports.jobIndex.progress(job.id).done === job.spec.tasks;
   }
 
   /**
-   * Not conditioned on the block: that all tasks are done stays true whoever has it, and its record changes so often that
-   * outcomes which wait for their turn would be turned down again and again.
+   * Commits the outcome of the job. The commit is not conditioned on the block's record: that all tasks are
+   * done stays true whichever controller owns the block. The record also changes so often that outcomes which
+   * wait to be sent would be rejected repeatedly.
    */
   private async commitOutcome(job: JobState): Promise<void> {
     const { blockState, settings, signal, log, onOutcomeSettled } = this.ports;
     job.isCommittingOutcome = true;
-    this.outcomesUnderWay++;
+    this.outcomesInFlight++;
     try {
       const result = await this.startCommit(job);
       if (result.kind === 'applied') blockState.endJob(job, 'done');
-      this.outcomesUnderWay--;
-      // Ended already, by this commit after all, by another block's owner or by a user: the store's changes tell which.
-      if (result.kind !== 'applied') await sleep(settings.heartbeatIntervalMs * retryHeartbeats, signal);
+      this.outcomesInFlight--;
+      // The job may have ended already: by this commit after all, by the owner of another block or by a user.
+      // The changes of the store will show which.
+      if (result.kind !== 'applied') await sleep(settings.heartbeatIntervalMs * retryDelayHeartbeats, signal);
       job.isCommittingOutcome = false;
       onOutcomeSettled();
     } catch (error) {
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -1,33 +1,37 @@
-/** The tasks that one block has of a job, and what each of them is at. */
+/** The tasks of one job in one block, with the phase of each task. */
 import { fromRanges } from '../base/ranges.js';
 import { type JobSpec, type Resources, taskKey } from '../model/types.js';
 import type { Outcome, TaskRange } from '../wire/job-records.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
-import { HeldRanges } from './held-ranges.js';
+import { DispatchedRanges } from './dispatched-ranges.js';
 import type { TaskRecorder } from './task-recorder.js';
 
 /**
- * `waiting`: on no machine. `placing`: a machine is chosen in memory only, and must not hear of it. `placed`: the intent is
- * committed, so the machine may have been told to start the task. `seen`: the machine has reported it.
+ * `waiting`: the task is on no machine. `placing`: a machine is chosen in memory only; the machine must not
+ * receive the task yet. `placed`: the intent is committed, so the machine may have received the command to
+ * start the task. `seen`: the machine has reported the task.
  */
 export type TaskPhase = 'waiting' | 'placing' | 'placed' | 'seen';
 
-/** A task that has been started at least once, or is about to be. */
+/** A task that has been started at least once or is about to be started. */
 export interface Task {
   readonly job: JobState;
-  /** Its number within the job, from 0. */
+  /** Index of the task within its job, from 0. */
   readonly index: number;
-  /** How often it has been placed; workers tell its attempts apart by this number. */
+  /** Number of times the task has been placed. Workers distinguish the attempts of a task by this number. */
   attempt: number;
   phase: TaskPhase;
-  /** The machine that it is on or is to start on; undefined while it waits. */
+  /** Id of the machine that runs the task or is to start it; undefined while the task waits. */
   machine: string | undefined;
   running: boolean;
-  /** Steady time in ms at which its machine was first told to start it. */
+  /** Monotonic time in ms at which the start command was first sent to the machine. */
   startSentAt: number | undefined;
-  /** Steady time in ms at which it was first seen running. */
+  /** Monotonic time in ms at which a heartbeat first reported the task as running. */
   runningSince: number | undefined;
-  /** To be stopped, since it runs far longer than other tasks of its job: it starts again elsewhere. */
+  /**
+   * The task is a straggler: it runs far longer than other tasks of its job, and is stopped to start on
+   * another machine.
+   */
   stopping: boolean;
 }
 
@@ -37,44 +41,47 @@
   machine: string;
 }
 
-/** The block that has the tasks of a job, and how it records them. */
+/** The block that a job's tasks belong to, with the factory for the recorder of its tasks. */
 export interface OwningBlock {
   /** Number of the block. */
   readonly block: number;
   createRecorder: (job: JobState) => TaskRecorder;
 }
 
-/** What the state of a job begins with. */
+/** The initial inputs of a job's state. */
 export interface JobStateOptions {
   id: string;
-  /** Unknown once the job's record has gone. */
+  /** Undefined once the job's record has been deleted. */
   spec: JobSpec | undefined;
   team: string;
-  /** What one task takes of its machine and of its team's limit. */
+  /** Resources that one task uses of its machine and of its team's limit. */
   need: Resources;
-  /** Version of the job's record; 0 once the record has gone. */
+  /** Version of the job's record; 0 once the record has been deleted. */
   version: number;
   owner: OwningBlock;
 }
 
-/** The pause after repeated failures of a job's tasks doubles from one heartbeat interval up to this. */
-const maxRetryPauseMs = 60_000;
-const maxRetryPauseDoublings = 10;
+/**
+ * Upper bound of a job's back-off after repeated task failures. The back-off starts at one heartbeat interval
+ * and doubles with each failure.
+ */
+const maxRetryBackoffMs = 60_000;
+const maxRetryBackoffDoublings = 10;
 
 /** Whether the task is, may be or is about to be on a machine. */
 export function isAssigned(task: Task): task is AssignedTask {
   return task.phase !== 'waiting';
 }
 
-/** The name of the task among those of its machine. */
+/** The key of the task in the task map of its machine. */
 export function keyOfTask({ job, index }: Task): string {
   return taskKey({ job: job.id, index });
 }
 
 /**
- * What one block has of a job: for most jobs all its tasks, else the ranges that the leader has dispatched to it. Tasks
- * that never started exist only as numbers, so 100,000 of them cost little. Whatever changes of a task is marked for the
- * ledger in the same step.
+ * The state of a job in one block: for most jobs all tasks, otherwise the ranges that the leader has
+ * dispatched to the block. A task that has never been started is represented by its index alone, so 100,000
+ * such tasks cost little. Every change of a task is marked for the ledger in the same step.
  */
 export class JobState {
   readonly id: string;
@@ -82,29 +89,34 @@
   readonly team: string;
   readonly need: Resources;
   readonly recorder: TaskRecorder;
-  /** Version of the job's record that this state follows. */
+  /** Version of the job's record that this state reflects. */
   version: number;
-  /** The version of its record that the store has turned down: no task is placed until a newer one is read. */
+  /**
+   * Version of the job's record that the store has rejected as a commit condition. No task is placed until a
+   * newer version is read.
+   */
   rejectedVersion: number | undefined;
-  /** The tasks that are this block's. */
-  held: HeldRanges;
-  /** Tasks that are or were on a machine and are not done, and those about to start, by index. */
+  /** The job's tasks that belong to this block. */
+  dispatchedRanges: DispatchedRanges;
+  /**
+   * Tasks by index: tasks that are or were on a machine and are not done, and tasks that are about to start.
+   */
   readonly tasks = new Map<number, Task>();
   /** Set once the job has ended. */
   outcome: Outcome | undefined;
-  /** A commit of the job's outcome is under way. */
+  /** True while a commit of the job's outcome is under way. */
   isCommittingOutcome = false;
-  /** Steady time in ms before which no task of the job is started, since tasks have failed lately. */
+  /** Monotonic time in ms before which no task of the job is started, because tasks have failed recently. */
   retryAt = 0;
-  /** Completed tasks that were seen running. */
+  /** Number of completed tasks that heartbeats have reported as running. */
   completedRuns = 0;
-  /** The longest that one of them ran, in ms. */
+  /** Longest run time among these tasks, in ms. */
   maxRunMs = 0;
   private readonly block: number;
   private readonly doneTasks = new Set<number>();
   private readonly committedDoneTasks = new Set<number>();
   private failureCount = 0;
-  /** No task with a lower number has yet to start for the first time. */
+  /** Every task of this block with a lower index has been started at least once. */
   private nextUnstarted = 0;
   private assignedCount = 0;
 
@@ -115,17 +127,20 @@
     this.need = need;
     this.version = version;
     this.block = owner.block;
-    this.held = new HeldRanges([], owner.block);
+    this.dispatchedRanges = new DispatchedRanges([], owner.block);
     this.recorder = owner.createRecorder(this);
   }
 
-  /** An open job as its record has it, so far without any tasks of this block. */
+  /** Creates an open job from its record. The job has no tasks in this block yet. */
   static fromSpec(spec: JobSpec, version: number, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = spec;
     return new JobState({ id, spec, team, need: { cpus, accelerators, memoryGb }, version, owner });
   }
 
-  /** A job whose record has gone: it has ended, yet tasks of it may still be on machines. */
+  /**
+   * Creates a job whose record has been deleted. The job has ended, but some of its tasks may still be on
+   * machines.
+   */
   static fromLedgerEntry(entry: LedgerEntry, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = entry;
     const need = { cpus, accelerators, memoryGb };
@@ -134,47 +149,51 @@
     return job;
   }
 
-  /** Follows the job's record, in which the leader assigns its tasks to blocks. */
+  /** Applies the job's record, in which the leader assigns the job's tasks to blocks. */
   assignRanges(allRanges: readonly TaskRange[], version: number): void {
     this.version = version;
-    this.held = new HeldRanges(allRanges, this.block);
-    this.nextUnstarted = this.held.ranges[0]?.first ?? 0;
-    // A task whose intent was never committed is nothing but a number, and may now be another block's: were it kept,
-    // two blocks would start it.
+    this.dispatchedRanges = new DispatchedRanges(allRanges, this.block);
+    this.nextUnstarted = this.dispatchedRanges.ranges[0]?.first ?? 0;
+    // A task whose intent was never committed may now belong to another block. It is removed here, so that
+    // two blocks cannot start it; it remains as an index only.
     for (const task of this.tasks.values()) {
-      if (!isAssigned(task) && !this.held.has(task.index)) this.tasks.delete(task.index);
+      if (!isAssigned(task) && !this.dispatchedRanges.has(task.index)) this.tasks.delete(task.index);
     }
   }
 
-  /** How many tasks are, may be or are about to be on machines. */
+  /** Number of tasks that are, may be or are about to be on machines. */
   get activeCount(): number {
     return this.assignedCount;
   }
 
-  /** How many of the block's tasks are done, committed or not. */
+  /** Number of the block's tasks that are done, committed or not. */
   get doneCount(): number {
     return this.doneTasks.size;
   }
 
-  /** All of the job's tasks are this block's. */
-  get holdsAllTasks(): boolean {
-    return this.held.count === this.spec?.tasks;
+  /** Whether all tasks of the job belong to this block. */
+  get hasAllTasks(): boolean {
+    return this.dispatchedRanges.count === this.spec?.tasks;
   }
 
-  /** All tasks that this block has of the job are done. */
+  /** Whether all tasks of the job in this block are done. */
   get isComplete(): boolean {
-    return this.spec !== undefined && this.held.count > 0 && this.doneTasks.size === this.held.count;
+    return (
+      this.spec !== undefined &&
+      this.dispatchedRanges.count > 0 &&
+      this.doneTasks.size === this.dispatchedRanges.count
+    );
   }
 
-  /** All tasks that this block has of the job are done, and the ledger in the store says so. */
+  /** Whether all tasks of the job in this block are done and the stored ledger records them as done. */
   get isCompleteCommitted(): boolean {
-    return this.isComplete && this.committedDoneTasks.size === this.held.count;
+    return this.isComplete && this.committedDoneTasks.size === this.dispatchedRanges.count;
   }
 
-  /** How many tasks are neither on machines nor done; none once the job has ended. */
+  /** Number of tasks that are neither on machines nor done; 0 once the job has ended. */
   get waitingCount(): number {
     if (this.outcome || !this.spec) return 0;
-    return this.held.count - this.doneTasks.size - this.assignedCount;
+    return this.dispatchedRanges.count - this.doneTasks.size - this.assignedCount;
   }
 
   /** Whether the task is done, committed or not. */
@@ -182,17 +201,20 @@
     return this.doneTasks.has(index);
   }
 
-  /** Whether the ledger in the store has the task as done: only then may its machine be told to forget it. */
+  /**
+   * Whether the stored ledger records the task as done. Only then may the machine receive a `forget` command
+   * for it.
+   */
   isDoneCommitted(index: number): boolean {
     return this.committedDoneTasks.has(index);
   }
 
-  /** Notes that the ledger in the store has these tasks as done. */
+  /** Records that the stored ledger has these tasks as done. */
   markDoneCommitted(indices: number[]): void {
     for (const index of indices) this.committedDoneTasks.add(index);
   }
 
-  /** Takes over what an entry of the stored ledger says, and returns the tasks that are on machines. */
+  /** Applies an entry of the stored ledger and returns its tasks that are on machines. */
   applyEntry(entry: LedgerEntry): AssignedTask[] {
     for (const index of fromRanges(entry.done)) {
       this.doneTasks.add(index);
@@ -208,32 +230,44 @@
     return active;
   }
 
-  /** The next task to start, which stays waiting: one that has come back from a machine first. */
+  /**
+   * Returns the next task to start, which remains in phase `waiting`. Tasks that were requeued from a machine
+   * come first.
+   */
   nextWaitingTask(): Task | undefined {
-    return this.nextReturnedTask() ?? this.nextUnstartedTask();
+    return this.nextRequeuedTask() ?? this.nextUnstartedTask();
   }
 
-  /** Chooses a machine for a waiting task; no machine may hear of it before the ledger has been committed. */
+  /**
+   * Assigns a waiting task to a machine. The machine must not receive the task before the ledger is
+   * committed.
+   */
   placeTask(task: Task, machine: string, now: number): void {
     task.attempt++;
     this.assign(task, machine, 'placing');
     this.recorder.markDirty(task.index, 'immediate', now);
   }
 
-  /** Has the task wait again. Called only on evidence that it is on no machine; does nothing if it waits already. */
+  /**
+   * Returns the task to the waiting state. Called only on evidence that the task is on no machine; does
+   * nothing if the task is waiting already.
+   */
   unassignTask(task: Task, now: number): void {
     if (task.phase === 'waiting') return;
     task.phase = 'waiting';
     task.machine = undefined;
     task.running = false;
     this.assignedCount--;
-    if (!this.held.has(task.index)) this.tasks.delete(task.index);
+    if (!this.dispatchedRanges.has(task.index)) this.tasks.delete(task.index);
     this.recorder.markDirty(task.index, 'deferred', now);
   }
 
-  /** Notes that the task has completed. False if that was known, or the task is not this block's (any more). */
+  /**
+   * Records that the task has completed. Returns false if the task was already done or does not belong to
+   * this block.
+   */
   finishTask(index: number, now: number): boolean {
-    if (!this.held.has(index) || this.isDone(index)) return false;
+    if (!this.dispatchedRanges.has(index) || this.isDone(index)) return false;
     const task = this.tasks.get(index);
     if (task && isAssigned(task)) this.assignedCount--;
     if (task?.runningSince !== undefined) {
@@ -243,17 +277,21 @@
     this.tasks.delete(index);
     this.doneTasks.add(index);
     this.failureCount = 0;
-    // The block that commits the job's outcome waits until all others have recorded that their tasks are done.
-    const urgency = this.isComplete && !this.holdsAllTasks ? 'immediate' : 'deferred';
+    // The block that commits the job's outcome waits until all other blocks have recorded their tasks as
+    // done.
+    const urgency = this.isComplete && !this.hasAllTasks ? 'immediate' : 'deferred';
     this.recorder.markDirty(index, urgency, now);
     return true;
   }
 
-  /** A task has failed: the job's next start waits, longer with each failure, so that it does not hold up others. */
-  noteFailure(now: number, firstPauseMs: number): void {
-    const doublings = Math.min(this.failureCount, maxRetryPauseDoublings);
+  /**
+   * Records the failure of a task. Further starts of the job are delayed, with an exponential back-off from
+   * `initialBackoffMs`, so that the job does not delay other jobs.
+   */
+  noteFailure(now: number, initialBackoffMs: number): void {
+    const doublings = Math.min(this.failureCount, maxRetryBackoffDoublings);
     this.failureCount++;
-    this.retryAt = now + Math.min(maxRetryPauseMs, firstPauseMs * 2 ** doublings);
+    this.retryAt = now + Math.min(maxRetryBackoffMs, initialBackoffMs * 2 ** doublings);
   }
 
   /** Tasks whose intent is not committed yet. */
@@ -261,13 +299,14 @@
     return [...this.tasks.values()].filter((task) => task.phase === 'placing');
   }
 
-  private nextReturnedTask(): Task | undefined {
-    for (const task of this.tasks.values()) if (!isAssigned(task) && this.held.has(task.index)) return task;
+  private nextRequeuedTask(): Task | undefined {
+    for (const task of this.tasks.values())
+      if (!isAssigned(task) && this.dispatchedRanges.has(task.index)) return task;
     return undefined;
   }
 
   private nextUnstartedTask(): Task | undefined {
-    for (const { first, count } of this.held.ranges) {
+    for (const { first, count } of this.dispatchedRanges.ranges) {
       const end = first + count;
       if (this.nextUnstarted >= end) continue;
       if (this.nextUnstarted < first) this.nextUnstarted = first;
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -1,4 +1,4 @@
-/** When a block's waiting tasks are placed, and when what has changed is written down. */
+/** Schedules the placement rounds of a block and the writes of its changes to the store. */
 import { sleep } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
 import type { MachineType } from '../model/types.js';
@@ -10,27 +10,33 @@
 import { placeTasks } from './placement-round.js';
 import { RoundTrigger } from './round-trigger.js';
 
-/** What the scheduler and its parts use. */
+/** The dependencies and settings of the scheduler and its parts. */
 export interface SchedulerPorts
   extends Omit<LedgerWriterPorts, 'onCommitSettled'>, Omit<JobCompletionPorts, 'onOutcomeSettled'> {
   commits: LedgerWriterPorts['commits'];
   machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-/** Requests that come within this time are served by one round. */
-const gatherRequestsMs = 100;
-/** There are so many rounds in a heartbeat interval in any case: machines and pauses become usable with time alone. */
+/** Requests that arrive within this time are handled by one round. */
+const requestBatchingMs = 100;
+/**
+ * Minimum number of rounds per heartbeat interval. Rounds are needed even without requests, since machines
+ * become usable and retry back-offs end with time alone.
+ */
 const roundsPerHeartbeat = 4;
-/** One round places as many tasks as there are writes in so many transactions. */
+/** One round places at most as many tasks as this many transactions have writes. */
 const transactionsPerRound = 8;
-/** A machine that has not been heard of for so many heartbeat intervals gets no tasks. */
+/** A machine whose latest heartbeat is older than this many heartbeat intervals gets no tasks. */
 const maxHeartbeatAgeIntervals = 1.6;
 
-/** Places waiting tasks and keeps the store in step with the state of the block, intents first. */
+/**
+ * Places waiting tasks and writes the state of the block to the store; a task's intent is committed before
+ * the task starts.
+ */
 export class Scheduler {
   private readonly trigger = new RoundTrigger();
   private lastRoundAt = -Infinity;
-  /** Types of the block's usable spot machines, as of the last round over all machines. */
+  /** Types of the block's usable spot machines as of the last round over all machines. */
   private spotTypes: ReadonlySet<string> = new Set();
   private readonly writer: LedgerWriter;
   private readonly completion: JobCompletion;
@@ -45,21 +51,23 @@
     this.completion = new JobCompletion({ ...ports, onOutcomeSettled: () => this.requestRound() });
   }
 
-  /** Something changed that may let a task start: a round over all machines follows soon. */
+  /** Requests a round over all machines, because a change may let a task start. The round follows shortly. */
   requestRound(): void {
     this.trigger.request();
   }
 
-  /** A round at once for one machine, so that the response to its heartbeat can carry its starts. */
+  /**
+   * Runs a round for one machine at once, so that the response to its heartbeat can carry its start commands.
+   */
   placeOn(machine: MachineState): void {
     const { signal, store, blockState } = this.ports;
     if (signal.aborted || store.failing) return;
     if (blockState.waitingJobs().length > 0 && this.hasRoom(machine)) this.placeWaitingTasks([machine]);
-    // What the heartbeat said is written down once it is due; most heartbeats say nothing new.
+    // Changes from the heartbeat are written when their pages are due; most heartbeats bring no changes.
     if (blockState.ledger.hasUnwrittenChanges) this.writeChanges();
   }
 
-  /** Whether the machine may be used and has room for anything. */
+  /** Whether the machine is usable and has free CPUs and free memory. */
   hasRoom(machine: MachineState): boolean {
     const type = this.ports.machineTypes().get(machine.info.type);
     if (!type || !this.isUsable(machine)) return false;
@@ -67,7 +75,10 @@
     return free.cpus > 0 && free.memoryGb > 0;
   }
 
-  /** Settles once it is known which of the tasks that are being placed may start, or when the time is up. */
+  /**
+   * Settles once the commits under way have decided which of the tasks being placed may start, or after
+   * `withinMs`.
+   */
   waitForCommits(tasks: () => Iterable<Task>, withinMs: number): Promise<void> {
     return waitForIntentCommits(tasks, withinMs, this.ports.clock);
   }
@@ -75,22 +86,22 @@
   /** Runs rounds over all machines until the lease of the block ends. Called once. */
   async run(): Promise<void> {
     const { signal } = this.ports;
-    while (!this.isOver()) {
-      await sleep(gatherRequestsMs, signal);
+    while (!this.hasLeaseEnded()) {
+      await sleep(requestBatchingMs, signal);
       if (!this.trigger.isRequested) await this.trigger.wait(this.nextRoundMs(), signal);
-      if (this.isOver()) return;
+      if (this.hasLeaseEnded()) return;
       if (this.isRoundDue()) {
         this.startRound();
         await nextTurn();
       }
-      if (!this.isOver() && this.writer.canCommit) this.completion.checkAllJobs();
+      if (!this.hasLeaseEnded() && this.writer.canCommit) this.completion.checkAllJobs();
       await nextTurn();
-      if (!this.isOver()) this.writeChanges();
+      if (!this.hasLeaseEnded()) this.writeChanges();
     }
   }
 
-  /** The signal may fire during any pause. */
-  private isOver(): boolean {
+  /** Checked after each pause, since the signal may fire during any of them. */
+  private hasLeaseEnded(): boolean {
     return this.ports.signal.aborted;
   }
 
@@ -107,17 +118,20 @@
     if (blockState.waitingJobs().length > 0) this.placeWaitingTasks();
   }
 
-  /** Until the next round is due: sooner where intents wait for their turn, or completions are being gathered. */
+  /**
+   * Time until the next round in ms. It is shorter while intents wait to be committed or completions are
+   * being gathered for a write.
+   */
   private nextRoundMs(): number {
     const { blockState, store } = this.ports;
-    const writeWaitMs = Math.max(gatherRequestsMs, store.writeWaitMs('duty'));
+    const writeWaitMs = Math.max(requestBatchingMs, store.writeWaitMs('duty'));
     if (blockState.ledger.hasUrgentWrites && !store.failing)
       return Math.min(this.roundIntervalMs, writeWaitMs);
     if (!blockState.ledger.hasUnwrittenChanges) return this.roundIntervalMs;
     return Math.min(this.roundIntervalMs, this.writer.nextCheckMs);
   }
 
-  /** Over the given machines, or over all. */
+  /** Places waiting tasks on the given machines, by default on all machines of the block. */
   private placeWaitingTasks(machines?: MachineState[]): void {
     const { blockState, clock, settings, machineTypes } = this.ports;
     if (!machines) this.spotTypes = this.usableSpotTypes();
@@ -128,7 +142,7 @@
       spotTypes: this.spotTypes,
       isPartial: machines !== undefined,
       machineTypes: machineTypes(),
-      teamOf: (name) => blockState.teamWithinShares(name),
+      teamOf: (name) => blockState.teamWithBlockShare(name),
       teamUsage: () => blockState.teamUsage(),
       maxTasks: settings.state.txnOps * transactionsPerRound,
       isUsable: (machine) => this.isUsable(machine),
@@ -147,7 +161,7 @@
     return types;
   }
 
-  /** Outcomes first: users wait for them, and so do the jobs that need them. */
+  /** Commits outcomes before ledger pages, since users and dependent jobs wait for outcomes. */
   private writeChanges(): void {
     if (!this.writer.canCommit) return;
     this.completion.checkCompletedJobs();
--- a/src/placement/team-quotas.test.ts
+++ b/src/placement/team-quotas.test.ts
@@ -7,31 +7,32 @@
 import { TeamQuotas } from './team-quotas.js';
 import { TeamUsage } from './team-usage.js';
 
-// In the settings `red` has a limit of 32 CPUs and `blue` has none; neither has one of accelerators.
+// In the test settings, `red` has a limit of 32 CPUs and `blue` has none. Neither team has a limit of
+// accelerators.
 const need = createJobState(jobSpec('req-1', 1)).need;
 
-test('without a share of a limit, the block may use none of it', () => {
+test('a block without a share of a limit may use none of it', () => {
   const quotas = new TeamQuotas(testSettings().teams);
-  assert.equal(new TeamUsage().admits(quotas.teamWithinShare('red'), need), false);
-  assert.equal(new TeamUsage().admits(quotas.teamWithinShare('blue'), need), true);
+  assert.equal(new TeamUsage().admits(quotas.teamWithBlockShare('red'), need), false);
+  assert.equal(new TeamUsage().admits(quotas.teamWithBlockShare('blue'), need), true);
 });
 
-test('the block may use its share of a limit and no more', () => {
+test('a block may use its share of a limit and no more', () => {
   const quotas = new TeamQuotas(testSettings().teams);
   quotas.shares = { red: [2 * need.cpus, 0] };
   const usage = new TeamUsage();
   usage.add('red', need);
-  assert.equal(usage.admits(quotas.teamWithinShare('red'), need), true);
+  assert.equal(usage.admits(quotas.teamWithBlockShare('red'), need), true);
   usage.add('red', need);
-  assert.equal(usage.admits(quotas.teamWithinShare('red'), need), false);
-  assert.equal(usage.exceedsLimit(quotas.teamWithinShare('red')), false);
+  assert.equal(usage.admits(quotas.teamWithBlockShare('red'), need), false);
+  assert.equal(usage.exceedsLimit(quotas.teamWithBlockShare('red')), false);
   usage.add('red', need);
-  assert.equal(usage.exceedsLimit(quotas.teamWithinShare('red')), true);
+  assert.equal(usage.exceedsLimit(quotas.teamWithBlockShare('red')), true);
 });
 
-test('a team that the settings do not know gets nothing', () => {
+test('a team that is not in the settings may use nothing', () => {
   const quotas = new TeamQuotas(testSettings().teams);
   quotas.shares = { green: [8, 0] };
-  assert.equal(quotas.teamWithinShare('green'), undefined);
+  assert.equal(quotas.teamWithBlockShare('green'), undefined);
   assert.equal(new TeamUsage().admits(undefined, need), false);
 });
--- a/src/placement/team-quotas.ts
+++ b/src/placement/team-quotas.ts
@@ -1,16 +1,18 @@
-/** What one block may use of the limits of teams. */
+/** The limits of teams as they apply to one block. */
 import type { Team } from '../settings/settings.js';
 import type { QuotaShares } from '../wire/block-records.js';
 
-/** The limits of the settings, cut down to the share that the leader has given to the block. */
+/** Reduces the limits in the settings to the share that the leader has given to the block. */
 export class TeamQuotas {
   /** The shares in the block's present record. */
   shares: QuotaShares = {};
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
 
-  /** The team with the block's share of its limits; undefined where the settings do not know it. */
-  teamWithinShare(name: string): Team | undefined {
+  /**
+   * The team with its limits reduced to the block's share; undefined if the settings do not have the team.
+   */
+  teamWithBlockShare(name: string): Team | undefined {
     const team = this.teams.get(name);
     if (!team) return undefined;
     // Without a share of a limit, the block may use none of it.
@@ -23,7 +25,10 @@
   }
 }
 
-/** A limit of 0 means none; a share of 0 of a limit must not be mistaken for that. */
+/**
+ * Returns the share if there is a limit. A limit of 0 means no limit, so a share of 0 is replaced by the
+ * smallest positive number.
+ */
 function shareOfLimit(limit: number, share: number): number {
   return limit === 0 ? 0 : Math.max(share, Number.MIN_VALUE);
 }
