--- a/src/workers/failure-detection.test.ts
+++ b/src/workers/failure-detection.test.ts
@@ -8,7 +8,7 @@
 import { noHeartbeatsReceived, silentMachines } from './failure-detection.js';
 import { ownDelayGraceMs } from './own-delays.js';
 
-test('a silent machine among others is released; a silent zone is given until its leases have expired', () => {
+test('a silent machine among live ones is released; machines of a silent zone are kept until their leases have expired', () => {
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const machine = (id: string, zone: string, lastHeartbeatAt: number): MachineState => {
     const state = new MachineState(id, lastHeartbeatAt);
@@ -16,33 +16,36 @@
     state.hasSentHeartbeat = true;
     return state;
   };
-  const names = (machines: MachineState[], now: number): string[] =>
-    silentMachines(machines, now, times, 3).map((m) => m.id);
-  const one = [machine('m1', 'a', 0), machine('m2', 'a', 4000), machine('m3', 'a', 4000)];
-  assert.deepEqual(names(one, 4000), ['m1']);
-  const zone = [
+  const silentIds = (machines: MachineState[], now: number): string[] =>
+    silentMachines(machines, now, times, 3).map((silentMachine) => silentMachine.id);
+  const oneSilentMachine = [machine('m1', 'a', 0), machine('m2', 'a', 4000), machine('m3', 'a', 4000)];
+  assert.deepEqual(silentIds(oneSilentMachine, 4000), ['m1']);
+  const silentZone = [
     machine('m1', 'a', 0),
     machine('m2', 'a', 100),
     machine('m3', 'a', 200),
     machine('m4', 'b', 4000),
   ];
-  assert.deepEqual(names(zone, 4000), []);
-  assert.deepEqual(names(zone, 7150), ['m1', 'm2', 'm4']);
+  assert.deepEqual(silentIds(silentZone, 4000), []);
+  assert.deepEqual(silentIds(silentZone, 7150), ['m1', 'm2', 'm4']);
 });
 
-// Guards against releasing a whole block: its last owner was without the store and its peers, and kept its workers.
-test('a machine that has yet to send its new owner a heartbeat is given as long as its previous owner may answer it', () => {
+// Guards against the release of all machines of a block after a change of owner. The previous owner was
+// partitioned from the store and its peers but still answered its workers, so the new owner got no
+// heartbeats.
+test('a machine that has not yet sent its new owner a heartbeat is kept for as long as its previous owner may answer it', () => {
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const state = new MachineState('m1', 0);
   state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
   state.tasks.set('req-1/0', {} as Task);
   const silentCount = (now: number): number => silentMachines([state], now, times, 3).length;
-  // cancel_s - lease_s, and then the three heartbeat intervals that any machine is given.
+  // cancel_s - lease_s, plus the three heartbeat intervals of silence that every machine is allowed.
   assert.deepEqual([silentCount(4000), silentCount(12_900), silentCount(13_100)], [0, 0, 1]);
 });
 
-// Guards against a controller that stood still for longer than a lease and then found all its machines silent or partitioned.
-test('time in which the controller was held up itself is not held against machines', () => {
+// Guards against the release of healthy machines by a controller that was paused for longer than a lease.
+// When the controller resumed, all its machines appeared to be silent or partitioned.
+test('a pause of the controller itself counts neither as silence nor as a one-way partition of its machines', () => {
   let now = 0;
   const processPause = new ProcessPause(() => now, 1000);
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
@@ -58,14 +61,15 @@
   };
   assert.deepEqual(checkAt(1000), [0, 0]);
   assert.deepEqual(checkAt(27_000), [0, 25_000]);
-  // From here on it is the machine's own silence.
+  // The controller is not paused again, so all further silence is the machine's own.
   assert.deepEqual(checkAt(28_000), [0, 25_000]);
   assert.deepEqual(checkAt(28_001), [1, 25_000]);
 });
 
-// Guards against the release of two hundred machines as partitioned by a controller with too little processor time after a
-// restart: each round of releases made more work than it saved. A machine that has died must be detected all the same.
-test('a controller short of processor time waits longer before it releases machines, and detects dead ones in the end', () => {
+// Guards against an overload that sustains itself: after a restart, a controller with too little processor
+// time released two hundred machines as partitioned, and each round of releases made more work than it saved.
+// A machine that has died must still be detected.
+test('a controller short of processor time waits longer before it releases machines, but still detects dead machines', () => {
   let utilization = 1;
   const probe: UtilizationProbe = () => ({ idle: 0, active: 0, utilization });
   const saturation = new Saturation(probe);
@@ -76,7 +80,7 @@
     state.hasSentHeartbeat = true;
     for (let now = 500; now < 60_000; now += 500) {
       state.addGrace(
-        ownDelayGraceMs({ passedMs: 500, heldUpMs: 0, saturated: saturation.measureSaturated() }),
+        ownDelayGraceMs({ passedMs: 500, pausedMs: 0, saturated: saturation.measureSaturated() }),
       );
       if (silentMachines([state], now, times, 3).length > 0) return now;
     }
@@ -87,22 +91,23 @@
   assert.equal(releasedAt(), 3500);
 });
 
-// Guards against a controller that alone has lost its workers and keeps their block until all their leases have expired.
-test('no heartbeat of many machines means that the controller is cut off; with one heartbeat, or few machines, it does not', () => {
+// Guards against a controller that is the only one partitioned from its workers and keeps their block until
+// all worker leases have expired.
+test('a controller counts as partitioned if none of many machines sends heartbeats, but not if one does or machines are few', () => {
   const machine = (lastHeartbeatAt: number): MachineState => {
     const state = new MachineState('m', lastHeartbeatAt);
     state.hasSentHeartbeat = true;
     return state;
   };
-  const isCutOff = (heartbeatTimes: number[], now: number): boolean => {
+  const isPartitioned = (heartbeatTimes: number[], now: number): boolean => {
     return noHeartbeatsReceived(
       heartbeatTimes.map((at) => machine(at)),
       now,
       1000,
     );
   };
-  assert.equal(isCutOff([0, 100, 200, 300], 1500), false);
-  assert.equal(isCutOff([0, 100, 200, 300], 1551), true);
-  assert.equal(isCutOff([0, 100, 200, 1500], 1551), false);
-  assert.equal(isCutOff([0, 100, 200], 9000), false);
+  assert.equal(isPartitioned([0, 100, 200, 300], 1500), false);
+  assert.equal(isPartitioned([0, 100, 200, 300], 1551), true);
+  assert.equal(isPartitioned([0, 100, 200, 1500], 1551), false);
+  assert.equal(isPartitioned([0, 100, 200], 9000), false);
 });
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -1,52 +1,57 @@
-/** Failure detection by missed heartbeats, and when it must not be trusted. */
+/** Detects failed machines by missed heartbeats, except where missed heartbeats prove no failure. */
 import type { MachineState } from '../placement/machine-state.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Times of the settings that failure detection follows from, in ms. */
+/** The settings from which the time limits of failure detection are computed, in ms. */
 export type FailureDetectionTimes = Pick<
   Settings,
   'heartbeatIntervalMs' | 'workerLeaseMs' | 'cancelDeadlineMs'
 >;
 
-/** A zone in which more than this share of the machines falls silent at once is most likely partitioned off. */
-const partitionedZoneMinShare = 0.7;
-/** So few silent machines of a zone say nothing of the zone. */
+/** If more than this ratio of a zone's machines is silent at once, the zone is most likely partitioned. */
+const partitionedZoneMinSilentRatio = 0.7;
+/** Up to this many silent machines in a zone are no sign of a partition of the zone. */
 const maxUnrelatedSilentMachines = 2;
-/** A machine counts as silent in a zone after this share of the time after which it is released. */
-const zoneSilenceRatio = 0.5;
+/** In the check for partitioned zones, a machine counts as silent after this fraction of the silence limit. */
+const zoneSilenceLimitRatio = 0.5;
 
-/** Fewer machines than this may all be silent by chance. */
-const minMachinesHeard = 4;
-/** A healthy worker sends its next heartbeat within so many intervals. */
+/** With fewer machines than this, all of them may be silent by chance. */
+const minMachinesToSuspectOwnPartition = 4;
+/** A healthy worker sends its next heartbeat within this many heartbeat intervals. */
 const maxHeartbeatGapIntervals = 1.25;
 
 /**
- * Whether none of the machines has been heard of lately, where many were before: most likely this controller is cut off from
- * the workers. `now` is steady time in ms.
+ * Whether none of the machines has sent a recent heartbeat although many have sent heartbeats before. Most
+ * likely this controller is partitioned from the workers. `now` is steady time in ms.
  */
 export function noHeartbeatsReceived(
   machines: Iterable<MachineState>,
   now: number,
   heartbeatIntervalMs: number,
 ): boolean {
-  const heardBefore = [...machines].filter(
+  const previousSenders = [...machines].filter(
     ({ hasSentHeartbeat, releaseReason }) => hasSentHeartbeat && releaseReason === undefined,
   );
   const maxGapMs = heartbeatIntervalMs * maxHeartbeatGapIntervals;
   return (
-    heardBefore.length >= minMachinesHeard &&
-    heardBefore.every(({ lastHeartbeatAt }) => now - lastHeartbeatAt > maxGapMs)
+    previousSenders.length >= minMachinesToSuspectOwnPartition &&
+    previousSenders.every(({ lastHeartbeatAt }) => now - lastHeartbeatAt > maxGapMs)
   );
 }
 
 /**
- * Machines to be released because they send no heartbeats. One that falls silent among others that do not has most likely
- * died, hangs or was preempted, and a release proves it. Where nearly a whole zone falls silent, a network partition is the
- * likelier cause: its tasks may be running, so its machines are given until their workers' leases have certainly expired.
- * And one that has not sent a heartbeat to this owner may still send them to the owner before, which may be without the
- * state service and the other controllers and answer its workers for as long as the deadline for cancellations allows.
+ * Returns the machines to release because they send no heartbeats:
  *
- * `now` is steady time in ms; `maxMissedHeartbeats` is the silence allowed in heartbeat intervals.
+ * - A machine that falls silent while others do not has most likely died, hung or been preempted. The release
+ *   proves that the machine no longer runs.
+ * - If nearly a whole zone falls silent, a network partition is the likelier cause, and the tasks in the zone
+ *   may still be running. The machines of the zone are kept until the leases of their workers have certainly
+ *   expired.
+ * - A machine that has not sent this owner a heartbeat may still send heartbeats to the previous owner. The
+ *   previous owner may be partitioned from the state service and the other controllers, and may answer its
+ *   workers for as long as the deadline for cancellations allows. The machine is kept for that time.
+ *
+ * `now` is steady time in ms; `maxMissedHeartbeats` is the allowed silence in heartbeat intervals.
  */
 export function silentMachines(
   machines: readonly MachineState[],
@@ -55,16 +60,17 @@
   maxMissedHeartbeats: number,
 ): MachineState[] {
   const silenceLimitMs = times.heartbeatIntervalMs * maxMissedHeartbeats;
-  const leaseExpiryMs = times.workerLeaseMs + times.heartbeatIntervalMs;
+  const leaseExpiryLimitMs = times.workerLeaseMs + times.heartbeatIntervalMs;
   const previousOwnerLimitMs = times.cancelDeadlineMs - times.workerLeaseMs + silenceLimitMs;
-  // Machines that only the intents of an earlier owner name count too: nothing else would ever prove them terminated.
-  const known = machines.filter(({ hasSentHeartbeat, tasks }) => hasSentHeartbeat || tasks.size > 0);
-  const partitionedZones = findPartitionedZones(known, now, silenceLimitMs * zoneSilenceRatio);
+  // Includes machines that only the intents of an earlier owner name: nothing else would ever prove that
+  // these machines are terminated.
+  const monitored = machines.filter(({ hasSentHeartbeat, tasks }) => hasSentHeartbeat || tasks.size > 0);
+  const partitionedZones = findPartitionedZones(monitored, now, silenceLimitMs * zoneSilenceLimitRatio);
   const limitMs = ({ hasSentHeartbeat, info }: MachineState): number => {
     if (!hasSentHeartbeat) return Math.max(previousOwnerLimitMs, silenceLimitMs);
-    return partitionedZones.has(info.zone) ? leaseExpiryMs : silenceLimitMs;
+    return partitionedZones.has(info.zone) ? leaseExpiryLimitMs : silenceLimitMs;
   };
-  return known.filter((machine) => now - machine.lastHeartbeatAt > limitMs(machine));
+  return monitored.filter((machine) => now - machine.lastHeartbeatAt > limitMs(machine));
 }
 
 function findPartitionedZones(
@@ -80,7 +86,8 @@
     counts.set(info.zone, count);
   }
   const partitioned = [...counts].filter(
-    ([, { all, silent }]) => silent > maxUnrelatedSilentMachines && silent > all * partitionedZoneMinShare,
+    ([, { all, silent }]) =>
+      silent > maxUnrelatedSilentMachines && silent > all * partitionedZoneMinSilentRatio,
   );
   return new Set(partitioned.map(([zone]) => zone));
 }
--- a/src/workers/health-monitor.test.ts
+++ b/src/workers/health-monitor.test.ts
@@ -8,19 +8,19 @@
 import { defaultOperatorSettings } from '../settings/operator.js';
 import { HealthMonitor, type HealthMonitorPorts } from './health-monitor.js';
 
-/** Short, so that the pauses between checks are. */
+/** The short heartbeat interval keeps the pauses between checks short. */
 const settings = { heartbeatIntervalMs: 3, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
 
-interface Outcome {
-  /** Names of machines, by request to the cloud. */
+interface MonitorResult {
+  /** Ids of the machines to release, one list for each request to the cloud. */
   requests: string[][];
   removed: string[];
   requeued: number;
-  withoutHeartbeats: number;
-  lines: Record<string, unknown>[];
+  noHeartbeatsCalls: number;
+  logEntries: Record<string, unknown>[];
 }
 
-/** Machines that have been silent since 0. */
+/** Machines that have sent no heartbeat since time 0. */
 function silentMachines(count: number): MachineState[] {
   return Array.from({ length: count }, (_, index) => {
     const machine = new MachineState(`m${index}`, 0);
@@ -30,19 +30,25 @@
   });
 }
 
-/** Lets the monitor make so many checks. */
-async function check(
+/** Runs a monitor for `checkCount` checks of the machines, and returns the effects. */
+async function runChecks(
   machines: MachineState[],
-  checks: number,
+  checkCount: number,
   ports: Partial<HealthMonitorPorts> & { isReleased?: (request: number) => boolean } = {},
-): Promise<Outcome> {
-  const outcome: Outcome = { requests: [], removed: [], requeued: 0, withoutHeartbeats: 0, lines: [] };
+): Promise<MonitorResult> {
+  const result: MonitorResult = {
+    requests: [],
+    removed: [],
+    requeued: 0,
+    noHeartbeatsCalls: 0,
+    logEntries: [],
+  };
   const states = new Map(machines.map((machine) => [machine.id, machine]));
   const stop = new AbortController();
   let checksBegun = 0;
-  const { isReleased = () => true, ...others } = ports;
+  const { isReleased = () => true, ...otherPorts } = ports;
   const log = createLog('keel-0', 'info', {
-    write: (line: string) => void outcome.lines.push(JSON.parse(line) as Record<string, unknown>),
+    write: (line: string) => void result.logEntries.push(JSON.parse(line) as Record<string, unknown>),
   });
   const monitor = new HealthMonitor({
     clock: () => 10,
@@ -52,52 +58,52 @@
     signal: stop.signal,
     machineTypes: () => new Map(),
     cloud: {
-      release: (names) => {
-        outcome.requests.push(names);
-        return Promise.resolve(isReleased(outcome.requests.length));
+      release: (ids) => {
+        result.requests.push(ids);
+        return Promise.resolve(isReleased(result.requests.length));
       },
     },
     blockState: {
       machines: states,
       removeTerminated: (id) => {
-        outcome.removed.push(id);
+        result.removed.push(id);
         states.delete(id);
         return [{} as Task];
       },
     },
     onNoHeartbeats: () => {
-      outcome.withoutHeartbeats++;
+      result.noHeartbeatsCalls++;
     },
     onTasksRequeued: () => {
-      outcome.requeued++;
+      result.requeued++;
     },
-    ...others,
+    ...otherPorts,
     isStoreReachable: () => {
-      if (++checksBegun >= checks) stop.abort();
+      if (++checksBegun >= checkCount) stop.abort();
       return ports.isStoreReachable?.() ?? true;
     },
   });
   await monitor.run();
-  return outcome;
+  return result;
 }
 
-describe('releases of a health monitor', () => {
-  test('take a machine and its tasks off the block, and are logged with their reason', async () => {
-    const { requests, removed, requeued, lines } = await check(silentMachines(1), 1);
+describe('a release by the health monitor', () => {
+  test('removes the machine and its tasks from the block, and is logged with its reason', async () => {
+    const { requests, removed, requeued, logEntries } = await runChecks(silentMachines(1), 1);
     assert.deepEqual([requests, removed, requeued], [[['m0']], ['m0'], 1]);
-    const [{ event, machine, type, reason, tasks } = {}] = lines;
+    const [{ event, machine, type, reason, tasks } = {}] = logEntries;
     assert.deepEqual([event, machine, type, reason, tasks], ['machine-released', 'm0', 'c8', 'silent', 1]);
   });
 
-  test('take nothing off the block without the cloud having proven it, and are repeated', async () => {
-    const { requests, removed, requeued } = await check(silentMachines(1), 2, {
+  test('removes nothing from the block and is repeated until the cloud has proven the termination', async () => {
+    const { requests, removed, requeued } = await runChecks(silentMachines(1), 2, {
       isReleased: (request) => request === 2,
     });
     assert.deepEqual([requests, removed, requeued], [[['m0'], ['m0']], ['m0'], 1]);
   });
 
-  test('name no more machines than the cloud takes in one request', async () => {
-    const { requests } = await check(silentMachines(maxMachinesPerRelease + 1), 2);
+  test('names no more machines than the cloud accepts in one request', async () => {
+    const { requests } = await runChecks(silentMachines(maxMachinesPerRelease + 1), 2);
     assert.deepEqual(
       requests.map(({ length }) => length),
       [maxMachinesPerRelease, 1],
@@ -106,14 +112,14 @@
 });
 
 describe('nothing is released', () => {
-  test('without the store', async () => {
-    const { requests, withoutHeartbeats } = await check(silentMachines(4), 3, {
+  test('while the store is unreachable', async () => {
+    const { requests, noHeartbeatsCalls } = await runChecks(silentMachines(4), 3, {
       isStoreReachable: () => false,
     });
-    assert.deepEqual([requests, withoutHeartbeats], [[], 0]);
+    assert.deepEqual([requests, noHeartbeatsCalls], [[], 0]);
   });
 
-  test('while no machine is heard of, though the store has been reachable for two heartbeat intervals', async () => {
+  test('while no machine sends heartbeats, if the store has been reachable for more than two heartbeat intervals', async () => {
     let now = 0;
     const machines = silentMachines(4);
     const clock = (): number => now;
@@ -121,22 +127,23 @@
       now += settings.heartbeatIntervalMs * 3;
       return true;
     };
-    const { requests, withoutHeartbeats } = await check(machines, 1, { clock, isStoreReachable });
-    assert.deepEqual([requests, withoutHeartbeats], [[], 1]);
+    const { requests, noHeartbeatsCalls } = await runChecks(machines, 1, { clock, isStoreReachable });
+    assert.deepEqual([requests, noHeartbeatsCalls], [[], 1]);
   });
 });
 
-// Guards against giving up a block that another owns by now: who is back from a partition may own it only in its copy.
-test('missing heartbeats are laid to the machines as long as the store has not been reachable for long', async () => {
+// Guards against giving up a block that another controller owns by now. A controller that has just recovered
+// from a partition may own the block only according to its own outdated replica of the store.
+test('missing heartbeats count against the machines until the store has been reachable for long enough', async () => {
   let now = 10;
   const reachable = [false, true];
-  const { withoutHeartbeats, requests } = await check(silentMachines(4), 2, {
+  const { noHeartbeatsCalls, requests } = await runChecks(silentMachines(4), 2, {
     clock: () => now,
     isStoreReachable: () => {
       now += settings.heartbeatIntervalMs;
       return reachable.shift() ?? true;
     },
   });
-  assert.equal(withoutHeartbeats, 0);
+  assert.equal(noHeartbeatsCalls, 0);
   assert.equal(requests.length, 1);
 });
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -1,4 +1,4 @@
-/** Periodic checks of the machines of one block, and release of those that have failed. */
+/** Periodically checks the machines of one block and releases the machines that have failed. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { MachineState } from '../placement/machine-state.js';
 import { noHeartbeatsReceived } from './failure-detection.js';
@@ -6,26 +6,30 @@
 import { type MachineReleaserPorts, releaseMarkedMachines } from './machine-releaser.js';
 import { OwnDelays } from './own-delays.js';
 
-/** What the monitor of a block needs. */
+/** What the health monitor of a block needs. */
 export interface HealthMonitorPorts extends AssessmentPorts, MachineReleaserPorts {
   clock: Clock;
   /** Fires when the lease of the block ends. */
   signal: AbortSignal;
-  /** The store has lately answered us. */
+  /** Whether the store has recently answered this controller. */
   isStoreReachable: () => boolean;
-  /** Called at each check at which no heartbeat of any machine has arrived lately, though the store is reachable. */
+  /** Called at each check that finds no recent heartbeat of any machine although the store is reachable. */
   onNoHeartbeats: () => void;
 }
 
-/** Machines are checked so often in a heartbeat interval. */
+/** Number of checks of the machines in a heartbeat interval. */
 const checksPerHeartbeatInterval = 3;
-/** The store must have been reachable for so many heartbeat intervals before missing heartbeats are laid to us. */
-const settlingHeartbeatIntervals = 2;
+/**
+ * Missing heartbeats are attributed to a partition of this controller only after the store has been reachable
+ * for this many heartbeat intervals.
+ */
+const minReachableHeartbeatIntervals = 2;
 
 /**
- * Releases machines of its block that are silent, do not execute commands, never started, or are faulty. The cloud's answer
- * to the release is what proves that their tasks no longer run. Time in which this controller was held up itself is not held
- * against the machines, and while the store or all workers are out of its reach none is released.
+ * Releases machines of its block that are silent, do not execute commands, never started, or are faulty. The
+ * cloud's answer to the release proves that the tasks of these machines no longer run. Delays of this
+ * controller itself do not count against the machines. While the store or all workers are unreachable, no
+ * machine is released.
  */
 export class HealthMonitor {
   private storeReachableSince = 0;
@@ -47,12 +51,13 @@
   private async check(ownDelays: OwnDelays): Promise<void> {
     const { blockState, clock, isStoreReachable, onNoHeartbeats } = this.ports;
     this.addGrace(ownDelays.graceMs());
-    // Without the store the block may be another's by now, and nothing that a release frees could start again.
+    // While the store is unreachable, another controller may have leased the block, and the tasks that a
+    // release frees could not be started again.
     if (!isStoreReachable()) {
       this.storeReachableSince = clock();
       return;
     }
-    if (this.isCutOffFromWorkers()) {
+    if (this.isPartitionedFromWorkers()) {
       onNoHeartbeats();
       return;
     }
@@ -60,8 +65,8 @@
     const marked = this.markedMachines();
     if (marked.length === 0) return;
     await releaseMarkedMachines(marked, this.ports);
-    // A release takes its time without anybody being held up.
-    ownDelays.ignoreWait();
+    // The time spent waiting for the cloud's answer is not a delay of this controller.
+    ownDelays.discardMeasuredDelay();
   }
 
   private addGrace(graceMs: number): void {
@@ -69,12 +74,17 @@
     for (const machine of this.ports.blockState.machines.values()) machine.addGrace(graceMs);
   }
 
-  /** A controller that has just reached the store again may own a block only in its copy of it. */
-  private isCutOffFromWorkers(): boolean {
+  /**
+   * Whether this controller has most likely lost contact with all workers. False if the store has only
+   * recently become reachable: this controller may then own the block only according to its outdated replica
+   * of the store.
+   */
+  private isPartitionedFromWorkers(): boolean {
     const { blockState, clock, settings } = this.ports;
     const { heartbeatIntervalMs } = settings;
-    const isSettled = clock() - this.storeReachableSince > heartbeatIntervalMs * settlingHeartbeatIntervals;
-    return isSettled && noHeartbeatsReceived(blockState.machines.values(), clock(), heartbeatIntervalMs);
+    const isStoreStable =
+      clock() - this.storeReachableSince > heartbeatIntervalMs * minReachableHeartbeatIntervals;
+    return isStoreStable && noHeartbeatsReceived(blockState.machines.values(), clock(), heartbeatIntervalMs);
   }
 
   private markedMachines(): MachineState[] {
--- a/src/workers/heartbeat-handler.test.ts
+++ b/src/workers/heartbeat-handler.test.ts
@@ -8,8 +8,8 @@
 import { machineToken } from '../testing/block-stage.js';
 import { createHeartbeatStage, type HeartbeatStage, sendHeldResponses } from '../testing/heartbeat-stage.js';
 
-const unknownOwner: Reply = { status: 421, body: {} };
-const noOwner: Reply = { status: 503, body: {} };
+const unknownOwnerReply: Reply = { status: 421, body: {} };
+const noOwnerReply: Reply = { status: 503, body: {} };
 
 function commandsOf(reply: Reply | undefined): unknown {
   return (reply?.body as { orders: unknown }).orders;
@@ -21,51 +21,51 @@
   return machine;
 }
 
-describe('whose heartbeats are answered with commands', () => {
-  test('what is no heartbeat is turned down', () => {
+describe('accepting, redirecting and rejecting heartbeats', () => {
+  test('a body that is not a heartbeat is rejected', () => {
     const stage = createHeartbeatStage({ tasks: 0 });
     stage.handler.handle({ host: 'm1' }, (reply) => void stage.replies.push(reply));
     assert.deepEqual(stage.replies, [{ status: 400, body: { error: 'not a report' } }]);
   });
 
-  test("the worker of another's machine is redirected to its owner, else to the leader", () => {
+  test('a worker whose machine this controller does not own is redirected to the owner, or else to the leader', () => {
     const findMachine = (): undefined => undefined;
-    const owned = createHeartbeatStage({
+    const ownedByPeer = createHeartbeatStage({
       tasks: 0,
       findMachine,
       ownerOf: () => 'keel-1',
       leader: () => 'keel-2',
     });
-    const unowned = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-2' });
-    const ours = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-0' });
-    const unknown = createHeartbeatStage({ tasks: 0, findMachine });
-    const stages = [owned, unowned, ours, unknown];
+    const redirectedToLeader = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-2' });
+    const handlerIsLeader = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-0' });
+    const withoutLeader = createHeartbeatStage({ tasks: 0, findMachine });
+    const stages = [ownedByPeer, redirectedToLeader, handlerIsLeader, withoutLeader];
     for (const stage of stages) stage.heartbeat('m1');
     assert.deepEqual(
       stages.map(({ replies }) => replies[0]),
       [
         { status: 421, body: { skipper: 'keel-1' } },
         { status: 421, body: { skipper: 'keel-2' } },
-        noOwner,
-        noOwner,
+        noOwnerReply,
+        noOwnerReply,
       ],
     );
   });
 
-  test('without knowledge of cancellations no heartbeat is applied', () => {
+  test('no heartbeat is applied while cancellations may be unknown', () => {
     const stage = createHeartbeatStage({ tasks: 0, mayAnswerHeartbeats: () => false });
     stage.heartbeat('m1');
-    assert.deepEqual(stage.replies, [unknownOwner]);
+    assert.deepEqual(stage.replies, [unknownOwnerReply]);
     assert.equal(machineOf(stage, 'm1').sequence, -1);
   });
 
-  test('a worker that has seen a higher fencing token is told that another owns its machine', () => {
+  test('a worker that has seen a higher fencing token is answered that another controller owns its machine', () => {
     const stage = createHeartbeatStage({ tasks: 0 });
     stage.heartbeat('m1', [], machineToken + 1);
-    assert.deepEqual(stage.replies, [unknownOwner]);
+    assert.deepEqual(stage.replies, [unknownOwnerReply]);
   });
 
-  test('a worker is offered our fencing token first, and the time of the first offer is kept', () => {
+  test('a worker first receives the fencing token without commands, and the time of the first offer is recorded', () => {
     let now = 100;
     const stage = createHeartbeatStage({ tasks: 1, clock: () => now, areConnectionsScarce: () => true });
     stage.heartbeat('m1', [], 0);
@@ -78,11 +78,14 @@
   });
 });
 
-describe('what a response that waited may still start', () => {
+describe('a response that waited for a commit starts', () => {
   const start = { verb: 'run', piece: 'req-1/0', try: 1 };
 
-  /** Sends a heartbeat whose response waits for the commit of a start, and lets `change` happen meanwhile. */
-  async function commandsAfter(
+  /**
+   * Sends a heartbeat whose response waits for the commit of a start, calls `change` during the wait, and
+   * returns the commands in the response.
+   */
+  async function commandsSentAfter(
     change: (stage: HeartbeatStage, clock: { now: number; mayStart: boolean }) => void,
   ): Promise<unknown> {
     const clock = { now: 0, mayStart: true };
@@ -100,33 +103,33 @@
     return commandsOf(stage.replies[0]);
   }
 
-  test('a start whose intent is committed', async () => {
-    assert.deepEqual(await commandsAfter(() => undefined), [start]);
+  test('a task whose intent is committed', async () => {
+    assert.deepEqual(await commandsSentAfter(() => undefined), [start]);
   });
 
-  test('nothing under another fencing token, after a later heartbeat, or with the release of the machine decided', async () => {
+  test('nothing after a change of the fencing token, a later heartbeat, or the decision to release the machine', async () => {
     const setToken = (stage: HeartbeatStage): void =>
       machineOf(stage, 'm1').setFencingToken(machineToken + 1);
-    assert.deepEqual(await commandsAfter(setToken), []);
-    const hearAgain = (stage: HeartbeatStage): void => {
+    assert.deepEqual(await commandsSentAfter(setToken), []);
+    const acceptLaterHeartbeat = (stage: HeartbeatStage): void => {
       machineOf(stage, 'm1').sequence++;
     };
-    assert.deepEqual(await commandsAfter(hearAgain), []);
+    assert.deepEqual(await commandsSentAfter(acceptLaterHeartbeat), []);
     const decideRelease = (stage: HeartbeatStage): void => {
       machineOf(stage, 'm1').releaseReason = 'silent';
     };
-    assert.deepEqual(await commandsAfter(decideRelease), []);
+    assert.deepEqual(await commandsSentAfter(decideRelease), []);
   });
 
-  test('nothing that its worker no longer waits for, or without knowledge of the store', async () => {
-    assert.deepEqual(await commandsAfter((_, clock) => void (clock.now = 4000)), [start]);
-    assert.deepEqual(await commandsAfter((_, clock) => void (clock.now = 4001)), []);
-    assert.deepEqual(await commandsAfter((_, clock) => void (clock.mayStart = false)), []);
+  test('nothing after the time-out of the worker, or without recent knowledge of the store', async () => {
+    assert.deepEqual(await commandsSentAfter((_, clock) => void (clock.now = 4000)), [start]);
+    assert.deepEqual(await commandsSentAfter((_, clock) => void (clock.now = 4001)), []);
+    assert.deepEqual(await commandsSentAfter((_, clock) => void (clock.mayStart = false)), []);
   });
 });
 
 describe('held responses', () => {
-  test('of a job that ends go out at once with the command to stop its tasks', async () => {
+  test('are sent immediately with a command to stop when the job of a task on the machine ends', async () => {
     const stage = createHeartbeatStage({ tasks: 1 });
     stage.heartbeat('m1');
     for (let turn = 0; turn < 5; turn++) await nextTurn();
@@ -139,9 +142,9 @@
     assert.deepEqual(commandsOf(stage.replies[1]), [stop]);
   });
 
-  test('whose sending fails are logged and answered as failed', () => {
-    const lines: string[] = [];
-    const log = createLog('keel-0', 'error', { write: (line: string) => void lines.push(line) });
+  test('that cannot be computed are logged and answered with status 503', () => {
+    const logLines: string[] = [];
+    const log = createLog('keel-0', 'error', { write: (line: string) => void logLines.push(line) });
     let isFailing = false;
     const mayStartTasks = (): boolean => {
       if (isFailing) throw new Error('broken');
@@ -153,26 +156,27 @@
     isFailing = true;
     sendHeldResponses(stage);
     assert.equal(stage.replies[0]?.status, 503);
-    const logged = lines.map((line) => JSON.parse(line) as { event: string; machine: string });
+    const logEntries = logLines.map((line) => JSON.parse(line) as { event: string; machine: string });
     assert.deepEqual(
-      logged.map(({ event, machine }) => [event, machine]),
+      logEntries.map(({ event, machine }) => [event, machine]),
       [['request-failed', 'm1']],
     );
   });
 });
 
-// Guards against heartbeats that only say that a worker has forgotten something: each change of its tasks makes it send one.
-test('commands to forget wait for others to go with, for two heartbeat intervals at most', () => {
+// Guards against additional heartbeats that only report that a worker has forgotten a task: a worker sends a
+// heartbeat after each change of its tasks.
+test('commands to forget wait for other commands to be sent with, for two heartbeat intervals at most', () => {
   let now = 10_000;
   const stage = createHeartbeatStage({ tasks: 0, clock: () => now, areConnectionsScarce: () => true });
-  const commandsWith = (index: number, status: string): unknown => {
+  const commandsForReport = (index: number, status: string): unknown => {
     stage.heartbeat('m1', [{ index, status, cause: 'stopped' }]);
     return commandsOf(stage.replies.at(-1));
   };
   const forget = { verb: 'reap', piece: 'req-1/7', try: 1 };
-  assert.deepEqual(commandsWith(7, 'ended'), [forget]);
+  assert.deepEqual(commandsForReport(7, 'ended'), [forget]);
   now += 1999;
-  assert.deepEqual(commandsWith(7, 'ended'), []);
+  assert.deepEqual(commandsForReport(7, 'ended'), []);
   now += 1;
-  assert.deepEqual(commandsWith(7, 'ended'), [forget]);
+  assert.deepEqual(commandsForReport(7, 'ended'), [forget]);
 });
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Workers' heartbeats: what they prove is applied to the state of the block, and the response carries commands. */
+/** Handles heartbeats of workers: applies them to the state of the block, and answers with commands. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type FastPathRoute, type Reply, unavailableReply } from '../base/replies.js';
@@ -8,11 +8,11 @@
 import type { Scheduler } from '../placement/scheduler.js';
 import { heartbeatResponse, parseHeartbeat, redirectResponse } from '../wire/workers.js';
 import {
-  areAllForget,
+  commandsSinceHeartbeat,
+  containsOnlyForgets,
   currentCommands,
-  forgetFirst,
-  type HeartbeatFacts,
-  newCommands,
+  type HeartbeatContext,
+  orderForgetsFirst,
 } from './heartbeat-commands.js';
 import { LongPolls } from './long-polls.js';
 
@@ -23,58 +23,65 @@
   scheduler: Pick<Scheduler, 'placeOn' | 'hasRoom' | 'waitForCommits'>;
 }
 
-/** What the handler needs from its controller. */
+/** What the heartbeat handler needs from its controller. */
 export interface HeartbeatHandlerPorts {
   clock: Clock;
   log: Log;
   /** This controller's label. */
   label: string;
-  /** The machine by its id, if this controller owns it and has a fencing token for it. */
+  /** Returns the machine with this id if this controller owns the machine and has a fencing token for it. */
   findMachine: (id: string) => OwnedMachine | undefined;
-  /** Label of the controller that owns the machine, as far as it is known. */
+  /** Label of the controller that owns the machine; undefined if unknown. */
   ownerOf: (machine: string) => string | undefined;
-  /** Label of the leader, as far as it is known. */
+  /** Label of the leader; undefined if unknown. */
   leader: () => string | undefined;
-  /** The store serves us and what we know of it is recent. */
+  /** Whether the store answers this controller, and this controller's knowledge of the store is recent. */
   mayStartTasks: () => boolean;
-  /** Heartbeats may be answered: we know, or our peers do, which jobs users were told are cancelled. */
+  /**
+   * Whether heartbeats may be answered: this controller, or its peers, know all jobs whose cancellation has
+   * been confirmed to users.
+   */
   mayAnswerHeartbeats: () => boolean;
-  /** Connections are scarce: no response is held, since it would keep its connection. */
+  /** Whether connections are scarce. Then no response is held, since a held response occupies its connection. */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
-  /** How long a response may wait for the commit of what it is to start. */
+  /** The longest time, in ms, that a response waits for the commit of the tasks that it starts. */
   maxCommitWaitMs: number;
 }
 
 type Respond = (reply: Reply) => void;
 
-interface PendingHeartbeat extends HeartbeatFacts {
+interface PendingHeartbeat extends HeartbeatContext {
   readonly scheduler: OwnedMachine['scheduler'];
   readonly respond: Respond;
 }
 
-/** How long a response is held where there is room, in heartbeat intervals: well below the time that workers wait. */
+/**
+ * How long the response to a machine with free resources is held, in heartbeat intervals, for machines
+ * without tasks (`empty`) and with tasks (`busy`). Well below the time that workers wait for a response.
+ */
 const holdHeartbeatIntervals = { empty: 0.5, busy: 0.25 };
-/** Held responses are checked so many times in the shortest time that one is held. */
+/** Number of checks of the held responses within the shortest hold time. */
 const checksPerHold = 4;
-/** Finished tasks are left in a worker's heartbeats for so many intervals if nothing else is to be said. */
+/** Without other commands, ended tasks stay in a worker's heartbeats for up to this many heartbeat intervals. */
 const forgetDelayHeartbeatIntervals = 2;
-/** The protocol's time for the response to a heartbeat: a worker drops what comes later. */
+/** The protocol's time-out for the response to a heartbeat. A worker drops later responses. */
 const workerTimeoutMs = 4000;
 
 const heartbeatPath = '/hello';
 const malformedHeartbeatReply: Reply = { status: 400, body: { error: 'not a report' } };
-/** Somebody else commands the machine, or may, and we don't know who. */
+/** Another controller owns the machine, or may own it, and this controller does not know which. */
 const unknownOwnerReply: Reply = { status: 421, body: redirectResponse(undefined) };
-/** Nobody is known to command the machine. */
+/** No other controller is known that owns the machine or could assign an owner. */
 const noOwnerReply: Reply = { status: 503, body: redirectResponse(undefined) };
 
 /**
- * Answers heartbeats. A worker whose machine this controller does not own is redirected. No response starts a task whose
- * intent is not committed, and none carries commands under another fencing token than the one they were decided under.
+ * Answers heartbeats. A worker whose machine this controller does not own is redirected. No response starts a
+ * task whose intent is not committed. Every command is sent under the fencing token under which it was
+ * decided.
  */
 export class HeartbeatHandler {
-  /** For the server: a heartbeat may wait in its queue while there are many. */
+  /** The route for the HTTP server. Under overload, heartbeats may wait in the queue of the server. */
   readonly route: FastPathRoute = {
     method: 'POST',
     path: heartbeatPath,
@@ -89,8 +96,9 @@
   }
 
   /**
-   * Takes the decoded body of a heartbeat and calls `respond` once, at once or later. Most heartbeats bring nothing new and
-   * start nothing: these must leave neither promise nor timer to the event loop.
+   * Handles the decoded body of a heartbeat and calls `respond` exactly once, immediately or later. Most
+   * heartbeats report no change and start no task. For these, no promise and no timer may be left to the
+   * event loop.
    */
   handle(body: unknown, respond: Respond): void {
     const heartbeat = parseHeartbeat(body);
@@ -110,7 +118,7 @@
     const now = this.ports.clock();
     switch (verdict) {
       case 'outranked':
-        // Somebody has leased the machine after us, and the watch has yet to tell us.
+        // Another controller has leased the machine since; the watch has not reported the change yet.
         respond(unknownOwnerReply);
         return;
       case 'stale':
@@ -126,7 +134,10 @@
     }
   }
 
-  /** A heartbeat often says that there is room again: what is placed into it starts with the response, once committed. */
+  /**
+   * Places waiting tasks on the machine, since a heartbeat often reports that resources have become free. The
+   * response starts these tasks once their intents are committed.
+   */
   private placeAndRespond(
     { machine, scheduler }: OwnedMachine,
     commands: WorkerCommand[],
@@ -134,8 +145,8 @@
     receivedAt: number,
   ): void {
     const { fencingToken, sequence } = machine;
-    // What is placed from here on is not among the commands yet.
-    const tasksBefore = [...machine.tasks.values()].filter(({ phase }) => phase !== 'placing');
+    // `commands` does not cover the tasks that are placed from here on.
+    const tasksAtReceipt = [...machine.tasks.values()].filter(({ phase }) => phase !== 'placing');
     const pending = {
       machine,
       scheduler,
@@ -144,24 +155,25 @@
       fencingToken,
       sequence,
       commands,
-      tasksBefore,
+      tasksAtReceipt,
     };
     scheduler.placeOn(machine);
-    if (machine.tasks.size === tasksBefore.length) {
+    if (machine.tasks.size === tasksAtReceipt.length) {
       this.holdOrRespond(pending);
       return;
     }
     void scheduler
       .waitForCommits(() => machine.tasks.values(), this.ports.maxCommitWaitMs)
       .then(
-        () => this.runLater(this.holdOrRespond, pending),
-        (error: unknown) => this.fail(pending, error),
+        () => this.runCatchingErrors(this.holdOrRespond, pending),
+        (error: unknown) => this.respondWithError(pending, error),
       );
   }
 
   /**
-   * With room left the response is held a while: what is submitted meanwhile starts at once instead of with the next
-   * heartbeat. A worker with tasks has news of its own soon, so its response is held for less.
+   * Holds the response for a while if the machine has free resources: tasks that are submitted meanwhile
+   * start immediately instead of with the next heartbeat. A worker with tasks soon has a change to report, so
+   * its response is held for a shorter time.
    */
   private readonly holdOrRespond = (pending: PendingHeartbeat): void => {
     const { machine } = pending;
@@ -171,14 +183,15 @@
     }
     const intervals = machine.tasks.size === 0 ? holdHeartbeatIntervals.empty : holdHeartbeatIntervals.busy;
     this.longPolls.hold(machine, this.ports.heartbeatIntervalMs * intervals, () =>
-      this.runLater(this.respondNow, pending),
+      this.runCatchingErrors(this.respondNow, pending),
     );
   };
 
   private mayHold(pending: PendingHeartbeat): boolean {
-    const hasNothingToSay = areAllForget(pending.commands) && newCommands(pending).length === 0;
+    const hasOnlyForgets =
+      containsOnlyForgets(pending.commands) && commandsSinceHeartbeat(pending).length === 0;
     return (
-      hasNothingToSay &&
+      hasOnlyForgets &&
       !this.ports.areConnectionsScarce() &&
       this.ports.mayStartTasks() &&
       pending.scheduler.hasRoom(pending.machine)
@@ -188,14 +201,18 @@
   private readonly respondNow = (pending: PendingHeartbeat): void => {
     const { machine, fencingToken, respond } = pending;
     const now = this.ports.clock();
-    const commands = currentCommands(pending, this.mayStillStart(pending, now), now);
-    respond(commandsReply(fencingToken, this.postponeForgets(machine, commands, now)));
+    const commands = currentCommands(pending, this.mayStillStartTasks(pending, now), now);
+    respond(commandsReply(fencingToken, this.delayForgets(machine, commands, now)));
   };
 
-  /** Whatever came in between, a start goes out only under the token that its intent was committed with. */
-  private mayStillStart(pending: PendingHeartbeat, now: number): boolean {
+  /**
+   * Whether the response may still start tasks after what has happened since the heartbeat arrived. A start
+   * is sent only under the fencing token with which its intent was committed.
+   */
+  private mayStillStartTasks(pending: PendingHeartbeat, now: number): boolean {
     const { machine, fencingToken, sequence, receivedAt } = pending;
-    // If we were held up ourselves, the worker has long asked another controller, and drops what is said now.
+    // If this controller was delayed, the worker has meanwhile sent a heartbeat to another controller and
+    // drops this response.
     const hasTimedOut = now - receivedAt > workerTimeoutMs;
     return (
       machine.fencingToken === fencingToken &&
@@ -207,38 +224,42 @@
   }
 
   /**
-   * What a worker forgets is a change of its tasks, and every change makes it send a heartbeat. So commands to forget wait
-   * for others to go with, for two heartbeat intervals at most.
+   * Delays commands to forget until they can be sent with other commands, for two heartbeat intervals at
+   * most. A worker sends a heartbeat after every change of its tasks, and forgetting a task is such a change.
    */
-  private postponeForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
+  private delayForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
     if (commands.length === 0) return commands;
     const delayMs = this.ports.heartbeatIntervalMs * forgetDelayHeartbeatIntervals;
-    if (areAllForget(commands) && now - machine.lastForgetAt < delayMs) return [];
+    if (containsOnlyForgets(commands) && now - machine.lastForgetAt < delayMs) return [];
     machine.lastForgetAt = now;
-    return forgetFirst(commands);
+    return orderForgetsFirst(commands);
   }
 
-  /** Outside the turn that brought the heartbeat, the server no longer handles an error. */
-  private runLater(step: (pending: PendingHeartbeat) => void, pending: PendingHeartbeat): void {
+  /**
+   * Runs a step and handles its errors. The server handles errors only in the turn of the event loop in which
+   * the heartbeat arrived.
+   */
+  private runCatchingErrors(step: (pending: PendingHeartbeat) => void, pending: PendingHeartbeat): void {
     try {
       step(pending);
     } catch (error) {
-      this.fail(pending, error);
+      this.respondWithError(pending, error);
     }
   }
 
-  private fail({ machine, respond }: PendingHeartbeat, error: unknown): void {
+  private respondWithError({ machine, respond }: PendingHeartbeat, error: unknown): void {
     const { log } = this.ports;
     log.error(
       { event: 'request-failed', path: heartbeatPath, machine: machine.id, err: error },
-      'request failed',
+      'handling of heartbeat failed; answering with status 503',
     );
     respond(unavailableReply);
   }
 
   private redirect(machine: string): Reply {
     const { ownerOf, leader, label } = this.ports;
-    // The leader has yet to assign a machine of no block, and can do so once it has heard of it.
+    // A machine without a block has yet to be assigned by the leader, which can assign the machine once the
+    // leader has learned of it.
     const owner = ownerOf(machine) ?? leader();
     if (owner === undefined || owner === label) return noOwnerReply;
     return { status: 421, body: redirectResponse(owner) };
--- a/src/workers/long-polls.test.ts
+++ b/src/workers/long-polls.test.ts
@@ -7,13 +7,13 @@
 
 const checkIntervalMs = 1;
 
-/** Settles once the timer of the responses has run, which was set before. */
+/** Settles after the timer of the held responses, which was set earlier, has fired. */
 function afterCheck(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, checkIntervalMs));
 }
 
 describe('held responses', () => {
-  test('are sent when they are due, and no sooner', async () => {
+  test('are sent when they are due, and not earlier', async () => {
     let now = 0;
     const sent: string[] = [];
     const longPolls = new LongPolls(() => now, checkIntervalMs);
@@ -30,7 +30,7 @@
     assert.deepEqual(sent, ['m1', 'm2']);
   });
 
-  test('are sent at once, and once only, when there is something to say', async () => {
+  test('are sent immediately, and only once, when there are commands to send', async () => {
     let now = 0;
     const sent: string[] = [];
     const longPolls = new LongPolls(() => now, checkIntervalMs);
@@ -44,7 +44,7 @@
     assert.deepEqual(sent, ['first']);
   });
 
-  test('give way to the response to a later heartbeat of the machine', () => {
+  test('are sent when the response to a later heartbeat of the machine is held', () => {
     const sent: string[] = [];
     const longPolls = new LongPolls(() => 0, checkIntervalMs);
     const machine = new MachineState('m1', 0);
@@ -55,7 +55,7 @@
     assert.deepEqual(sent, ['first', 'second']);
   });
 
-  test('that are due together go out in one turn, on one timer', async () => {
+  test('that are due together are sent in one turn of the event loop, by one timer', async () => {
     for (const count of [1, 100]) {
       let now = 0;
       let sent = 0;
--- a/src/workers/long-polls.ts
+++ b/src/workers/long-polls.ts
@@ -1,4 +1,4 @@
-/** Responses to heartbeats that are held back until there is something to say. */
+/** Holds responses to heartbeats until there are commands to send or the hold time is over. */
 import type { Clock } from '../base/clock.js';
 import type { MachineState } from '../placement/machine-state.js';
 
@@ -8,25 +8,26 @@
 }
 
 /**
- * Holds at most one response for each machine. One timer serves all of them, so that those that are due go out together: a
- * timer for each would wake the process as often again as heartbeats do.
+ * Holds at most one response for each machine. One timer serves all held responses, and those that are due
+ * are sent together. With one timer for each response, timers would wake the process as often as heartbeats
+ * do.
  */
 export class LongPolls {
   private readonly heldResponses = new Set<HeldResponse>();
   private isTimerSet = false;
 
-  /** `checkIntervalMs`: how late a response may go out at most. */
+  /** `checkIntervalMs`: the longest delay, in ms, with which a response is sent after it is due. */
   constructor(
     private readonly clock: Clock,
     private readonly checkIntervalMs: number,
   ) {}
 
   /**
-   * Calls `send` once: after `maxHoldMs`, or when somebody calls the machine's `sendHeldResponse`, whichever is first. `send`
-   * must not throw.
+   * Calls `send` exactly once: after `maxHoldMs`, or when the machine's `sendHeldResponse` is called,
+   * whichever comes first. `send` must not throw.
    */
   hold(machine: MachineState, maxHoldMs: number, send: () => void): void {
-    // A worker has one heartbeat in flight at a time, so a response that is still held is one that nobody waits for.
+    // A worker has one heartbeat in flight at a time, so it no longer waits for an earlier response.
     machine.sendHeldResponse?.();
     const response: HeldResponse = {
       dueAt: this.clock() + maxHoldMs,
--- a/src/workers/machine-assessment.test.ts
+++ b/src/workers/machine-assessment.test.ts
@@ -16,75 +16,75 @@
   machineTypes: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type])),
 };
 
-function machineAt(leasedAt: number): MachineState {
+function machineLeasedAt(leasedAt: number): MachineState {
   const machine = new MachineState('m1', leasedAt);
   machine.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
   return machine;
 }
 
-/** One that sent its last heartbeat at this time. */
+/** A reconciled machine that sent its last heartbeat at this time. */
 function liveMachine(lastHeartbeatAt: number): MachineState {
-  const machine = machineAt(lastHeartbeatAt);
+  const machine = machineLeasedAt(lastHeartbeatAt);
   machine.hasSentHeartbeat = true;
   machine.reconciled = true;
   return machine;
 }
 
-function reasonAt(machine: MachineState, now: number): string | undefined {
+function releaseReasonAt(machine: MachineState, now: number): string | undefined {
   markFailedMachines([machine], now, ports);
   return machine.releaseReason;
 }
 
-describe('why a machine is released', () => {
-  test('it has sent no heartbeat within two leases, or a multiple of its boot time if that is longer', () => {
-    const none = reasonAt(liveMachine(0), 0);
-    assert.equal(reasonAt(machineAt(0), 12_000), none);
-    assert.equal(reasonAt(machineAt(0), 12_001), 'never-started');
+describe('release reasons of machines', () => {
+  test('never-started: no heartbeat within two leases, or within a multiple of the boot time if that is longer', () => {
+    const noReason = releaseReasonAt(liveMachine(0), 0);
+    assert.equal(releaseReasonAt(machineLeasedAt(0), 12_000), noReason);
+    assert.equal(releaseReasonAt(machineLeasedAt(0), 12_001), 'never-started');
     const bootS = 5;
     const slowBoot = parseMachineTypes({ hulls: [{ ...machineType, startupS: bootS }] });
     const machineTypes = (): ReturnType<AssessmentPorts['machineTypes']> =>
       new Map(slowBoot.map((type) => [type.name, type]));
-    const machine = machineAt(0);
+    const machine = machineLeasedAt(0);
     const limitMs = bootS * 1000 * defaultOperatorSettings.workers.bootTimes;
     markFailedMachines([machine], limitMs, { ...ports, machineTypes });
-    assert.equal(machine.releaseReason, none);
+    assert.equal(machine.releaseReason, noReason);
     markFailedMachines([machine], limitMs + 1, { ...ports, machineTypes });
     assert.equal(machine.releaseReason, 'never-started');
   });
 
-  test('its heartbeats arrive, and it has not executed a command for three heartbeat intervals', () => {
-    const none = reasonAt(liveMachine(0), 0);
+  test('one-way-partition: heartbeats arrive, but a command was not executed within three heartbeat intervals', () => {
+    const noReason = releaseReasonAt(liveMachine(0), 0);
     const machine = liveMachine(4000);
     machine.tasks.set('req-1/0', { phase: 'placed', startSentAt: 1000 } as Task);
-    assert.equal(reasonAt(machine, 4000), none);
-    assert.equal(reasonAt(machine, 4001), 'one-way-partition');
+    assert.equal(releaseReasonAt(machine, 4000), noReason);
+    assert.equal(releaseReasonAt(machine, 4001), 'one-way-partition');
   });
 
-  test('it is faulty, once it is empty', () => {
-    const none = reasonAt(liveMachine(0), 0);
+  test('faulty: the machine is faulty and has no tasks left', () => {
+    const noReason = releaseReasonAt(liveMachine(0), 0);
     const machine = liveMachine(0);
     machine.faulty = true;
     machine.tasks.set('req-1/0', { phase: 'seen' } as Task);
-    assert.equal(reasonAt(machine, 0), none);
+    assert.equal(releaseReasonAt(machine, 0), noReason);
     machine.tasks.clear();
-    assert.equal(reasonAt(machine, 0), 'faulty');
+    assert.equal(releaseReasonAt(machine, 0), 'faulty');
   });
 
-  test('it is silent, whatever else it is', () => {
+  test('silent: takes precedence over other reasons found at the same time', () => {
     const machine = liveMachine(0);
     machine.faulty = true;
-    assert.equal(reasonAt(machine, 3001), 'silent');
+    assert.equal(releaseReasonAt(machine, 3001), 'silent');
   });
 
-  test('the first reason stays', () => {
+  test('a reason that was set earlier is kept', () => {
     const machine = liveMachine(0);
     machine.faulty = true;
-    assert.equal(reasonAt(machine, 0), 'faulty');
-    assert.equal(reasonAt(machine, 60_000), 'faulty');
+    assert.equal(releaseReasonAt(machine, 0), 'faulty');
+    assert.equal(releaseReasonAt(machine, 60_000), 'faulty');
   });
 });
 
-test('a straggler is told to stop, and its machine is released once it is empty', () => {
+test('a straggler is stopped, and its machine is released once the machine has no tasks left', () => {
   const machine = liveMachine(100_000);
   const job = {
     id: 'req-1',
@@ -108,5 +108,5 @@
   assert.deepEqual([task.stopping, machine.faulty], [true, true]);
   (job as Partial<JobState>).outcome = 'done';
   machine.tasks.clear();
-  assert.equal(reasonAt(machine, 30_001), 'faulty');
+  assert.equal(releaseReasonAt(machine, 30_001), 'faulty');
 });
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -1,4 +1,4 @@
-/** Which machines of a block have failed, as far as their heartbeats and tasks tell. */
+/** Determines from heartbeats and tasks which machines of a block have failed. */
 import type { Log } from '../base/log.js';
 import type { MachineType } from '../model/types.js';
 import type { MachineState } from '../placement/machine-state.js';
@@ -6,7 +6,7 @@
 import { type FailureDetectionTimes, silentMachines } from './failure-detection.js';
 import { findStragglers } from './straggler-detection.js';
 
-/** What an assessment of machines follows from, beside their own states. */
+/** What the assessment of machines needs besides the states of the machines. */
 export interface AssessmentPorts {
   log: Log;
   settings: FailureDetectionTimes;
@@ -14,27 +14,28 @@
   machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-/** A machine may take so many leases to send its first heartbeat, however short the boot time of its type is. */
+/** A machine has at least this many worker leases of time to send its first heartbeat, even if it boots faster. */
 const minStartupLeases = 2;
 
 /**
- * Sets the release reason of machines that have failed and did not have one, and has stragglers stop on the others, which
- * are released once they are empty. `now` is steady time in ms.
+ * Sets the release reason of machines that have failed and have no release reason yet. Marks stragglers to be
+ * stopped and their machines as faulty; a faulty machine is released once it has no tasks left. `now` is
+ * steady time in ms.
  */
 export function markFailedMachines(
   machines: Iterable<MachineState>,
   now: number,
   ports: AssessmentPorts,
 ): void {
-  const unmarked = [...machines].filter(({ releaseReason }) => releaseReason === undefined);
-  for (const machine of unmarked) {
+  const unmarkedMachines = [...machines].filter(({ releaseReason }) => releaseReason === undefined);
+  for (const machine of unmarkedMachines) {
     stopStragglers(machine, now, ports.log);
     if (hasNeverStarted(machine, now, ports)) machine.releaseReason = 'never-started';
     if (isOneWayPartitioned(machine, now, ports)) machine.releaseReason = 'one-way-partition';
     if (isFaultyAndEmpty(machine)) machine.releaseReason = 'faulty';
   }
   const { missedHeartbeats } = ports.operator.workers;
-  for (const machine of silentMachines(unmarked, now, ports.settings, missedHeartbeats)) {
+  for (const machine of silentMachines(unmarkedMachines, now, ports.settings, missedHeartbeats)) {
     machine.releaseReason = 'silent';
   }
 }
@@ -45,7 +46,7 @@
     machine.faulty = true;
     log.info(
       { event: 'straggler', machine: machine.id, job: task.job.id, task: task.index },
-      'task runs far longer than others of its job',
+      'task runs far longer than others of its job; stopping it and marking its machine as faulty',
     );
   }
 }
@@ -64,7 +65,7 @@
   return now - leasedAt > startupLimitMs;
 }
 
-/** Its heartbeats arrive and it executes no commands: our responses do not reach it. */
+/** Whether the machine sends heartbeats but executes no commands: responses do not reach the machine. */
 function isOneWayPartitioned(
   machine: MachineState,
   now: number,
--- a/src/workers/own-delays.ts
+++ b/src/workers/own-delays.ts
@@ -1,28 +1,29 @@
-/** Times in which this controller was held up or slow itself, so that the silence of others says nothing. */
+/** Measures delays of this controller itself, during which missing heartbeats are no sign of failures. */
 import type { Clock } from '../base/clock.js';
 import { ProcessPause } from '../base/process-pause.js';
 import { Saturation } from '../base/saturation.js';
 
-/** While we are short of processor time, this share of it is not held against the machines. */
-const saturatedGraceShare = 0.75;
+/** While this controller is saturated, this ratio of the time does not count against the machines. */
+const saturatedGraceRatio = 0.75;
 
 /**
- * How much of the time that has passed says nothing of the machines, in ms: heartbeats and responses that were in flight in
- * it have waited for us. While we are saturated a part of the time counts all the same, so that a machine that has died is
- * detected though a burst may keep us busy for minutes.
+ * Returns how much of the time that has passed must not count against the machines, in ms: this controller
+ * has delayed the heartbeats and responses that were in flight. While this controller is saturated, part of
+ * the time counts nevertheless, so that a dead machine is detected even if a burst keeps this controller busy
+ * for minutes.
  */
-export function ownDelayGraceMs(time: { passedMs: number; heldUpMs: number; saturated: boolean }): number {
-  const { passedMs, heldUpMs, saturated } = time;
-  return saturated ? Math.max(heldUpMs, passedMs * saturatedGraceShare) : heldUpMs;
+export function ownDelayGraceMs(time: { passedMs: number; pausedMs: number; saturated: boolean }): number {
+  const { passedMs, pausedMs, saturated } = time;
+  return saturated ? Math.max(pausedMs, passedMs * saturatedGraceRatio) : pausedMs;
 }
 
-/** Measures from one periodic check to the next by how much this controller's own delays excuse the machines. */
+/** Measures how much grace the machines get for delays of this controller between two periodic checks. */
 export class OwnDelays {
   private readonly processPause: ProcessPause;
   private readonly saturation = new Saturation();
   private checkedAt: number;
 
-  /** `checkIntervalMs`: the usual time between two checks. */
+  /** `checkIntervalMs`: the usual time between two checks, in ms. */
   constructor(
     private readonly clock: Clock,
     checkIntervalMs: number,
@@ -31,19 +32,19 @@
     this.checkedAt = clock();
   }
 
-  /** The grace for the time since the last call, or since construction, in ms. To be called at each check. */
+  /** Returns the grace in ms for the time since the last call or construction. Must be called at each check. */
   graceMs(): number {
     const passedMs = this.clock() - this.checkedAt;
     this.checkedAt += passedMs;
     return ownDelayGraceMs({
       passedMs,
-      heldUpMs: this.processPause.measureDelayMs(),
+      pausedMs: this.processPause.measureDelayMs(),
       saturated: this.saturation.measureSaturated(),
     });
   }
 
-  /** Has the time since the last check count as time in which nothing held us up: a check that waited for an answer. */
-  ignoreWait(): void {
+  /** Discards the delay since the last check, for a check that has waited for an answer. */
+  discardMeasuredDelay(): void {
     this.processPause.measureDelayMs();
   }
 }
--- a/src/workers/straggler-detection.test.ts
+++ b/src/workers/straggler-detection.test.ts
@@ -6,12 +6,13 @@
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import { findStragglers } from './straggler-detection.js';
 
-// Guards against a job that waits minutes for its last task on a machine that is many times slower than its kind.
-test('a task that runs several times as long as others of its job is stopped', () => {
+// Guards against a job that waits minutes for its last task because the machine of this task is many times
+// slower than other machines of its type.
+test('a task that runs several times as long as the other tasks of its job is stopped', () => {
   let now = 0;
   const { blockState, machine } = createBlockWithMachine(() => now);
   addPlacedJob(blockState, jobSpec('req-1', 4), machine);
-  const hear = (sequence: number, states: TaskState[]): WorkerCommand[] => {
+  const applyHeartbeat = (sequence: number, states: TaskState[]): WorkerCommand[] => {
     const tasks = states.map((state, index) => ({
       job: 'req-1',
       index,
@@ -22,15 +23,15 @@
     const heartbeat = { ...emptyReport('m1', sequence), fencingToken: machineToken, tasks };
     return blockState.applyHeartbeat(machine, heartbeat, true).commands;
   };
-  hear(1, ['running', 'running', 'running', 'running']);
+  applyHeartbeat(1, ['running', 'running', 'running', 'running']);
   now = 12_000;
-  hear(2, ['ended', 'ended', 'ended', 'running']);
-  // Three times the twelve seconds that the others took; the estimate of ten is shorter.
+  applyHeartbeat(2, ['ended', 'ended', 'ended', 'running']);
+  // The limit is three times the twelve seconds that the other tasks ran. The estimate is only ten seconds.
   assert.deepEqual(findStragglers(machine, 36_000), []);
-  const [slow] = findStragglers(machine, 36_001);
-  assert.equal(slow?.index, 3);
-  slow.stopping = true;
-  const commands = hear(3, ['ended', 'ended', 'ended', 'running']);
+  const [straggler] = findStragglers(machine, 36_001);
+  assert.equal(straggler?.index, 3);
+  straggler.stopping = true;
+  const commands = applyHeartbeat(3, ['ended', 'ended', 'ended', 'running']);
   assert.deepEqual(
     commands.filter((command) => command.kind === 'stop').map((command) => command.index),
     [3],
--- a/src/workers/straggler-detection.ts
+++ b/src/workers/straggler-detection.ts
@@ -1,16 +1,19 @@
-/** Detection of tasks that run far longer than others of their job. */
+/** Detects tasks that run far longer than other tasks of their job. */
 import type { Task } from '../placement/job-state.js';
 import type { MachineState } from '../placement/machine-state.js';
 
-/** So many tasks of a job must have completed before others are compared with them. */
+/** At least this many tasks of a job must have completed before running tasks are compared with them. */
 const minCompletedRuns = 3;
-/** Speeds of good machines differ by a tenth, and the tasks of a job by more; beyond this ratio it is the machine. */
+/**
+ * The speeds of healthy machines differ by a tenth, and the run times of tasks of one job by more. If a task
+ * exceeds its expected run time by more than this factor, the machine is assumed to be the cause.
+ */
 const stragglerRunTimeRatio = 3;
 
 /**
- * Tasks of the machine that have run for several times as long as any completed task of their job, and as its user's
- * estimate says: the machine is most likely faulty, and the tasks end sooner if they start again elsewhere. `now` is steady
- * time in ms.
+ * Returns the tasks of the machine that have run several times as long as any completed task of their job and
+ * as the user's estimate. The machine is most likely faulty, and these tasks end sooner if they are restarted
+ * on another machine. `now` is steady time in ms.
  */
 export function findStragglers(machine: MachineState, now: number): Task[] {
   return [...machine.tasks.values()].filter((task) => isStraggler(task, now));
@@ -18,6 +21,8 @@
 
 function isStraggler({ phase, running, runningSince, stopping, job }: Task, now: number): boolean {
   if (phase !== 'seen' || !running || stopping || runningSince === undefined || job.outcome) return false;
-  const usualMs = Math.max(job.maxRunMs, (job.spec?.estimatedRunS ?? Infinity) * 1000);
-  return job.completedRuns >= minCompletedRuns && now - runningSince > usualMs * stragglerRunTimeRatio;
+  const expectedMaxRunMs = Math.max(job.maxRunMs, (job.spec?.estimatedRunS ?? Infinity) * 1000);
+  return (
+    job.completedRuns >= minCompletedRuns && now - runningSince > expectedMaxRunMs * stragglerRunTimeRatio
+  );
 }
--- a/src/workers/traces.test.ts
+++ b/src/workers/traces.test.ts
@@ -4,7 +4,7 @@
 
 import { runTrace } from '../testing/traces.js';
 
-describe('traces of heartbeats and what comes of them', () => {
+describe('heartbeat traces produce the expected findings and commands', () => {
   const folder = 'src/workers/traces';
   for (const file of readdirSync(folder)) {
     test(file.replace('.trace', ''), () => {
