--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -12,7 +12,7 @@
 const partitionedZoneMinSilentRatio = 0.7;
 /** Up to this many silent machines in a zone are no sign of a partition of the zone. */
 const maxUnrelatedSilentMachines = 2;
-/** In the check for partitioned zones, a machine counts as silent after this fraction of the silence limit. */
+/** In the check for partitioned zones, a machine is silent after this fraction of the silence limit. */
 const zoneSilenceLimitRatio = 0.5;
 
 /** With fewer machines than this, all of them may be silent by chance. */
--- a/src/workers/heartbeat-commands.ts
+++ b/src/workers/heartbeat-commands.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Returns starts of the tasks that have been committed for the machine since its heartbeat arrived, and stops of
- * the tasks whose job has ended since.
+ * Returns starts of the tasks that have been committed for the machine since its heartbeat arrived, and stops
+ * of the tasks whose job has ended since.
  */
 export function commandsSinceHeartbeat({ machine, tasksAtReceipt }: HeartbeatContext): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -38,11 +38,11 @@
   /** Whether the store answers this controller, and this controller's knowledge of the store is recent. */
   mayStartTasks: () => boolean;
   /**
-   * Whether heartbeats may be answered: this controller, or its peers, know all jobs whose cancellation has
-   * been confirmed to users.
+   * Whether heartbeats may be answered. Requires that this controller or its peers have learned of every
+   * cancellation that has been confirmed to users.
    */
   mayAnswerHeartbeats: () => boolean;
-  /** Whether connections are scarce. Then no response is held, since a held response occupies its connection. */
+  /** Whether connections are scarce. If so, no response is held, since it would occupy its connection. */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
   /** The longest time, in ms, that a response waits for the commit of the tasks that it starts. */
@@ -63,14 +63,14 @@
 const holdHeartbeatIntervals = { empty: 0.5, busy: 0.25 };
 /** Number of checks of the held responses within the shortest hold time. */
 const checksPerHold = 4;
-/** Without other commands, ended tasks stay in a worker's heartbeats for up to this many heartbeat intervals. */
+/** Without other commands, ended tasks stay in a worker's heartbeats for up to this many intervals. */
 const forgetDelayHeartbeatIntervals = 2;
 /** The protocol's time-out for the response to a heartbeat. A worker drops later responses. */
 const workerTimeoutMs = 4000;
 
 const heartbeatPath = '/hello';
 const malformedHeartbeatReply: Reply = { status: 400, body: { error: 'not a report' } };
-/** Another controller owns the machine, or may own it, and this controller does not know which. */
+/** Another controller owns the machine, or may own it, but the label of that controller is unknown. */
 const unknownOwnerReply: Reply = { status: 421, body: redirectResponse(undefined) };
 /** No other controller is known that owns the machine or could assign an owner. */
 const noOwnerReply: Reply = { status: 503, body: redirectResponse(undefined) };
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -14,7 +14,9 @@
   machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-/** A machine has at least this many worker leases of time to send its first heartbeat, even if it boots faster. */
+/**
+ * A machine has at least this many worker leases to send its first heartbeat, however fast its type boots.
+ */
 const minStartupLeases = 2;
 
 /**
--- a/src/workers/own-delays.ts
+++ b/src/workers/own-delays.ts
@@ -32,7 +32,7 @@
     this.checkedAt = clock();
   }
 
-  /** Returns the grace in ms for the time since the last call or construction. Must be called at each check. */
+  /** Returns the grace since the last call, or since construction, in ms. Must be called at each check. */
   graceMs(): number {
     const passedMs = this.clock() - this.checkedAt;
     this.checkedAt += passedMs;
