--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -21,13 +21,19 @@
   rentedAt: 0,
 };
 
-/** Blocks whose versions and records change together, between any two turns. */
+/**
+ * A registry in which the records and the versions of all blocks can change between two turns of the event
+ * loop.
+ */
 class ChangingRegistry {
   private currentVersion = 1;
-  /** Called with every look at the blocks. */
+  /** Called on every read of the blocks. */
   onRead: () => void = () => undefined;
 
-  /** As when an owner renews its leases: a new life, and a new version. */
+  /**
+   * Changes what a renewal of the leases by their owners changes: the owners' incarnations and the block
+   * versions.
+   */
   change(): void {
     this.currentVersion++;
   }
@@ -67,7 +73,7 @@
 async function firstCommitOf(registry: ChangingRegistry): Promise<Commit> {
   const term = new Term(1, 0);
   const commits: Commit[] = [];
-  const empty = new Map();
+  const emptyMap = new Map();
   const ports = {
     clock: steadyClock,
     wallClock: Date.now,
@@ -77,7 +83,7 @@
     incarnation: 'b',
     quotaSharePeriodMs: 1000,
     settings: { ...testSettings(), teams: new Map() },
-    jobIndex: { jobs: empty, machineLoads: () => empty, inQueueOrder: () => [], activeTasks: () => [] },
+    jobIndex: { jobs: emptyMap, machineLoads: () => emptyMap, inQueueOrder: () => [], activeTasks: () => [] },
     rentedMachines: {
       unassigned: new Map([[unassignedMachine.id, unassignedMachine]]),
       terminated: new Set(),
@@ -87,7 +93,7 @@
     },
     store: { failing: false },
     mirror: { revision: 1 },
-    machineTypes: () => empty,
+    machineTypes: () => emptyMap,
     isBooted: () => true,
     lookahead: 0,
     commits: {
@@ -104,8 +110,9 @@
   return commits[0];
 }
 
-// Guards against the record of an earlier version that is written over a newer one: an owner's renewed leases were undone.
-test('a block record is built on the very version that its commit is conditioned on', async () => {
+// Guards against a lost update: the leader built a block record from an earlier version and committed it on
+// condition of a newer version, which undid the lease renewal that the owner had committed in between.
+test('a block record is built from the same version of the block that its commit is conditioned on', async () => {
   const registry = new ChangingRegistry();
   registry.onRead = () => {
     registry.onRead = () => undefined;
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -1,4 +1,6 @@
-/** The leader's loop that assigns owners, machines and quota shares to blocks, and dispatches jobs to them. */
+/**
+ * The leader's loop that assigns owners, machines and quota shares to blocks, and dispatches jobs to blocks.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
 import type { JobIndex } from '../placement/job-index.js';
@@ -12,21 +14,21 @@
 import { LiveMembers } from './live-members.js';
 import { QuotaShareAllocator } from './quota-share-allocator.js';
 
-/** What the leader knows of rented machines beside the blocks' records. */
+/** The state of rented machines that the leader tracks in addition to the block records. */
 export interface RentedMachines {
-  /** Machines that belong to no block yet, by id. */
+  /** Machines that have not been added to a block yet, by id. */
   readonly unassigned: ReadonlyMap<string, LeasedMachine>;
-  /** Machines that are proven terminated. */
+  /** Machines that are proven to be terminated. */
   readonly terminated: MachineSet;
-  /** Machines that are to be released: nothing more may be placed on them. */
+  /** Machines that are to be released: no further tasks may be placed on them. */
   readonly toDrain: ReadonlySet<string>;
-  /** Machines that are no longer listed by the cloud, and not yet proven terminated. */
+  /** Machines that the cloud no longer lists and that are not yet proven to be terminated. */
   readonly presumedTerminated: ReadonlySet<string>;
-  /** Slots that wait in the block for machines like this one. */
+  /** How many slots the block's waiting tasks need on machines of the same kind as this machine. */
   waitingSlots(block: number, machine: LeasedMachine): number;
 }
 
-/** What the allocator works with during one term of leadership. */
+/** The dependencies of the allocator during one term of leadership. */
 export interface BlockAllocatorPorts extends DispatcherPorts {
   clock: Clock;
   settings: Settings;
@@ -36,20 +38,23 @@
   term: LeaderTerm;
   store: { readonly failing: boolean };
   rentedMachines: RentedMachines;
-  /** Quota shares are kept for this long, unless work waits for want of a share. */
+  /** How long quota shares are kept, unless waiting tasks exceed the quota share of their block. */
   quotaSharePeriodMs: number;
-  /** Identifies this run of the controller process. */
+  /** Identifies this incarnation of the controller process. */
   incarnation: string;
 }
 
 const pollIntervalMs = 200;
 /**
- * How long changes of blocks that are not urgent are gathered, in heartbeat intervals. A block whose machines are on pages
- * costs a change of each page as well.
+ * How long changes of blocks that are not urgent are batched, in heartbeat intervals. Batches are longer if
+ * the machines of a block are on pages, because each write of the block then also changes pages.
  */
 const batchingHeartbeats = { inline: 1 / 2, paged: 1 };
 
-/** Assigns blocks and dispatches jobs for one term. Each round builds on a replica that has its own last commits. */
+/**
+ * Assigns blocks and dispatches jobs for one term. Each round starts only after the replica of the store has
+ * reached the last commits of the allocator itself.
+ */
 export class BlockAllocator {
   private blocksAssignedAt = -Infinity;
   private dispatchedRevision = 0;
@@ -65,7 +70,10 @@
     this.dispatcher = new Dispatcher(ports);
   }
 
-  /** Runs until the term ends. Pauses while the store fails or the replica lacks the last commits. */
+  /**
+   * Runs until the term ends. Pauses while the store fails or the replica has not reached the allocator's
+   * last commits.
+   */
   async run(): Promise<void> {
     const { signal } = this.ports.term;
     while (!signal.aborted) {
@@ -85,7 +93,10 @@
     return !term.signal.aborted && !store.failing && this.isReplicaCurrent();
   }
 
-  /** The replica has everything that was committed before this term, and by this allocator since. */
+  /**
+   * Whether the replica has reached every commit before this term, and every commit of this allocator since
+   * the term began.
+   */
   private isReplicaCurrent(): boolean {
     const { term, mirror } = this.ports;
     const revisions = [term.fencingToken, this.leases.committedRevision, this.dispatchedRevision];
@@ -94,17 +105,20 @@
 
   private async assignBlocks(): Promise<void> {
     const { settings, registry, clock } = this.ports;
-    if (await this.leases.supersedeUncertain()) return;
-    // From here to the commits nothing is awaited: the records that they build on are those of the versions they name.
+    if (await this.leases.supersedeUnknownCommits()) return;
+    // There must be no `await` between here and the commits: each commit is conditioned on the current
+    // version of the block, and its record must be built from that same version.
     const blocks = registry.blocks();
     const members = this.members.update();
-    // The rest is batched: every new version of a block makes the intents that its owner has in flight conflict.
+    // Changes that are not urgent are batched: each new version of a block makes the intent commits that the
+    // owner has in flight conflict.
     const isUrgent = blocks.size < settings.controllers || this.hasDeadOwner(blocks);
     if (!isUrgent && clock() - this.blocksAssignedAt < this.batchingMs(blocks)) return;
     this.blocksAssignedAt = clock();
     const next = this.nextBlocks(blocks, members);
-    // One operation a block: several full records together would exceed a transaction. Each is safe without the others,
-    // since no machine and no part of a limit is given away that another block still has.
+    // Each block is a commit operation of its own, since several full records together would exceed the size
+    // limit of a transaction. Each operation is safe if another one fails: no machine and no part of a team's
+    // limit is assigned to a block while another block still has it.
     await Promise.all(
       [...next].map(([block, record]) => this.leases.write(block, blocks.get(block), record)),
     );
--- a/src/blocks/block-assignment.test.ts
+++ b/src/blocks/block-assignment.test.ts
@@ -31,11 +31,11 @@
   });
 }
 
-test('assigned blocks stay: nothing is written while nothing has changed', () => {
+test('a block keeps its assignment and is not written if nothing has changed', () => {
   assert.equal(assign({}).size, 0);
 });
 
-test("a dead controller's block goes to another with new fencing tokens, the other blocks keep theirs", () => {
+test('the block of a dead controller is leased to another with new fencing tokens, other blocks are not written', () => {
   const next = assign({ liveMembers: members.slice(1) });
   assert.deepEqual([...next.keys()], [0]);
   assert.equal(next.get(0)?.owner, 'k1');
@@ -45,7 +45,7 @@
   );
 });
 
-test('a controller that is back gets a block again only once it has been alive for a while', () => {
+test('a controller that has restarted is leased a block again only after it has been alive for a while', () => {
   const blocks = new Map([
     [0, ownedBlock('k1', leasedMachine('m1'))],
     [1, ownedBlock('k1', leasedMachine('m2'), leasedMachine('m3'))],
@@ -55,7 +55,7 @@
   assert.equal(assign({ blocks }).get(0)?.owner, 'k0');
 });
 
-test('a new machine goes to a controller of its zone, or to where alone work waits', () => {
+test('a new machine goes to a block owned in its zone, unless only blocks of other zones have tasks waiting for it', () => {
   assert.ok(
     assign({ unassignedMachines: [leasedMachine('m9', 'a', { fencingToken: 0 })] })
       .get(0)
@@ -69,7 +69,7 @@
   );
 });
 
-test('a terminated machine stays in its block until its tasks have left it', () => {
+test('a terminated machine is removed from its block only after it has no tasks left', () => {
   assert.equal(assign({ terminatedMachines: new Set(['m1']), machinesWithTasks: new Set(['m1']) }).size, 0);
   assert.deepEqual(assign({ terminatedMachines: new Set(['m1']) }).get(0)?.machines, []);
 });
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -1,4 +1,6 @@
-/** Which controller owns which block and which machines belong to it: the leader's decision, without any side effects. */
+/**
+ * Decides, without side effects, which controller owns each block and which machines belong to each block.
+ */
 import {
   type BlockRecord,
   type LeasedMachine,
@@ -7,41 +9,50 @@
 } from '../wire/block-records.js';
 import type { Member } from './block-registry.js';
 
-/** Ids of machines. */
+/** A set of machine ids. */
 export interface MachineSet {
   has(machine: string): boolean;
 }
 
-/** What an assignment is decided from. */
+/** The input of an assignment of blocks. */
 export interface AssignmentInput {
-  /** How many blocks there are to be: one for each controller of the settings. */
+  /** Target number of blocks: one for each controller in the settings. */
   blockCount: number;
-  /** The blocks' records as they stand. */
+  /** The current block records, by block. */
   blocks: ReadonlyMap<number, BlockRecord>;
   /** Controllers that are alive. */
   liveMembers: Member[];
-  /** Labels of those that have been alive for long enough to be leased a block again. */
+  /**
+   * Labels of the controllers that have been alive long enough to be leased a block that another controller
+   * owns.
+   */
   stableMembers: ReadonlySet<string>;
-  /** Rented machines that belong to no block yet. */
+  /** Rented machines that have not been added to a block yet. */
   unassignedMachines: LeasedMachine[];
-  /** Machines that are proven terminated. */
+  /** Machines that are proven to be terminated. */
   terminatedMachines: MachineSet;
-  /** Machines with tasks, as of the blocks' present versions: these stay in their block. */
+  /** Machines with tasks, as of the current versions of the blocks: these machines stay in their block. */
   machinesWithTasks: MachineSet;
-  /** Machines that nothing more may be placed on. */
+  /** Machines on which no further tasks may be placed. */
   drainingMachines: ReadonlySet<string>;
-  /** Slots that wait in the block for machines like this one. */
+  /** How many slots the block's waiting tasks need on machines of the same kind as this machine. */
   waitingSlots: (block: number, machine: LeasedMachine) => number;
-  /** The next shares of the teams' limits; a block that is missing keeps its own. */
+  /** The next quota shares of each block; a block without an entry keeps its current shares. */
   quotaShares: ReadonlyMap<number, QuotaShares>;
 }
 
-/** The record of a block that nobody owns: an empty owner, as the record is stored, is no controller's label. */
+/**
+ * The record of a block without an owner. Its owner is the empty string, which is not the label of any
+ * controller.
+ */
 export function unownedBlock(): BlockRecord {
   return { owner: '', incarnation: '', quotaShares: {}, machines: [] };
 }
 
-/** The records that the leader is to commit now; blocks that stay as they are do not appear. The input is left as it is. */
+/**
+ * Returns the records that the leader has to commit now, by block. Blocks that do not change have no entry.
+ * Does not modify the input.
+ */
 export function assignBlocks(input: AssignmentInput): Map<number, BlockRecord> {
   const blocks = copyBlocks(input);
   assignOwners(blocks, input);
@@ -54,8 +65,8 @@
 }
 
 /**
- * Leases the block to the owner, in place. All its machines get the revision of the lease's commit as their fencing token,
- * which is higher than every earlier one.
+ * Leases the block to the owner by changing the record in place. The fencing token of each machine becomes
+ * the revision of the commit that stores the lease, which is higher than every earlier fencing token.
  */
 export function transferBlock(record: BlockRecord, owner: Member): void {
   record.owner = owner.label;
@@ -76,8 +87,9 @@
 }
 
 /**
- * Blocks whose owner is not alive are leased to others at once. A live controller without a block gets one of another that
- * has several, once it has been alive for a while.
+ * Leases each block whose owner is not alive to a live controller immediately. If a live controller owns no
+ * block and is stable, leases it the block with the fewest machines of the controllers that own several
+ * blocks.
  */
 function assignOwners(blocks: ReadonlyMap<number, BlockRecord>, input: AssignmentInput): void {
   const members = new Map(input.liveMembers.map((member) => [member.label, member]));
@@ -103,7 +115,9 @@
   }
 }
 
-/** A terminated machine stays in its block until its tasks have left it. */
+/**
+ * Removes terminated machines that have no tasks left, and updates the draining flag of the remaining machines.
+ */
 function updateMachines(record: BlockRecord, input: AssignmentInput): void {
   const { terminatedMachines, machinesWithTasks, drainingMachines } = input;
   record.machines = record.machines.filter(
@@ -123,8 +137,9 @@
 }
 
 /**
- * A new machine goes to a controller of its own zone, so that a partition between zones leaves both sides working, unless
- * only other controllers have work waiting for such a machine.
+ * Chooses a block whose owner is in the zone of the machine, so that both sides of a network partition
+ * between zones keep working. If tasks wait for such a machine only in blocks whose owners are in other
+ * zones, chooses one of those blocks.
  */
 function chooseBlock(
   machine: LeasedMachine,
@@ -136,7 +151,8 @@
     record,
     isLocal: zoneOf.get(record.owner) === machine.zone,
     waitingSlots: input.waitingSlots(block, machine),
-    alike: record.machines.filter(({ type, spot }) => type === machine.type && spot === machine.spot).length,
+    sameKindCount: record.machines.filter(({ type, spot }) => type === machine.type && spot === machine.spot)
+      .length,
   }));
   const isWanted = candidates.some(({ waitingSlots }) => waitingSlots > 0);
   const isWantedLocally = candidates.some(({ isLocal, waitingSlots }) => isLocal && waitingSlots > 0);
@@ -146,7 +162,7 @@
       (isWantedElsewhereOnly ? b.waitingSlots - a.waitingSlots : 0) ||
       Number(b.isLocal) - Number(a.isLocal) ||
       b.waitingSlots - a.waitingSlots ||
-      a.alike - b.alike,
+      a.sameKindCount - b.sameKindCount,
   );
   return candidates[0]?.record;
 }
@@ -162,7 +178,7 @@
   );
 }
 
-/** Whether the fields are the same that can change. */
+/** Compares only the fields that can change. */
 function isSameMachine(a: LeasedMachine, b: LeasedMachine | undefined): boolean {
   return a.id === b?.id && a.fencingToken === b.fencingToken && a.draining === b.draining;
 }
--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -1,4 +1,4 @@
-/** Blocks, machines and live controllers as this controller's replica of the store has them. */
+/** Reads blocks, machines and live controllers from this controller's replica of the store. */
 import type { Mirror } from '../store/mirror.js';
 import {
   type BlockRecord,
@@ -13,23 +13,29 @@
 /** A controller that is alive. */
 export interface Member {
   label: string;
-  /** Identifies the run of its process. */
+  /** Identifies the incarnation of the controller's process. */
   incarnation: string;
   zone: string;
 }
 
-/** A block as the replica of the store has it. */
+/** A block as stored in the replica of the store. */
 export interface StoredBlock {
   record: BlockRecord;
   /** Store revision of the last change of the record. */
   version: number;
-  /** Its record names the machines itself, as earlier versions of the program write it. */
+  /**
+   * Whether the record lists the machines itself, which is the format that earlier versions of the program
+   * write.
+   */
   isInline: boolean;
-  /** Store revisions of the pages of its machines, by number; pages count only where the record names no machines itself. */
+  /**
+   * Store revision of each page of the block's machines, by page number. Pages are valid only if the record
+   * does not list the machines itself.
+   */
   pageVersions: ReadonlyMap<number, number>;
 }
 
-/** The machines of all blocks, by id. */
+/** The machines of all blocks with the label of the block's owner, by machine id. */
 type MachineOwners = Map<string, { machine: LeasedMachine; owner: string }>;
 
 type ParsedBlock = Omit<StoredBlock, 'pageVersions'> & { pageVersions: Map<number, number> };
@@ -37,20 +43,26 @@
 const blockPrefix = 'block/';
 const alivePrefix = 'alive/';
 
-/** Who owns which block, and which controllers are alive. Parses a record or a page only when it has changed. */
+/**
+ * Provides the block records, the live controllers and the owner of each machine. Parses a record or a page
+ * only after it has changed.
+ */
 export class BlockRegistry {
   private readonly parsedBlocks = new Map<number, ParsedBlock>();
-  /** With the versions of the blocks that the map was made from. */
+  /** Cached map of machines, with the versions of the blocks from which it was built. */
   private machineOwners: { blockVersions: string; byId: MachineOwners } | undefined;
   private knownUpgraded = false;
 
-  /** `labels`: of all controllers of the settings. */
+  /** `labels`: the labels of all controllers in the settings. */
   constructor(
     private readonly mirror: Mirror,
     private readonly labels: string[] = [],
   ) {}
 
-  /** Every controller of the settings has run with the current format; none comes back with an earlier one after that. */
+  /**
+   * Whether every controller in the settings has run with the current record format. After that, no
+   * controller returns to an earlier format.
+   */
   get isClusterUpgraded(): boolean {
     this.knownUpgraded ||=
       this.mirror.ready &&
@@ -58,7 +70,10 @@
     return this.knownUpgraded;
   }
 
-  /** The records of all blocks. They are shared: callers copy what they change. */
+  /**
+   * The records of all blocks. The records are shared: a caller must copy a record before it changes the
+   * record.
+   */
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
     for (const [key, entry] of this.mirror.entriesWithPrefix(blockPrefix)) {
@@ -69,18 +84,21 @@
     return blocks;
   }
 
-  /** The block with what a write of it has to be conditioned on; undefined if it has no record. */
+  /**
+   * The block with the versions that a write of the block must be conditioned on; undefined if the block has
+   * no record.
+   */
   storedBlock(block: number): StoredBlock | undefined {
     const entry = this.mirror.get(blockKey(block));
     return entry && this.parseStored(block, entry);
   }
 
-  /** Store revision of the last change of the block's record; 0 if it has none. */
+  /** Store revision of the last change of the block's record; 0 if the block has no record. */
   blockVersion(block: number): number {
     return this.mirror.version(blockKey(block));
   }
 
-  /** The controllers whose lease of the state service has not expired. */
+  /** The controllers whose lease at the state service has not expired, as far as the replica has it. */
   liveMembers(): Member[] {
     const members: Member[] = [];
     for (const [key, entry] of this.mirror.entriesWithPrefix(alivePrefix)) {
@@ -90,22 +108,29 @@
     return members;
   }
 
-  /** The controller with this label is alive. */
+  /** Whether the controller with this label is alive. */
   isAlive(label: string): boolean {
     return this.mirror.get(aliveKey(label)) !== undefined;
   }
 
-  /** The machines of all blocks by id. */
+  /** The machines of all blocks, by machine id. */
   leasedMachines(): Map<string, LeasedMachine> {
     return new Map([...this.ownersById()].map(([id, { machine }]) => [id, machine]));
   }
 
-  /** Label of the controller that the machine is to send its heartbeats to; undefined for a machine in no block. */
+  /**
+   * Label of the controller to which the machine must send its heartbeats; undefined if the machine is in no
+   * block.
+   */
   ownerOf(machine: string): string | undefined {
     return this.ownersById().get(machine)?.owner;
   }
 
-  /** No page changes without its block's record, but for pages that are being prepared and do not count yet. */
+  /**
+   * Parses the block, or returns the cached result while the version of the record is unchanged. That version
+   * is enough to check: a valid page changes only together with the record, and pages that are being prepared
+   * are not valid yet.
+   */
   private parseStored(block: number, entry: StoredValue): StoredBlock | undefined {
     const known = this.parsedBlocks.get(block);
     if (known?.version === entry.version && !known.isInline) return known;
@@ -127,7 +152,10 @@
     return machinePages(block, this.mirror.entriesWithPrefix(machinesPrefix(block)));
   }
 
-  /** Walking all machines is worth it only when a block has changed, which few changes of the replica are about. */
+  /**
+   * The machines of all blocks, cached until the version of a block changes. Few changes of the replica
+   * concern blocks, so iterating over all machines on every change would be wasteful.
+   */
   private ownersById(): MachineOwners {
     const blocks = this.blocks();
     const blockVersions = [...blocks.keys()].map((block) => `${block}:${this.blockVersion(block)}`).join(' ');
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -32,8 +32,11 @@
   return { owner: 'keel-0', incarnation: 'life', machines, quotaShares: { red: [4, 0] } };
 }
 
-/** A store in which every controller has run with this version, and a block as the version before has written it. */
-class Stage {
+/**
+ * A store in which every controller has run with this version, and a block as the version before has written
+ * it.
+ */
+class WriterFixture {
   readonly store = new HeldStore();
   private readonly settings;
 
@@ -78,56 +81,56 @@
 
 describe('a block that an earlier version has written', () => {
   test('stays as that version reads it until every controller has run with this one', async () => {
-    const stage = new Stage();
-    await stage.prepare(230, labels.slice(1));
-    await stage.write(recordOf(231));
-    assert.deepEqual((await stage.registry()).storedBlock(0)?.isInline, true);
-    assert.equal((await stage.read()).machines.length, 231);
+    const fixture = new WriterFixture();
+    await fixture.prepare(230, labels.slice(1));
+    await fixture.write(recordOf(231));
+    assert.deepEqual((await fixture.registry()).storedBlock(0)?.isInline, true);
+    assert.equal((await fixture.read()).machines.length, 231);
   });
 
   test('stays so where it is small', async () => {
-    const stage = new Stage();
-    await stage.prepare(10);
-    await stage.write(recordOf(11));
-    assert.deepEqual((await stage.registry()).storedBlock(0)?.isInline, true);
+    const fixture = new WriterFixture();
+    await fixture.prepare(10);
+    await fixture.write(recordOf(11));
+    assert.deepEqual((await fixture.registry()).storedBlock(0)?.isInline, true);
   });
 
   // Guards against a block that can never be written again: its record has outgrown the service's new limits.
   for (const machines of [230, 700, 1000]) {
     test(`of ${machines} machines moves to pages, in steps after each of which it says the same`, async () => {
-      const stage = new Stage();
-      await stage.prepare(machines);
-      const before = await stage.read();
-      stage.store.onWrite = async () => assert.deepEqual(idsOf(await stage.read()), idsOf(before));
-      const { outcome } = await stage.write({ ...before, quotaShares: { red: [8, 0] } });
-      await stage.store.checked;
+      const fixture = new WriterFixture();
+      await fixture.prepare(machines);
+      const before = await fixture.read();
+      fixture.store.onWrite = async () => assert.deepEqual(idsOf(await fixture.read()), idsOf(before));
+      const { outcome } = await fixture.write({ ...before, quotaShares: { red: [8, 0] } });
+      await fixture.store.checked;
       assert.equal(outcome.kind, 'applied');
-      const after = await stage.read();
+      const after = await fixture.read();
       assert.deepEqual(idsOf(after), idsOf(before));
       assert.ok(after.machines.every(({ fencingToken }) => fencingToken === 1));
       assert.deepEqual(after.quotaShares, { red: [8, 0] });
-      assert.ok(stage.store.largestValue <= 2048, `${stage.store.largestValue} bytes`);
-      assert.ok(stage.store.largestWrites <= 6);
+      assert.ok(fixture.store.largestValue <= 2048, `${fixture.store.largestValue} bytes`);
+      assert.ok(fixture.store.largestWrites <= 6);
     });
   }
 });
 
 describe('a block on pages', () => {
-  async function paged(machines: number, next = nextLimits): Promise<Stage> {
-    const stage = new Stage(next);
-    await stage.prepare(10);
-    await stage.write(recordOf(machines));
-    stage.store.forgetSizes();
-    return stage;
+  async function paged(machines: number, next = nextLimits): Promise<WriterFixture> {
+    const fixture = new WriterFixture(next);
+    await fixture.prepare(10);
+    await fixture.write(recordOf(machines));
+    fixture.store.forgetSizes();
+    return fixture;
   }
 
   test('changes hands in one change, with tokens above all before', async () => {
-    const stage = await paged(4000);
-    const next = await stage.read();
+    const fixture = await paged(4000);
+    const next = await fixture.read();
     transferBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
-    const { outcome } = await stage.write(next);
-    assert.equal(stage.store.largestWrites, 1);
-    const { owner, machines } = await stage.read();
+    const { outcome } = await fixture.write(next);
+    assert.equal(fixture.store.largestWrites, 1);
+    const { owner, machines } = await fixture.read();
     assert.equal(owner, 'keel-1');
     assert.equal(machines.length, 4000);
     const revision = outcome.kind === 'applied' ? outcome.revision : 0;
@@ -135,16 +138,16 @@
   });
 
   test('adds, drains and removes a machine with a change of few pages, and the others keep their tokens', async () => {
-    const stage = await paged(4000, { value_kb: 32, txn_ops: 20 });
-    const next = await stage.read();
+    const fixture = await paged(4000, { value_kb: 32, txn_ops: 20 });
+    const next = await fixture.read();
     const removed = next.machines.pop()?.id;
     const draining = next.machines[0];
     assert.ok(draining);
     draining.draining = true;
     next.machines.push(machine(5000, { fencingToken: 0 }));
-    await stage.write(next);
-    assert.ok(stage.store.largestWrites <= 4);
-    const { machines } = await stage.read();
+    await fixture.write(next);
+    assert.ok(fixture.store.largestWrites <= 4);
+    const { machines } = await fixture.read();
     assert.equal(machines.length, 4000);
     assert.equal(
       machines.some(({ id }) => id === removed),
@@ -161,34 +164,34 @@
 
   // Guards against intents on a draining machine: each step has a version of its own.
   test('of which more pages change than a transaction holds changes in steps that all renew its version', async () => {
-    const stage = await paged(1300);
-    const next = await stage.read();
+    const fixture = await paged(1300);
+    const next = await fixture.read();
     for (const one of next.machines) one.draining = true;
     const versions = new Set<number>();
-    stage.store.onWrite = async () => void versions.add((await stage.registry()).blockVersion(0));
-    await stage.write(next);
-    await stage.store.checked;
+    fixture.store.onWrite = async () => void versions.add((await fixture.registry()).blockVersion(0));
+    await fixture.write(next);
+    await fixture.store.checked;
     assert.ok(versions.size >= 5);
-    assert.ok(stage.store.largestWrites <= 6);
-    assert.ok((await stage.read()).machines.every(({ draining }) => draining));
+    assert.ok(fixture.store.largestWrites <= 6);
+    assert.ok((await fixture.read()).machines.every(({ draining }) => draining));
   });
 
   test('whose steps meet a conflict is left as a mixture of both, and says so', async () => {
-    const stage = await paged(1300);
-    const next = await stage.read();
+    const fixture = await paged(1300);
+    const next = await fixture.read();
     for (const one of next.machines) one.draining = true;
     let writes = 0;
-    stage.store.onWrite = async () => {
+    fixture.store.onWrite = async () => {
       if (++writes === 2)
-        await stage.store.commit(
+        await fixture.store.commit(
           'duty',
           [],
-          [{ drop: blockKey(9) }, { put: blockKey(0), value: stage.store.value(blockKey(0)) }],
+          [{ drop: blockKey(9) }, { put: blockKey(0), value: fixture.store.value(blockKey(0)) }],
         );
     };
-    const { outcome } = await stage.write(next);
+    const { outcome } = await fixture.write(next);
     assert.equal(outcome.kind, 'conflict');
-    const left = (await stage.read()).machines.filter(({ draining }) => draining).length;
+    const left = (await fixture.read()).machines.filter(({ draining }) => draining).length;
     assert.ok(left > 0 && left < 1300);
   });
 });
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -1,4 +1,7 @@
-/** Writes of blocks: a record that commits are conditioned on, and pages that name the machines of large blocks. */
+/**
+ * Writes of blocks: a record that commits are conditioned on, and pages that name the machines of large
+ * blocks.
+ */
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { CommitOutcome } from '../store/transactions.js';
@@ -53,19 +56,21 @@
 const maxInlineRecordRatio = 1 / 2;
 
 /**
- * Earlier versions read only records that name all machines, so these are written until every controller has run with this
- * one, and after that for as long as they are small. The machines of larger blocks are on pages, and a change of more pages
- * than a transaction holds is made in several commits. Each of these is safe by itself, since what it says of one machine
- * does not depend on another, and each has a new version of the record, so that no intent is committed on an earlier one.
- * Pages beside a record that still names the machines itself mean nothing: they are prepared first, and count from the one
- * commit that takes the machines out of the record.
+ * Earlier versions read only records that name all machines, so these are written until every controller has
+ * run with this one, and after that for as long as they are small. The machines of larger blocks are on
+ * pages, and a change of more pages than a transaction holds is made in several commits. Each of these is
+ * safe by itself, since what it says of one machine does not depend on another, and each has a new version of
+ * the record, so that no intent is committed on an earlier one. Pages beside a record that still names the
+ * machines itself mean nothing: they are prepared first, and count from the one commit that takes the
+ * machines out of the record.
  */
 export class BlockWriter {
   constructor(private readonly ports: BlockWriterPorts) {}
 
   /**
-   * Writes the block on condition that it is as the replica of the store has it. Settles when the last commit is decided;
-   * of a write in several commits, the first that is not applied ends it. `guards`: what has to hold beside that.
+   * Writes the block on condition that it is as the replica of the store has it. Settles when the last commit
+   * is decided; of a write in several commits, the first that is not applied ends it. `guards`: what has to
+   * hold beside that.
    */
   async write(block: number, next: BlockRecord, guards: Condition[] = []): Promise<BlockWriteResult> {
     const { registry, commits } = this.ports;
@@ -101,7 +106,8 @@
     for (let written = 0; ; written += pagesPerCommit) {
       const step = changes.slice(written, written + pagesPerCommit);
       const isLast = written + pagesPerCommit >= changes.length;
-      // While the record names the machines itself, only the last commit may write it, and counts on all pages.
+      // While the record names the machines itself, only the last commit may write it, and counts on all
+      // pages.
       const writesRecord = isLast || !wasInline;
       const countedPages = isLast && wasInline ? pages.keys() : step.map(({ page }) => page);
       const outcome = await this.commitPages(block, {
@@ -128,7 +134,9 @@
   }
 }
 
-/** New fencing tokens come from the first commit that writes the record: later ones must not raise them again. */
+/**
+ * New fencing tokens come from the first commit that writes the record: later ones must not raise them again.
+ */
 function withFencingToken(record: BlockRecord, firstRevision: number): BlockRecord {
   return record.leaseFencingToken === tokenOfOwnCommit
     ? { ...record, leaseFencingToken: firstRevision }
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -7,7 +7,10 @@
 /** What a block can take of one kind of task. */
 export interface BlockSlots {
   block: number;
-  /** Tasks that fit into what is free now, less those that wait in the block already: negative where more wait. */
+  /**
+   * Tasks that fit into what is free now, less those that wait in the block already: negative where more
+   * wait.
+   */
   freeSlots: number;
   /** Tasks that fit into the block's machines while these are empty: its size. */
   totalSlots: number;
@@ -16,15 +19,18 @@
 /** What an estimate is made from. */
 export interface CapacityInput {
   blocks: ReadonlyMap<number, BlockRecord>;
-  /** The controller with this label is alive: only the blocks of live controllers have slots, unless none is alive. */
+  /**
+   * The controller with this label is alive: only the blocks of live controllers have slots, unless none is
+   * alive.
+   */
   isAlive: (label: string) => boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
   jobIndex: Pick<JobIndex, 'jobs' | 'machineLoads' | 'waitingByBlock'>;
   /** Tasks can start on the machine. */
   isBooted: (machine: LeasedMachine) => boolean;
   /**
-   * How much more than fits now a block may be given, as a ratio of its size, so that it need not wait for the leader
-   * whenever a task ends.
+   * How much more than fits now a block may be given, as a ratio of its size, so that it need not wait for
+   * the leader whenever a task ends.
    */
   lookahead: number;
 }
@@ -45,7 +51,10 @@
 
 /** The most that a block is given beyond what it has room for, as a ratio of its size. */
 const maxLookaheadRatio = 1;
-/** A task that asks for fewer CPUs than this counts as if it asked for so many, where waiting CPUs are counted in tasks. */
+/**
+ * A task that asks for fewer CPUs than this counts as if it asked for so many, where waiting CPUs are counted
+ * in tasks.
+ */
 const minCpusPerTask = 1e-3;
 /** Bound for tasks that ask for next to nothing. */
 const maxSlotsPerMachine = 1e6;
@@ -101,9 +110,9 @@
   }
 
   /**
-   * Raises the lookahead with the backlog, up to the blocks' sizes: with more work waiting than all blocks have room for,
-   * none runs dry, and each dispatch costs a change of the store. `backlog`: jobs with their undispatched tasks. Acts on
-   * the kinds of task in the backlog and on those measured before.
+   * Raises the lookahead with the backlog, up to the blocks' sizes: with more work waiting than all blocks
+   * have room for, none runs dry, and each dispatch costs a change of the store. `backlog`: jobs with their
+   * undispatched tasks. Acts on the kinds of task in the backlog and on those measured before.
    */
   extendLookahead(backlog: Iterable<{ spec: JobSpec; tasks: number }>): void {
     const backlogRatios = new Map<boolean, number>();
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -16,17 +16,26 @@
   term: { readonly fencingToken: number };
 }
 
-/** Jobs whose ranges are written in one round, as a ratio of the changes that the store takes in a second or a transaction. */
+/**
+ * Jobs whose ranges are written in one round, as a ratio of the changes that the store takes in a second or a
+ * transaction.
+ */
 const maxWritesRatio = 0.35;
 const minWritesPerRound = 2;
 
-/** Writes the ranges of jobs, as long as the writer leads and the job's record is the one that the ranges are based on. */
+/**
+ * Writes the ranges of jobs, as long as the writer leads and the job's record is the one that the ranges are
+ * based on.
+ */
 export class DispatchWriter {
   private lastAppliedRevision = 0;
 
   constructor(private readonly ports: DispatchWriterPorts) {}
 
-  /** The highest store revision of its commits, which the replica has to reach before the next decision; 0: none yet. */
+  /**
+   * The highest store revision of its commits, which the replica has to reach before the next decision; 0:
+   * none yet.
+   */
   get committedRevision(): number {
     return this.lastAppliedRevision;
   }
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -46,8 +46,8 @@
   }
 
   /**
-   * One round, which settles when its commits are decided. Returns the highest revision of any commit so far, which the
-   * replica has to reach before the next round; 0: there was none.
+   * One round, which settles when its commits are decided. Returns the highest revision of any commit so far,
+   * which the replica has to reach before the next round; 0: there was none.
    */
   async runRound(): Promise<number> {
     await this.dispatchJobs();
@@ -74,7 +74,9 @@
     await Promise.all(writes);
   }
 
-  /** Tasks that a block has started in spite of a recall are that block's, before any others are dispatched. */
+  /**
+   * Tasks that a block has started in spite of a recall are that block's, before any others are dispatched.
+   */
   private nextRanges(job: IndexedJob, capacity: CapacityEstimate): IndexedJob['taskRanges'] | undefined {
     const { spec, taskRanges, id } = job;
     return (
@@ -84,8 +86,9 @@
   }
 
   /**
-   * A new job is dispatched at once. What was left over before waits for room, which appears a task at a time: dispatching
-   * each of them alone would take most of the changes that the store allows, and the blocks have work ahead.
+   * A new job is dispatched at once. What was left over before waits for room, which appears a task at a
+   * time: dispatching each of them alone would take most of the changes that the store allows, and the blocks
+   * have work ahead.
    */
   private dueForDispatch(undispatched: IndexedJob[]): IndexedJob[] {
     const { clock, settings } = this.ports;
--- a/src/blocks/initial-dispatcher.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -23,14 +23,20 @@
 /** A new job is given only what fits now; work ahead is the leader's to give. */
 const noLookahead = 0;
 
-/** Dispatches a job whole to the block with the most room; what is too big for any block is the leader's to dispatch. */
+/**
+ * Dispatches a job whole to the block with the most room; what is too big for any block is the leader's to
+ * dispatch.
+ */
 export class InitialDispatcher {
   private capacity: CapacityEstimate | undefined;
   private measuredAt = -Infinity;
 
   constructor(private readonly ports: InitialDispatcherPorts) {}
 
-  /** The ranges to accept the job with: none where the leader has to dispatch it, or where its dependencies are not done. */
+  /**
+   * The ranges to accept the job with: none where the leader has to dispatch it, or where its dependencies
+   * are not done.
+   */
   initialRanges(spec: JobSpec): TaskRange[] {
     const { jobIndex, leader, ownBlocks } = this.ports;
     if (!jobIndex.isReadyAfter(spec.dependencies ?? [])) return [];
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -81,7 +81,7 @@
       started: dispatched(job) > 0,
     };
   };
-  let begunS = Infinity;
+  let startedAtS = Infinity;
   let nowS = 0;
   for (; dispatched(large) < 60 && nowS < 900; nowS += 10) {
     // Every round all that ran has ended, and as many small jobs come as would fill the room.
@@ -93,24 +93,29 @@
     for (const job of order.sorted(open, queued, nowS * 1000)) {
       job.taskRanges = dispatchToFreeSlots(capacity, job.spec, job.taskRanges) ?? job.taskRanges;
     }
-    if (dispatched(large) > 0) begunS = Math.min(begunS, nowS);
+    if (dispatched(large) > 0) startedAtS = Math.min(startedAtS, nowS);
   }
-  assert.ok(begunS < 240, `began after ${begunS} s`);
+  assert.ok(startedAtS < 240, `began after ${startedAtS} s`);
   assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
 });
 
-// Guards against dispatches task by task: with 25 changes a second a third of them were dispatches of what had no room.
+// Guards against dispatches task by task: with 25 changes a second a third of them were dispatches of what
+// had no room.
 test('the more waits beyond all room, the more a block is given ahead, up to its size once over', () => {
   const large = spec('req-1', 500);
-  const given = (backlog: number): number => {
+  const dispatchedTasks = (backlog: number): number => {
     const capacity = estimate();
     if (backlog > 0) capacity.extendLookahead([{ spec: large, tasks: backlog }]);
     return (dispatchToFreeSlots(capacity, large, []) ?? []).reduce((sum, range) => sum + range.count, 0);
   };
-  const [without, some, much] = [given(0), given(12), given(500)];
-  assert.equal(without, 12);
-  assert.ok(some > without && some <= without * 2, `${some} of ${without}`);
-  assert.equal(much, without * 2);
+  const [noBacklog, smallBacklog, largeBacklog] = [
+    dispatchedTasks(0),
+    dispatchedTasks(12),
+    dispatchedTasks(500),
+  ];
+  assert.equal(noBacklog, 12);
+  assert.ok(smallBacklog > noBacklog && smallBacklog <= noBacklog * 2, `${smallBacklog} of ${noBacklog}`);
+  assert.equal(largeBacklog, noBacklog * 2);
 });
 
 // Guards against a record that outgrows a value of the store: its next write would be refused for good.
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -5,8 +5,8 @@
 import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
 /**
- * All tasks of the job in the one block that has free slots for them: a preferred one if there is such, else the one with
- * the most. Undefined: no block has room for all. Reserves nothing.
+ * All tasks of the job in the one block that has free slots for them: a preferred one if there is such, else
+ * the one with the most. Undefined: no block has room for all. Reserves nothing.
  */
 export function dispatchToOneBlock(
   capacity: CapacityEstimate,
@@ -40,8 +40,8 @@
 }
 
 /**
- * The job's ranges with more of its tasks dispatched to where there are free slots, which are reserved. `maxRanges`: how
- * many ranges the job's record can hold. Undefined: there is no room for any further task.
+ * The job's ranges with more of its tasks dispatched to where there are free slots, which are reserved.
+ * `maxRanges`: how many ranges the job's record can hold. Undefined: there is no room for any further task.
  */
 export function dispatchToFreeSlots(
   capacity: CapacityEstimate,
@@ -87,8 +87,9 @@
 }
 
 /**
- * The ranges with as many of the added ones as the record can hold. If it can hold none of them, a block that has a
- * neighbouring range gets the first gap, whether or not it has room: the job must not stay undispatched for ever.
+ * The ranges with as many of the added ones as the record can hold. If it can hold none of them, a block that
+ * has a neighbouring range gets the first gap, whether or not it has room: the job must not stay undispatched
+ * for ever.
  */
 function limitTaskRanges(
   spec: JobSpec,
--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -12,7 +12,7 @@
 const record = ownedBlock(label, leasedMachine('m1'));
 
 /** Renewals whose writes are answered by the test. */
-function stage(): {
+function createFixture(): {
   renewals: LeaseRenewals;
   written: BlockRecord[];
   answer: (result: BlockWriteResult | Error) => void;
@@ -30,7 +30,7 @@
 }
 
 test('a renewal leases the block to this incarnation with new fencing tokens, and leaves the record in use alone', async () => {
-  const { renewals, written, answer } = stage();
+  const { renewals, written, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   assert.equal(renewals.isRenewing, true);
   assert.equal(written[0]?.incarnation, 'second');
@@ -46,7 +46,7 @@
 });
 
 test('a renewal for a new layout is told apart, and one that was not applied is none', async () => {
-  const { renewals, answer } = stage();
+  const { renewals, answer } = createFixture();
   const first = renewals.renew(0, record, 'new-layout');
   answer({ outcome: { kind: 'unknown' }, version: 7 });
   await first;
@@ -58,7 +58,7 @@
 });
 
 test('a renewal that fails is under way no longer', async () => {
-  const { renewals, answer } = stage();
+  const { renewals, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   answer(new Error('the queue of commits has ended'));
   await assert.rejects(renewal, /queue of commits has ended/);
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -15,57 +15,61 @@
 }
 
 /**
- * Why a lease is renewed. `new-incarnation`: the block is leased to an earlier incarnation of this controller, which knew
- * the latest heartbeats and may have left transactions in flight. `new-layout`: the block's ledger is to be written in
- * another layout, and nothing may be committed in the old one after the renewal. In both cases new fencing tokens and a
- * new version of the block invalidate what came before.
+ * Why a lease is renewed. `new-incarnation`: the block is leased to an earlier incarnation of this
+ * controller, which knew the latest heartbeats and may have left transactions in flight. `new-layout`: the
+ * block's ledger is to be written in another layout, and nothing may be committed in the old one after the
+ * renewal. In both cases new fencing tokens and a new version of the block invalidate what came before.
  */
 export type RenewalReason = 'new-incarnation' | 'new-layout';
 
 /** Renews one lease at a time, and remembers at which revision each block's lease was last renewed. */
 export class LeaseRenewals {
-  private isUnderWay = false;
-  private readonly renewedAt = new Map<number, number>();
-  private readonly layoutRenewedAt = new Map<number, number>();
+  private isInFlight = false;
+  private readonly renewalRevisions = new Map<number, number>();
+  private readonly layoutRenewalRevisions = new Map<number, number>();
 
   constructor(private readonly ports: LeaseRenewalsPorts) {}
 
   /** A renewal of some block is in flight; no other is started meanwhile. */
   get isRenewing(): boolean {
-    return this.isUnderWay;
+    return this.isInFlight;
   }
 
-  /** Store revision of the last applied renewal of the block's lease by this process; undefined: there was none. */
+  /**
+   * Store revision of the last applied renewal of the block's lease by this process; undefined: there was
+   * none.
+   */
   renewalRevision(block: number): number | undefined {
-    return this.renewedAt.get(block);
+    return this.renewalRevisions.get(block);
   }
 
   /** As `renewalRevision`, for renewals because of a new layout only. */
   layoutRenewalRevision(block: number): number | undefined {
-    return this.layoutRenewedAt.get(block);
+    return this.layoutRenewalRevisions.get(block);
   }
 
   /**
-   * Renews the lease of the block, whose record stays as it is. Settles when the commit is decided; the result is seen in
-   * the replica of the store, and a renewal that was not applied is left to the caller to repeat.
+   * Renews the lease of the block, whose record stays as it is. Settles when the commit is decided; the
+   * result is seen in the replica of the store, and a renewal that was not applied is left to the caller to
+   * repeat.
    */
   async renew(block: number, record: BlockRecord, reason: RenewalReason): Promise<void> {
     const { settings, incarnation, log, writer } = this.ports;
-    this.isUnderWay = true;
+    this.isInFlight = true;
     try {
       const renewed = { ...record, machines: record.machines.map((machine) => ({ ...machine })) };
       transferBlock(renewed, { label: settings.label, incarnation, zone: settings.zone });
       const { outcome } = await writer.write(block, renewed);
       if (outcome.kind === 'applied') {
-        this.renewedAt.set(block, outcome.revision);
-        if (reason === 'new-layout') this.layoutRenewedAt.set(block, outcome.revision);
+        this.renewalRevisions.set(block, outcome.revision);
+        if (reason === 'new-layout') this.layoutRenewalRevisions.set(block, outcome.revision);
       }
       log.info(
         { event: 'lease-renewed', block, outcome: outcome.kind },
         'owner renewed the lease of its block',
       );
     } finally {
-      this.isUnderWay = false;
+      this.isInFlight = false;
     }
   }
 }
--- a/src/blocks/lease-writer.test.ts
+++ b/src/blocks/lease-writer.test.ts
@@ -20,7 +20,7 @@
 }
 
 /** A lease writer whose commits are answered with the outcomes in turn. */
-function stage(outcomes: CommitOutcome[]): {
+function createFixture(outcomes: CommitOutcome[]): {
   leases: LeaseWriter;
   commits: Commit[];
   stored: { version: number };
@@ -56,21 +56,21 @@
 const next = ownedBlock('k1', leasedMachine('m1'), leasedMachine('m2'));
 
 test('a record is written by the leader only, and over the version that it is based on', async () => {
-  const { leases, commits } = stage([{ kind: 'applied', revision: 9 }]);
+  const { leases, commits } = createFixture([{ kind: 'applied', revision: 9 }]);
   await leases.write(0, current, next);
   assert.deepEqual(commits[0]?.conditions, [
     { key: leaderKey, version: fencingToken },
     { key: blockKey(0), version: storedVersion },
   ]);
   assert.equal(leases.committedRevision, 9);
-  assert.equal(await leases.supersedeUncertain(), false);
+  assert.equal(await leases.supersedeUnknownCommits(), false);
 });
 
 // Guards against a machine in two blocks: a late commit gives it to one when it has been given to another.
 test('a write of unknown result is followed by one of the block as it stands, over the same version', async () => {
-  const { leases, commits, stored } = stage([{ kind: 'unknown' }, { kind: 'unknown' }]);
+  const { leases, commits, stored } = createFixture([{ kind: 'unknown' }, { kind: 'unknown' }]);
   await leases.write(0, current, next);
-  assert.equal(await leases.supersedeUncertain(), true);
+  assert.equal(await leases.supersedeUnknownCommits(), true);
   const [lost, superseding] = commits;
   assert.deepEqual(superseding?.conditions, lost?.conditions);
   const [write] = superseding?.writes ?? [];
@@ -83,6 +83,6 @@
   );
   // With another version, whichever commit has brought it, the lost one can no longer be executed.
   stored.version = 12;
-  assert.equal(await leases.supersedeUncertain(), false);
+  assert.equal(await leases.supersedeUnknownCommits(), false);
   assert.equal(commits.length, 2);
 });
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -32,39 +32,44 @@
 export class LeaseWriter {
   private lastAppliedRevision = 0;
   /** Blocks with a commit of unknown result, and the version that it was conditioned on. */
-  private readonly uncertain = new Map<number, number>();
+  private readonly unknownCommitVersions = new Map<number, number>();
   private readonly writer: BlockWriter;
 
   constructor(private readonly ports: LeaseWriterPorts) {
     this.writer = new BlockWriter(ports);
   }
 
-  /** The highest store revision of its commits, which the replica has to reach before the next decision; 0: none yet. */
+  /**
+   * The highest store revision of its commits, which the replica has to reach before the next decision; 0:
+   * none yet.
+   */
   get committedRevision(): number {
     return this.lastAppliedRevision;
   }
 
   /**
-   * A commit of unknown result may yet be executed: what it gives to a block must not be given to another meanwhile. So
-   * such blocks are first written as they stand, under the same version, after which the late commit conflicts. Returns
-   * whether there were any: nothing else may be written in this round then.
+   * A commit of unknown result may yet be executed: what it gives to a block must not be given to another
+   * meanwhile. So such blocks are first written as they stand, under the same version, after which the late
+   * commit conflicts. Returns whether there were any: nothing else may be written in this round then.
    */
-  async supersedeUncertain(): Promise<boolean> {
+  async supersedeUnknownCommits(): Promise<boolean> {
     const { registry } = this.ports;
     const blocks = registry.blocks();
-    for (const [block, version] of this.uncertain) {
-      if (registry.blockVersion(block) !== version) this.uncertain.delete(block);
+    for (const [block, version] of this.unknownCommitVersions) {
+      if (registry.blockVersion(block) !== version) this.unknownCommitVersions.delete(block);
     }
-    const open = [...this.uncertain.keys()];
+    const unresolvedBlocks = [...this.unknownCommitVersions.keys()];
     await Promise.all(
-      open.map((block) => this.write(block, blocks.get(block), blocks.get(block) ?? unownedBlock())),
+      unresolvedBlocks.map((block) =>
+        this.write(block, blocks.get(block), blocks.get(block) ?? unownedBlock()),
+      ),
     );
-    return open.length > 0;
+    return unresolvedBlocks.length > 0;
   }
 
   /**
-   * Settles when the commit is decided or its result is known to be unknown. A commit that was not applied is left to the
-   * next round. `current`: the record that `next` is based on, if the block has one.
+   * Settles when the commit is decided or its result is known to be unknown. A commit that was not applied is
+   * left to the next round. `current`: the record that `next` is based on, if the block has one.
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
@@ -76,7 +81,7 @@
         this.logOwnerChange(block, current, next);
         return;
       case 'unknown':
-        this.uncertain.set(block, version);
+        this.unknownCommitVersions.set(block, version);
         await sleep(settings.heartbeatIntervalMs * unknownResultPauseRatio, term.signal);
         return;
       case 'malformed':
--- a/src/blocks/live-members.test.ts
+++ b/src/blocks/live-members.test.ts
@@ -9,28 +9,28 @@
 const other: Member = { label: 'other', incarnation: 'b', zone: 'z' };
 
 /** Live members by a clock and a registry that the test sets. */
-function stage(): { members: LiveMembers; at: (ms: number, alive: Member[]) => string[] } {
+function createFixture(): { members: LiveMembers; at: (ms: number, alive: Member[]) => string[] } {
   let now = 0;
   let alive: Member[] = [];
   const registry = { liveMembers: () => [...alive] };
   const members = new LiveMembers({ clock: () => now, settings, registry, incarnation: 'a' });
-  const at = (ms: number, membersThen: Member[]): string[] => {
+  const at = (ms: number, aliveMembers: Member[]): string[] => {
     now = ms;
-    alive = membersThen;
+    alive = aliveMembers;
     return members.update().map(({ label }) => label);
   };
   return { members, at };
 }
 
 test('the leader is alive whether or not the replica has its own key', () => {
-  const { at } = stage();
+  const { at } = createFixture();
   assert.deepEqual(at(0, [other]), ['other', settings.label]);
   const own = { label: settings.label, incarnation: 'a', zone: settings.zone };
   assert.deepEqual(at(1, [own]), [settings.label]);
 });
 
 test('a member is stable after a heartbeat interval without a break', () => {
-  const { members, at } = stage();
+  const { members, at } = createFixture();
   const interval = settings.heartbeatIntervalMs;
   at(0, [other]);
   assert.equal(members.isStable('other'), false);
--- a/src/blocks/live-members.ts
+++ b/src/blocks/live-members.ts
@@ -12,7 +12,9 @@
   incarnation: string;
 }
 
-/** The live controllers, with the leader itself among them, and how long each has been alive without a break. */
+/**
+ * The live controllers, with the leader itself among them, and how long each has been alive without a break.
+ */
 export class LiveMembers {
   private readonly aliveSince = new Map<string, number>();
 
@@ -31,7 +33,10 @@
     return members;
   }
 
-  /** Alive for long enough, as of the last update, that a block leased to it will not change hands again at once. */
+  /**
+   * Alive for long enough, as of the last update, that a block leased to it will not change hands again at
+   * once.
+   */
   isStable(label: string): boolean {
     const { clock, settings } = this.ports;
     return clock() - (this.aliveSince.get(label) ?? Infinity) > settings.heartbeatIntervalMs;
--- a/src/blocks/machine-pages.ts
+++ b/src/blocks/machine-pages.ts
@@ -1,4 +1,7 @@
-/** The machines of a large block on pages of their own: which page names which machine, and how pages are written. */
+/**
+ * The machines of a large block on pages of their own: which page names which machine, and how pages are
+ * written.
+ */
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
 import { type LeasedMachine, machineGroups, machineKind } from '../wire/block-records.js';
@@ -30,8 +33,8 @@
 }
 
 /**
- * Gives every machine a page. A machine stays on the page that it has, so that a change of few machines changes few pages;
- * new ones go to the first page with room for `pageBytes`.
+ * Gives every machine a page. A machine stays on the page that it has, so that a change of few machines
+ * changes few pages; new ones go to the first page with room for `pageBytes`.
  */
 export function assignPages(
   machines: Iterable<LeasedMachine>,
@@ -52,8 +55,8 @@
 }
 
 /**
- * The pages that differ from what is stored. Fencing tokens alone change no page: the block's record raises them for all
- * its machines.
+ * The pages that differ from what is stored. Fencing tokens alone change no page: the block's record raises
+ * them for all its machines.
  */
 export function changedPages(
   stored: StoredBlock | undefined,
@@ -70,7 +73,9 @@
   return changes;
 }
 
-/** The pages are as the writer knows them. `versions`: by page; a page that is missing there must not exist. */
+/**
+ * The pages are as the writer knows them. `versions`: by page; a page that is missing there must not exist.
+ */
 export function pageConditions(
   block: number,
   versions: ReadonlyMap<number, number>,
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -56,8 +56,8 @@
   private readonly abortController = new AbortController();
 
   /**
-   * Loads the state of the block and starts its scheduler and its health monitor. `layout`: how entries of the block's
-   * ledger are written for as long as this object lives.
+   * Loads the state of the block and starts its scheduler and its health monitor. `layout`: how entries of
+   * the block's ledger are written for as long as this object lives.
    */
   constructor(
     readonly block: number,
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -53,8 +53,9 @@
   }
 
   /**
-   * To be called after every batch of changes of the replica: starts the blocks whose lease to this controller has begun,
-   * stops those whose lease has ended, renews leases where that is due, and passes the changes on to the blocks' states.
+   * To be called after every batch of changes of the replica: starts the blocks whose lease to this
+   * controller has begun, stops those whose lease has ended, renews leases where that is due, and passes the
+   * changes on to the blocks' states.
    */
   applyChanges(changes: Change[]): void {
     const { registry, settings, signal } = this.ports;
@@ -71,8 +72,9 @@
   }
 
   /**
-   * A block whose ledger layout is outdated is kept until its lease has been renewed, with new fencing tokens and a version
-   * that makes commits in flight conflict. It is then stopped, and started again as after a restart of the process.
+   * A block whose ledger layout is outdated is kept until its lease has been renewed, with new fencing tokens
+   * and a version that makes commits in flight conflict. It is then stopped, and started again as after a
+   * restart of the process.
    */
   private mustStop(owned: OwnedBlock, record: BlockRecord | undefined, layout: LedgerLayout): boolean {
     const { settings, incarnation, registry } = this.ports;
@@ -103,7 +105,10 @@
     scheduler.requestRound();
   }
 
-  /** Nobody waits for the renewal, so a failure that it does not account for is logged before it ends the process. */
+  /**
+   * Nobody waits for the renewal, so a failure that it does not account for is logged before it ends the
+   * process.
+   */
   private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
     this.renewals.renew(block, record, reason).catch((error: unknown) => {
       logDefect(this.ports.log, 'lease-renewal', error);
--- a/src/blocks/quota-share-allocator.test.ts
+++ b/src/blocks/quota-share-allocator.test.ts
@@ -13,7 +13,7 @@
 const unlimited = { cpus: 0, cpusMax: 0, accelerators: 0, acceleratorsMax: 0 };
 
 /** Shares of the team `red` in two blocks, with so many tasks of 2 CPUs waiting in the first. */
-function stage(cpusMax: number): {
+function createFixture(cpusMax: number): {
   shares: (nowMs: number, blocks: Map<number, BlockRecord>, waiting: number) => (number | undefined)[];
 } {
   let now = 0;
@@ -44,10 +44,10 @@
   const shares = (
     nowMs: number,
     blocks: Map<number, BlockRecord>,
-    waitingThen: number,
+    waitingTasks: number,
   ): (number | undefined)[] => {
     now = nowMs;
-    waiting = waitingThen;
+    waiting = waitingTasks;
     const next = allocator.nextShares(blocks);
     return [0, 1].map((block) => next.get(block)?.['red']?.[0]);
   };
@@ -65,11 +65,11 @@
 }
 
 test('without a limit there are no shares', () => {
-  assert.deepEqual(stage(0).shares(0, blocksWith(1, 1), 1), [undefined, undefined]);
+  assert.deepEqual(createFixture(0).shares(0, blocksWith(1, 1), 1), [undefined, undefined]);
 });
 
 test('shares stay for a period, and are divided anew sooner where waiting work exceeds the share of its block', () => {
-  const { shares } = stage(12);
+  const { shares } = createFixture(12);
   assert.deepEqual(shares(0, new Map(), 0), [6, 6]);
   assert.deepEqual(shares(quotaSharePeriodMs - 1, blocksWith(4, 4), 1), [4, 4]);
   assert.deepEqual(shares(quotaSharePeriodMs, blocksWith(4, 4), 1), [7, 5]);
--- a/src/blocks/quota-shares.test.ts
+++ b/src/blocks/quota-shares.test.ts
@@ -24,7 +24,8 @@
   };
   const next = allocateQuotaShares(input);
   const share = (block: number): number => next.get(block)?.['red']?.[0] ?? 0;
-  // 32 in all: 24 are leased to the first block, so only 8 are free now, and its share is cut to what it uses.
+  // 32 in all: 24 are leased to the first block, so only 8 are free now, and its share is cut to what it
+  // uses.
   assert.deepEqual([share(0), share(1)], [20, 8]);
   // Once the cut is in force, the rest is there to give.
   currentShares.set(0, { red: [20, 0] });
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -8,8 +8,8 @@
 export type QuotaAmount = [cpus: number, accelerators: number];
 
 /** The indexes of an amount: CPUs and accelerators are divided independently. */
-const axes = [0, 1] as const;
-type Axis = (typeof axes)[number];
+const resourceIndexes = [0, 1] as const;
+type ResourceIndex = (typeof resourceIndexes)[number];
 
 /** What a block's tasks of one team take, and would take if the team's limit admitted them. */
 export interface TeamDemand {
@@ -23,7 +23,10 @@
   teams: Iterable<Team>;
   /** The shares that each block has; there is an entry for every block that may get one. */
   currentShares: ReadonlyMap<number, QuotaShares>;
-  /** By block and team; complete up to the present versions of the blocks, which is what makes growing a share safe. */
+  /**
+   * By block and team; complete up to the present versions of the blocks, which is what makes growing a share
+   * safe.
+   */
   demand: (block: number, team: string) => TeamDemand;
 }
 
@@ -55,54 +58,58 @@
 }
 
 /**
- * The next shares of each block, by team. A block may use its share and no more, but a share may be cut below what its
- * tasks take at the moment. So the sum over the blocks of the larger of share and use stays within the limit: a share only
- * grows by what is left of that, and others are cut first, in an earlier commit, to make room.
+ * The next shares of each block, by team. A block may use its share and no more, but a share may be cut below
+ * what its tasks take at the moment. So the sum over the blocks of the larger of share and use stays within
+ * the limit: a share only grows by what is left of that, and others are cut first, in an earlier commit, to
+ * make room.
  */
 export function allocateQuotaShares(input: QuotaShareInput): Map<number, QuotaShares> {
   const shares = new Map<number, QuotaShares>([...input.currentShares.keys()].map((block) => [block, {}]));
   for (const team of input.teams) {
     if (!isLimited(team)) continue;
     for (const { block, next } of divideLimit(team, input)) {
-      const ofBlock = shares.get(block);
-      if (ofBlock) ofBlock[team.name] = next;
+      const blockShares = shares.get(block);
+      if (blockShares) blockShares[team.name] = next;
     }
   }
   return shares;
 }
 
 function divideLimit(team: Team, { currentShares, demand }: QuotaShareInput): BlockShare[] {
-  const shares = [...currentShares].map(([block, ofBlock]): BlockShare => {
-    const current = ofBlock[team.name] ?? [0, 0];
+  const shares = [...currentShares].map(([block, blockShares]): BlockShare => {
+    const current = blockShares[team.name] ?? [0, 0];
     return { block, demand: demand(block, team.name), current, wanted: [0, 0], next: [0, 0] };
   });
   computeWantedShares(shares, team);
   const limits: QuotaAmount = [team.cpusMax, team.acceleratorsMax];
-  for (const axis of axes) if (limits[axis] > 0) divideAxis(shares, limits[axis], axis);
+  for (const resource of resourceIndexes)
+    if (limits[resource] > 0) divideResource(shares, limits[resource], resource);
   return shares;
 }
 
-function divideAxis(shares: BlockShare[], limit: number, axis: Axis): void {
-  const committed = shares.reduce(
-    (sum, { current, demand }) => sum + Math.max(current[axis], demand.used[axis]),
+function divideResource(shares: BlockShare[], limit: number, resource: ResourceIndex): void {
+  const allocated = shares.reduce(
+    (sum, { current, demand }) => sum + Math.max(current[resource], demand.used[resource]),
     0,
   );
-  let available = limit - committed;
+  let available = limit - allocated;
   for (const share of shares) {
-    const current = share.current[axis];
-    const wanted = share.wanted[axis];
+    const current = share.current[resource];
+    const wanted = share.wanted[resource];
     const growth = Math.min(Math.max(0, wanted - current), Math.max(0, available));
     // Cut only where another block wants more: otherwise the share stays for what comes next.
     const isWantedElsewhere = shares.some(
-      (other) => other !== share && other.wanted[axis] > other.current[axis] + roundingTolerance,
+      (other) => other !== share && other.wanted[resource] > other.current[resource] + roundingTolerance,
     );
     const kept = isWantedElsewhere ? Math.min(current, Math.max(wanted, 0)) : current;
-    share.next[axis] = Math.max(kept, 0) + growth;
+    share.next[resource] = Math.max(kept, 0) + growth;
     available -= growth;
   }
 }
 
-/** A block wants what it uses, then what its waiting tasks take one by one, then an even part of what is left. */
+/**
+ * A block wants what it uses, then what its waiting tasks take one by one, then an even part of what is left.
+ */
 function computeWantedShares(shares: BlockShare[], team: Team): void {
   const total: QuotaAmount = [0, 0];
   for (const share of shares) {
@@ -119,7 +126,9 @@
   }
 }
 
-/** Adds so many tasks as the team's limit admits beside the total, to what the block wants and to the total. */
+/**
+ * Adds so many tasks as the team's limit admits beside the total, to what the block wants and to the total.
+ */
 function addWaiting(
   wanted: QuotaAmount,
   total: QuotaAmount,
--- a/src/blocks/rebalancer.test.ts
+++ b/src/blocks/rebalancer.test.ts
@@ -24,7 +24,9 @@
 const alive = { boot: 'b', zone: 'a' };
 
 /** Two blocks with room for four tasks each, and one job of as many tasks that all wait in the first. */
-async function stage(tasks: number): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
+async function createFixture(
+  tasks: number,
+): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
   const store = new HeldStore();
   const spec = jobSpec('req-1', tasks);
   const taskRanges = [{ block: 0, first: 0, count: tasks }];
@@ -69,7 +71,7 @@
 }
 
 test('tasks without a slot are recalled once they have waited for four heartbeat intervals beside free slots', async () => {
-  const { run } = await stage(6);
+  const { run } = await createFixture(6);
   assert.equal(await run(0), undefined);
   assert.equal(await run(interval * 4 - 1), undefined);
   // One round a heartbeat interval.
@@ -78,10 +80,10 @@
 });
 
 test('tasks that have a slot where they wait are not recalled, nor more than have one elsewhere', async () => {
-  const fitting = await stage(4);
+  const fitting = await createFixture(4);
   assert.equal(await fitting.run(0), undefined);
   assert.equal(await fitting.run(interval * 4), undefined);
-  const many = await stage(12);
-  assert.equal(await many.run(0), undefined);
-  assert.deepEqual(await many.run(interval * 4), [{ block: 0, first: 0, count: 8 }]);
+  const overfull = await createFixture(12);
+  assert.equal(await overfull.run(0), undefined);
+  assert.deepEqual(await overfull.run(interval * 4), [{ block: 0, first: 0, count: 8 }]);
 });
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -37,16 +37,21 @@
 }
 
 /**
- * Tasks that wait in a block without free slots for so many heartbeat intervals, while another block has some, are
- * recalled. Sooner than that most of them start where they are.
+ * Tasks that wait in a block without free slots for so many heartbeat intervals, while another block has
+ * some, are recalled. Sooner than that most of them start where they are.
  */
 const recallAfterHeartbeats = 4;
-/** A recall leaves the record so much of its room for ranges at most, so that tasks dispatched anew find some. */
+/**
+ * A recall leaves the record so much of its room for ranges at most, so that tasks dispatched anew find some.
+ */
 const maxRangesAfterRecallRatio = 1 / 2;
 /** The estimate is of what fits now: work given ahead is what is to be recalled. */
 const noLookahead = 0;
 
-/** Recalls stuck tasks; the dispatcher dispatches them anew once the replica has reached the record without them. */
+/**
+ * Recalls stuck tasks; the dispatcher dispatches them anew once the replica has reached the record without
+ * them.
+ */
 export class Rebalancer {
   private rebalancedAt = -Infinity;
   private stuckSince: ReadonlyMap<string, number> = new Map();
@@ -54,8 +59,8 @@
   constructor(private readonly ports: RebalancerPorts) {}
 
   /**
-   * Recalls tasks that have been stuck for long and whose team's limit admits them elsewhere, in the queue order. Does so
-   * once a heartbeat interval at most, and settles when the commits are decided.
+   * Recalls tasks that have been stuck for long and whose team's limit admits them elsewhere, in the queue
+   * order. Does so once a heartbeat interval at most, and settles when the commits are decided.
    */
   async run(): Promise<void> {
     const { jobIndex, clock, settings, order, wallClock } = this.ports;
@@ -78,7 +83,10 @@
     return usage;
   }
 
-  /** Recalls stuck tasks of the job from one block: a further block has to wait until the job's record has changed. */
+  /**
+   * Recalls stuck tasks of the job from one block: a further block has to wait until the job's record has
+   * changed.
+   */
   private recallStuck(job: IndexedJob, round: RecallRound): void {
     const { jobIndex, settings, writer } = this.ports;
     const stuckLimitMs = settings.heartbeatIntervalMs * recallAfterHeartbeats;
--- a/src/blocks/task-ranges.ts
+++ b/src/blocks/task-ranges.ts
@@ -5,7 +5,10 @@
 /** Consecutive tasks of a job that no block has yet. */
 export type UndispatchedRange = Omit<TaskRange, 'block'>;
 
-/** The tasks of a job that none of its ranges covers, in the order of their indexes. `tasks`: how many the job has. */
+/**
+ * The tasks of a job that none of its ranges covers, in the order of their indexes. `tasks`: how many the job
+ * has.
+ */
 export function undispatchedRanges(taskRanges: TaskRange[], tasks: number): UndispatchedRange[] {
   const gaps: UndispatchedRange[] = [];
   let next = 0;
@@ -23,8 +26,8 @@
 }
 
 /**
- * Joins neighbouring ranges of the same block. The block of the first range stays first, since that block commits the
- * job's outcome.
+ * Joins neighbouring ranges of the same block. The block of the first range stays first, since that block
+ * commits the job's outcome.
  */
 export function mergeTaskRanges(taskRanges: TaskRange[]): TaskRange[] {
   const merged: TaskRange[] = [];
--- a/src/blocks/task-recall.test.ts
+++ b/src/blocks/task-recall.test.ts
@@ -12,7 +12,7 @@
   ...change,
 });
 
-const entry = (at: number, active: number[], done: number[] = []): IndexedEntry => ({
+const entry = (blockNumber: number, active: number[], done: number[] = []): IndexedEntry => ({
   id: 'req-1',
   chunk: 0,
   team: 'red',
@@ -21,7 +21,7 @@
   memoryGb: 1,
   waiting: [],
   doneCount: 0,
-  block: at,
+  block: blockNumber,
   active: active.map((index) => [index, 1, 'm1']),
   done,
 });
@@ -59,14 +59,15 @@
   );
 });
 
-// Guards against two blocks that start one task: its intent was committed just before it was recalled, unseen.
+// Guards against two blocks that start one task: its intent was committed just before it was recalled,
+// unseen.
 test("a task that is on a block's ledger goes back to that block before anything of its job is dispatched", () => {
   const taskRanges = [{ block: 1, first: 0, count: 2 }];
   const job = (
     change: Partial<JobSpec> = {},
-    at = taskRanges,
+    ranges = taskRanges,
   ): { taskRanges: TaskRange[]; spec: JobSpec } => ({
-    taskRanges: at,
+    taskRanges: ranges,
     spec: spec('req-1', 6, change),
   });
   assert.deepEqual(restoreStartedTasks(job(), [entry(0, [3, 4], [5, 5]), entry(1, [0])]), [
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -1,4 +1,7 @@
-/** Recall of tasks that are dispatched to a block but not started, and return of tasks that had been started after all. */
+/**
+ * Recall of tasks that are dispatched to a block but not started, and return of tasks that had been started
+ * after all.
+ */
 import { fromRanges } from '../base/ranges.js';
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { IndexedEntry } from '../placement/ledger-index.js';
@@ -18,9 +21,9 @@
 }
 
 /**
- * The job's ranges without the recalled tasks, which are the last that wait in the block, so that the ranges stay few.
- * `entries`: the job's entries in the ledgers of all blocks; what these name as active or done is not recalled. Undefined:
- * no task of the block waits, or too many ranges would be left.
+ * The job's ranges without the recalled tasks, which are the last that wait in the block, so that the ranges
+ * stay few. `entries`: the job's entries in the ledgers of all blocks; what these name as active or done is
+ * not recalled. Undefined: no task of the block waits, or too many ranges would be left.
  */
 export function recallTasks(
   taskRanges: TaskRange[],
@@ -43,10 +46,10 @@
 }
 
 /**
- * The job's ranges with those tasks that no range covers though the ledger of a block names them: their intents were
- * committed before the job's record was, unseen by the leader that recalled them, and they must go to no other block. An
- * intent that is later than the record conflicts on its version, so the ledger as of the record's revision names all of
- * them. Undefined: there are none.
+ * The job's ranges with those tasks that no range covers though the ledger of a block names them: their
+ * intents were committed before the job's record was, unseen by the leader that recalled them, and they must
+ * go to no other block. An intent that is later than the record conflicts on its version, so the ledger as of
+ * the record's revision names all of them. Undefined: there are none.
  */
 export function restoreStartedTasks(
   { taskRanges, spec }: { taskRanges: TaskRange[]; spec: Pick<JobSpec, 'tasks' | 'colocated' | 'spread'> },
