--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -116,7 +116,8 @@
 }
 
 /**
- * Removes terminated machines that have no tasks left, and updates the draining flag of the remaining machines.
+ * Removes terminated machines that have no tasks left, and updates the draining flag of the remaining
+ * machines.
  */
 function updateMachines(record: BlockRecord, input: AssignmentInput): void {
   const { terminatedMachines, machinesWithTasks, drainingMachines } = input;
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * A store in which every controller has run with this version, and a block as the version before has written
- * it.
+ * A store with a block whose record lists its machines, as earlier versions write it, and with format records
+ * of controllers.
  */
 class WriterFixture {
   readonly store = new HeldStore();
@@ -79,8 +79,8 @@
 
 const idsOf = (record: BlockRecord): string[] => record.machines.map(({ id }) => id).sort();
 
-describe('a block that an earlier version has written', () => {
-  test('stays as that version reads it until every controller has run with this one', async () => {
+describe('a block whose record lists its machines, as written by an earlier version', () => {
+  test('keeps the format that the earlier version reads until every controller has run with this version', async () => {
     const fixture = new WriterFixture();
     await fixture.prepare(230, labels.slice(1));
     await fixture.write(recordOf(231));
@@ -88,16 +88,17 @@
     assert.equal((await fixture.read()).machines.length, 231);
   });
 
-  test('stays so where it is small', async () => {
+  test('keeps that format while it is small', async () => {
     const fixture = new WriterFixture();
     await fixture.prepare(10);
     await fixture.write(recordOf(11));
     assert.deepEqual((await fixture.registry()).storedBlock(0)?.isInline, true);
   });
 
-  // Guards against a block that can never be written again: its record has outgrown the service's new limits.
+  // Guards against a block that can never be written again: a record that lists many machines exceeds the new
+  // value limit of the state service.
   for (const machines of [230, 700, 1000]) {
-    test(`of ${machines} machines moves to pages, in steps after each of which it says the same`, async () => {
+    test(`of ${machines} machines moves to pages in several commits, and lists the same machines after each of them`, async () => {
       const fixture = new WriterFixture();
       await fixture.prepare(machines);
       const before = await fixture.read();
@@ -124,7 +125,7 @@
     return fixture;
   }
 
-  test('changes hands in one change, with tokens above all before', async () => {
+  test('is leased to another owner with one write, and its fencing tokens are higher than all earlier ones', async () => {
     const fixture = await paged(4000);
     const next = await fixture.read();
     transferBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
@@ -137,7 +138,7 @@
     assert.ok(machines.every(({ fencingToken }) => fencingToken === revision));
   });
 
-  test('adds, drains and removes a machine with a change of few pages, and the others keep their tokens', async () => {
+  test('adds, drains and removes a machine by writing few pages, and other machines keep their fencing tokens', async () => {
     const fixture = await paged(4000, { value_kb: 32, txn_ops: 20 });
     const next = await fixture.read();
     const removed = next.machines.pop()?.id;
@@ -162,8 +163,10 @@
     assert.ok(machines.filter((one) => one !== added).every(({ fencingToken }) => fencingToken === 1));
   });
 
-  // Guards against intents on a draining machine: each step has a version of its own.
-  test('of which more pages change than a transaction holds changes in steps that all renew its version', async () => {
+  // Guards against intents that are committed on a draining machine: if a commit of the write did not change
+  // the version of the block record, an intent that is based on the record before that commit would not
+  // conflict.
+  test('is written in several commits that each change its version if more pages change than a transaction holds', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
     for (const one of next.machines) one.draining = true;
@@ -176,7 +179,7 @@
     assert.ok((await fixture.read()).machines.every(({ draining }) => draining));
   });
 
-  test('whose steps meet a conflict is left as a mixture of both, and says so', async () => {
+  test('reports a conflict in the middle of a write in several commits, and keeps the pages written before it', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
     for (const one of next.machines) one.draining = true;
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes of blocks: a record that commits are conditioned on, and pages that name the machines of large
- * blocks.
+ * Writes the record of a block, on whose version commits are conditioned, and the pages that list the
+ * machines of a large block.
  */
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -19,58 +19,66 @@
   pageWrite,
 } from './machine-pages.js';
 
-/** The result of a write, which may have been made in several commits. */
+/** The result of a write of a block, which may consist of several commits. */
 export interface BlockWriteResult {
-  /** Of the last commit that was tried. */
+  /** The outcome of the last commit that was attempted. */
   outcome: CommitOutcome;
   /** The version of the block's record that the last commit was conditioned on. */
   version: number;
 }
 
-/** What writes of blocks work with. */
+/** The dependencies of a block writer. */
 export interface BlockWriterPorts {
   settings: Pick<Settings, 'state'>;
   registry: Pick<BlockRegistry, 'blockVersion' | 'storedBlock' | 'isClusterUpgraded'>;
   commits: Pick<CommitQueue, 'commit'>;
 }
 
-/** A write of a block, as it stands when it begins. */
+/** A write of a block, as it was requested. */
 interface BlockWrite {
   block: number;
   next: BlockRecord;
   /** Version of the block's record that the write replaces. */
   version: number;
-  /** What has to hold beside that. */
+  /** Conditions of every commit of the write, in addition to the version of the record. */
   guards: Condition[];
 }
 
-/** One commit of a write on pages. */
+/** One commit of a write of a block whose machines are on pages. */
 interface PageCommit {
   conditions: Condition[];
   changes: PageChange[];
-  /** Written as well, if the commit is one that may write it. */
+  /** The block record to write in the same commit; undefined if this commit must not write the record. */
   record: BlockRecord | undefined;
 }
 
-/** A record that takes more than this part of a value leaves the naming of its machines to pages. */
+/**
+ * If a record with its machines takes more than this ratio of the size limit of a value, its machines are
+ * written to pages.
+ */
 const maxInlineRecordRatio = 1 / 2;
 
 /**
- * Earlier versions read only records that name all machines, so these are written until every controller has
- * run with this one, and after that for as long as they are small. The machines of larger blocks are on
- * pages, and a change of more pages than a transaction holds is made in several commits. Each of these is
- * safe by itself, since what it says of one machine does not depend on another, and each has a new version of
- * the record, so that no intent is committed on an earlier one. Pages beside a record that still names the
- * machines itself mean nothing: they are prepared first, and count from the one commit that takes the
- * machines out of the record.
+ * Writes blocks in one of two formats. Earlier versions of the program read only records that list all
+ * machines of the block. The writer therefore writes such records until every controller has run with this
+ * version, and afterwards while the record is small. The machines of larger blocks are on pages.
+ *
+ * If more pages change than a transaction holds, the write takes several commits. Each commit is safe by
+ * itself, because the entry of one machine does not depend on the entry of another. If the block is already
+ * on pages, each commit also gives the record a new version, so that an intent that is based on an earlier
+ * version conflicts.
+ *
+ * Pages of a block are not valid while its record still lists the machines itself. When a block moves to
+ * pages, the pages are written first, and become valid with the one commit that removes the machines from the
+ * record.
  */
 export class BlockWriter {
   constructor(private readonly ports: BlockWriterPorts) {}
 
   /**
-   * Writes the block on condition that it is as the replica of the store has it. Settles when the last commit
-   * is decided; of a write in several commits, the first that is not applied ends it. `guards`: what has to
-   * hold beside that.
+   * Writes the block on condition that its version in the store is still the version in the replica. Settles
+   * when the outcome of the last commit is known. A write in several commits ends at the first commit that is
+   * not applied. `guards`: additional conditions of every commit.
    */
   async write(block: number, next: BlockRecord, guards: Condition[] = []): Promise<BlockWriteResult> {
     const { registry, commits } = this.ports;
@@ -84,7 +92,10 @@
     return { outcome, version };
   }
 
-  /** Once on pages, a block stays there: whoever wrote it so knew that all controllers read it. */
+  /**
+   * Whether the machines of the block must be written to pages. A block that is on pages stays on pages: the
+   * controller that wrote the pages had checked that all controllers can read them.
+   */
   private needsPages(block: number, next: BlockRecord): boolean {
     const { registry, settings } = this.ports;
     if (registry.storedBlock(block)?.isInline === false) return true;
@@ -99,15 +110,15 @@
     const pages = assignPages(next.machines, machinePageBytes(settings));
     const changes = changedPages(stored, pages);
     const pageVersions = new Map(stored?.pageVersions);
-    // One of a transaction's operations is left for the record.
+    // One operation of each transaction is reserved for the record.
     const pagesPerCommit = settings.state.txnOps - 1;
     let record = next;
     let { version } = start;
     for (let written = 0; ; written += pagesPerCommit) {
       const step = changes.slice(written, written + pagesPerCommit);
       const isLast = written + pagesPerCommit >= changes.length;
-      // While the record names the machines itself, only the last commit may write it, and counts on all
-      // pages.
+      // While the record lists the machines itself, only the last commit may write the record. That commit
+      // makes all pages valid, so it is conditioned on the versions of all of them.
       const writesRecord = isLast || !wasInline;
       const countedPages = isLast && wasInline ? pages.keys() : step.map(({ page }) => page);
       const outcome = await this.commitPages(block, {
@@ -135,7 +146,9 @@
 }
 
 /**
- * New fencing tokens come from the first commit that writes the record: later ones must not raise them again.
+ * If the write leases the block, the new fencing tokens are the revision of the first commit that writes the
+ * record. Later commits of the same write store that revision, so that they do not raise the fencing tokens
+ * again.
  */
 function withFencingToken(record: BlockRecord, firstRevision: number): BlockRecord {
   return record.leaseFencingToken === tokenOfOwnCommit
--- a/src/blocks/booted-machines.ts
+++ b/src/blocks/booted-machines.ts
@@ -1,27 +1,28 @@
-/** Which machines have booted, so that tasks can start on them. */
+/** Tracks which machines have booted, so that tasks can start on them. */
 import type { MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 
-/** What the knowledge of booted machines is based on. */
+/** The dependencies of `BootedMachines`. */
 export interface BootedMachinesPorts {
   /** Time of day in ms. */
   wallClock: () => number;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** The machines of all blocks by id. */
+  /** The machines of all blocks, by machine id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** A machine usually boots within so many times the boot time of its type. */
+/** A machine usually boots within the boot time of its machine type multiplied by this factor. */
 const bootTimeFactor = 1.5;
 /**
- * So many times as many ids as there are machines are remembered before those of former machines are dropped.
+ * Limit for the number of ids in memory, as a multiple of the number of leased machines. When the limit is
+ * exceeded, the ids of machines that are no longer leased are dropped.
  */
 const reportedIdsPerMachine = 2;
 const minReportedIdsLimit = 1000;
 
 /**
- * Machines that sent a heartbeat to any owner, and those that have been rented for longer than booting
- * usually takes.
+ * Considers a machine booted if it has sent a heartbeat to the owner of any block, or if it has been rented
+ * for longer than a machine of its type usually takes to boot.
  */
 export class BootedMachines {
   private readonly reportedIds = new Set<string>();
@@ -29,7 +30,10 @@
 
   constructor(private readonly ports: BootedMachinesPorts) {}
 
-  /** Records machines that have sent a heartbeat to any controller. Their number in memory is bounded. */
+  /**
+   * Records that the machines have sent a heartbeat to some controller. The number of ids in memory is
+   * bounded.
+   */
   markBooted(ids: Iterable<string>): void {
     for (const id of ids) this.reportedIds.add(id);
     if (this.reportedIds.size <= this.reportedIdsLimit) return;
@@ -38,7 +42,7 @@
     for (const id of this.reportedIds) if (!leased.has(id)) this.reportedIds.delete(id);
   }
 
-  /** Tasks placed on the machine can be expected to start at once. */
+  /** Whether a task that is placed on the machine is expected to start immediately. */
   isBooted(machine: LeasedMachine): boolean {
     if (this.reportedIds.has(machine.id)) return true;
     const bootMs = (this.ports.machineTypes().get(machine.type)?.bootS ?? 0) * 1000;
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -1,41 +1,41 @@
-/** How many more tasks of a kind each block can take, estimated from the replica of the store. */
+/** Estimates from the replica of the store how many more tasks of a kind each block can take. */
 import { fits, type JobSpec, type MachineType, type Resources, taskKind } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import type { BlockRegistry } from './block-registry.js';
 
-/** What a block can take of one kind of task. */
+/** How many tasks of one kind a block can take. */
 export interface BlockSlots {
   block: number;
   /**
-   * Tasks that fit into what is free now, less those that wait in the block already: negative where more
-   * wait.
+   * Number of tasks that fit into the free resources of the block, minus the tasks that already wait in the
+   * block. Negative if more tasks wait than fit.
    */
   freeSlots: number;
-  /** Tasks that fit into the block's machines while these are empty: its size. */
+  /** Size of the block: the number of tasks that would fit on its machines if no tasks ran on them. */
   totalSlots: number;
 }
 
-/** What an estimate is made from. */
+/** The input of a capacity estimate. */
 export interface CapacityInput {
   blocks: ReadonlyMap<number, BlockRecord>;
   /**
-   * The controller with this label is alive: only the blocks of live controllers have slots, unless none is
-   * alive.
+   * Whether the controller with this label is alive. Only blocks of live controllers have slots, unless no
+   * controller that owns a block is alive.
    */
   isAlive: (label: string) => boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
   jobIndex: Pick<JobIndex, 'jobs' | 'machineLoads' | 'waitingByBlock'>;
-  /** Tasks can start on the machine. */
+  /** Whether tasks can start on the machine. */
   isBooted: (machine: LeasedMachine) => boolean;
   /**
-   * How much more than fits now a block may be given, as a ratio of its size, so that it need not wait for
-   * the leader whenever a task ends.
+   * How many tasks beyond its free slots may be dispatched to a block, as a ratio of its size. With such
+   * tasks at hand, the block does not have to wait for the leader whenever a task ends.
    */
   lookahead: number;
 }
 
-/** Where the input of an estimate is read from. */
+/** The sources from which the input of a capacity estimate is read. */
 export interface CapacityPorts {
   registry: Pick<BlockRegistry, 'blocks' | 'isAlive'>;
   machineTypes: () => ReadonlyMap<string, MachineType>;
@@ -43,25 +43,28 @@
   isBooted: (machine: LeasedMachine) => boolean;
 }
 
-/** What a block can take of one kind of task, before what waits there is taken off. */
+/** How many tasks of one kind a block can take, before the tasks that wait in the block are subtracted. */
 interface MeasuredSlots extends BlockSlots {
-  /** Tasks of this kind may run on spot machines. */
+  /** Whether tasks of this kind may run on spot machines. */
   spot: boolean;
 }
 
-/** The most that a block is given beyond what it has room for, as a ratio of its size. */
+/** Limit for the tasks that are dispatched to a block beyond its free slots, as a ratio of its size. */
 const maxLookaheadRatio = 1;
 /**
- * A task that asks for fewer CPUs than this counts as if it asked for so many, where waiting CPUs are counted
- * in tasks.
+ * Minimum number of CPUs per task when waiting CPUs are converted to a number of tasks: a task may request
+ * fewer or none.
  */
 const minCpusPerTask = 1e-3;
-/** Bound for tasks that ask for next to nothing. */
+/** Upper bound of the slots on one machine, for tasks that request almost no resources. */
 const maxSlotsPerMachine = 1e6;
-/** Amounts are decimals added up in any order, so sums may differ in their last bits. */
+/**
+ * Tolerance for rounding errors: amounts are decimal fractions added up in any order, so sums may differ in
+ * their last bits.
+ */
 const roundingTolerance = 1e-6;
 
-/** An estimate as of now. `lookahead`: see `CapacityInput`. */
+/** Estimates the current capacity. `lookahead`: see `CapacityInput`. */
 export function estimateCapacity(ports: CapacityPorts, lookahead: number): CapacityEstimate {
   const { registry, machineTypes, jobIndex, isBooted } = ports;
   return new CapacityEstimate({
@@ -74,12 +77,15 @@
   });
 }
 
-/** The blocks' free slots at one moment, less what its user has reserved since. */
+/**
+ * The free slots of the blocks at the time of the estimate, minus the slots that the caller has reserved
+ * since then.
+ */
 export class CapacityEstimate {
   private readonly usedByMachine: ReadonlyMap<string, Resources>;
-  /** Measured once for each kind of task: walking all machines for each of many jobs would take too long. */
+  /** Cached slots by kind of task: iterating over all machines for each of many jobs would take too long. */
   private readonly slotsByTaskKind = new Map<string, MeasuredSlots[]>();
-  /** CPUs of tasks that wait in a block, by the kind of machine that they wait for. */
+  /** CPUs of the tasks that wait in a block, by block and by whether the tasks may run on spot machines. */
   private readonly waitingCpus = new Map<string, number>();
 
   constructor(private readonly input: CapacityInput) {
@@ -91,7 +97,7 @@
     }
   }
 
-  /** The blocks that may take tasks of the job, those with the most free slots first. */
+  /** The blocks that may take tasks of the job, in descending order of free slots. */
   slotsByBlock(spec: JobSpec): BlockSlots[] {
     const kind = taskKind(spec);
     let measured = this.slotsByTaskKind.get(kind);
@@ -110,9 +116,10 @@
   }
 
   /**
-   * Raises the lookahead with the backlog, up to the blocks' sizes: with more work waiting than all blocks
-   * have room for, none runs dry, and each dispatch costs a change of the store. `backlog`: jobs with their
-   * undispatched tasks. Acts on the kinds of task in the backlog and on those measured before.
+   * Raises the lookahead in proportion to the backlog, up to the sizes of the blocks. Each dispatch costs a
+   * change of the store, and while more tasks wait than all blocks have slots for, a larger lookahead leaves
+   * no block without work. `backlog`: jobs with the number of their undispatched tasks. Affects the kinds of
+   * task in the backlog and those for which slots have been requested before.
    */
   extendLookahead(backlog: Iterable<{ spec: JobSpec; tasks: number }>): void {
     const backlogRatios = new Map<boolean, number>();
@@ -129,7 +136,7 @@
     }
   }
 
-  /** Takes the slots of so many tasks of the job off the block's free ones. */
+  /** Subtracts the slots of `count` tasks of the job from the free slots of the block. */
   reserve(spec: JobSpec, block: number, count: number): void {
     const key = waitingKey(spec, block);
     this.waitingCpus.set(key, (this.waitingCpus.get(key) ?? 0) + count * spec.cpus);
@@ -161,7 +168,11 @@
   return `${block}/${spec.spot ? 'spot' : 'ordinary'}`;
 }
 
-/** Work that may use spot machines leaves the others alone as long as the block has spot machines. */
+/**
+ * The machines on which tasks of the job may be placed. If the tasks may run on spot machines and the block
+ * has suitable spot machines, only those are eligible, so that ordinary machines remain available to other
+ * jobs.
+ */
 function eligibleMachines(spec: JobSpec, machines: LeasedMachine[]): LeasedMachine[] {
   const eligible = machines.filter((machine) => !machine.draining && isEligible(spec, machine));
   const spotMachines = spec.spot ? eligible.filter((machine) => machine.spot) : [];
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -1,4 +1,4 @@
-/** The leader's dispatching of jobs to blocks. */
+/** Dispatches the tasks of jobs to blocks, on behalf of the leader. */
 import type { Clock } from '../base/clock.js';
 import { nextTurn } from '../base/turns.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
@@ -13,7 +13,7 @@
 import { countUndispatchedTasks } from './task-ranges.js';
 import { restoreStartedTasks } from './task-recall.js';
 
-/** What dispatching works with. */
+/** The dependencies of the dispatcher. */
 export interface DispatcherPorts extends DispatchWriterPorts, CapacityPorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -23,19 +23,28 @@
   mirror: Pick<Mirror, 'revision'>;
   jobIndex: JobIndex;
   order: QueueOrder;
-  /** How much work beyond its free slots a block may be given, as a ratio of its size. */
+  /** How many tasks beyond its free slots may be dispatched to a block, as a ratio of its size. */
   lookahead: number;
 }
 
-/** Jobs that were left over are dispatched again after this part of a heartbeat interval. */
+/**
+ * Interval between rounds that include jobs with undispatched tasks from earlier rounds, in heartbeat
+ * intervals.
+ */
 const redispatchAfterHeartbeats = 0.5;
-/** Nothing is dispatched while more commits are queued, as a ratio of what a transaction holds. */
+/**
+ * Dispatching pauses while more commits than this are queued, as a ratio of the operations that a transaction
+ * holds.
+ */
 const maxQueuedCommitsRatio = 1 / 2;
 
-/** Dispatches tasks that no block has, and recalls tasks that wait in one block while another has room. */
+/**
+ * Dispatches tasks that are in no block yet, and recalls tasks that wait in one block while another has free
+ * slots.
+ */
 export class Dispatcher {
   private allDispatchedAt = -Infinity;
-  /** Jobs that had undispatched tasks in the last round. */
+  /** Ids of the jobs that had undispatched tasks at the start of the last round. */
   private leftOverJobs: ReadonlySet<string> = new Set();
   private readonly writer: DispatchWriter;
   private readonly rebalancer: Rebalancer;
@@ -46,8 +55,8 @@
   }
 
   /**
-   * One round, which settles when its commits are decided. Returns the highest revision of any commit so far,
-   * which the replica has to reach before the next round; 0: there was none.
+   * Runs one round. Settles when the outcomes of its commits are known. Returns the highest revision of all
+   * commits so far, or 0 if there was none. The replica must reach that revision before the next round.
    */
   async runRound(): Promise<number> {
     await this.dispatchJobs();
@@ -56,12 +65,13 @@
     return this.writer.committedRevision;
   }
 
-  /** Dispatches what no block has yet, in the queue order. */
+  /** Dispatches tasks that are in no block yet, in queue order of their jobs. */
   private async dispatchJobs(): Promise<void> {
     const { jobIndex, settings, order, wallClock, commits } = this.ports;
     const undispatched = [...jobIndex.jobs.values()].filter((job) => undispatchedTasks(job) > 0);
     const due = this.dueForDispatch(undispatched);
-    // Behind a queue of commits it would be out of date, and would delay what our own block has to start.
+    // Behind a long queue of commits, a dispatch would be based on outdated data by the time it is sent, and
+    // it would delay the commits with which this controller's own blocks start tasks.
     if (due.length === 0 || commits.writableLength > settings.state.txnOps * maxQueuedCommitsRatio) return;
     const capacity = estimateCapacity(this.ports, this.ports.lookahead);
     capacity.extendLookahead(undispatched.map((job) => ({ spec: job.spec, tasks: undispatchedTasks(job) })));
@@ -75,7 +85,8 @@
   }
 
   /**
-   * Tasks that a block has started in spite of a recall are that block's, before any others are dispatched.
+   * The next task ranges of the job; undefined if the ranges do not change. Tasks that a block has started in
+   * spite of a recall are returned to that block before any other tasks of the job are dispatched.
    */
   private nextRanges(job: IndexedJob, capacity: CapacityEstimate): IndexedJob['taskRanges'] | undefined {
     const { spec, taskRanges, id } = job;
@@ -86,9 +97,10 @@
   }
 
   /**
-   * A new job is dispatched at once. What was left over before waits for room, which appears a task at a
-   * time: dispatching each of them alone would take most of the changes that the store allows, and the blocks
-   * have work ahead.
+   * The jobs to dispatch in this round. A new job is always included. A job that already had undispatched
+   * tasks in the last round waits for free slots, which appear one task at a time. Dispatching each of these
+   * tasks separately would take most of the changes that the store accepts, and is not necessary, because of
+   * the tasks that blocks are given as lookahead.
    */
   private dueForDispatch(undispatched: IndexedJob[]): IndexedJob[] {
     const { clock, settings } = this.ports;
--- a/src/blocks/initial-dispatcher.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -1,4 +1,4 @@
-/** The block that a new job is dispatched to when it is submitted. */
+/** Chooses the block to which a new job is dispatched when it is submitted. */
 import type { Clock } from '../base/clock.js';
 import type { JobSpec } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
@@ -7,25 +7,31 @@
 import { type CapacityEstimate, type CapacityPorts, estimateCapacity } from './capacity-estimate.js';
 import { dispatchBySize, dispatchToOneBlock } from './job-dispatch.js';
 
-/** What the dispatching of new jobs works with. */
+/** The dependencies of the initial dispatcher. */
 export interface InitialDispatcherPorts extends Omit<CapacityPorts, 'isBooted'> {
   clock: Clock;
   jobIndex: JobIndex;
   bootedMachines: Pick<BootedMachines, 'isBooted'>;
   /** The blocks that this controller owns. */
   ownBlocks: () => ReadonlySet<number>;
-  /** Label of the controller that leads, if any does. */
+  /** Label of the current leader; undefined if there is none. */
   leader: () => string | undefined;
 }
 
-/** An estimate is used for so long: walking all machines for every submission would take too much time. */
+/**
+ * How long a capacity estimate is reused: iterating over all machines for every submission would take too
+ * much time.
+ */
 const capacityMaxAgeMs = 300;
-/** A new job is given only what fits now; work ahead is the leader's to give. */
+/**
+ * A new job is dispatched only to slots that are free now: only the leader dispatches tasks beyond the free
+ * slots.
+ */
 const noLookahead = 0;
 
 /**
- * Dispatches a job whole to the block with the most room; what is too big for any block is the leader's to
- * dispatch.
+ * Dispatches all tasks of a new job to one block with enough free slots. If no block has enough, the job is
+ * left to the leader to dispatch.
  */
 export class InitialDispatcher {
   private capacity: CapacityEstimate | undefined;
@@ -34,21 +40,23 @@
   constructor(private readonly ports: InitialDispatcherPorts) {}
 
   /**
-   * The ranges to accept the job with: none where the leader has to dispatch it, or where its dependencies
-   * are not done.
+   * The task ranges for the record of a new job. Empty if the leader has to dispatch the job, or if the
+   * dependencies of the job are not done.
    */
   initialRanges(spec: JobSpec): TaskRange[] {
     const { jobIndex, leader, ownBlocks } = this.ports;
     if (!jobIndex.isReadyAfter(spec.dependencies ?? [])) return [];
     const capacity = this.currentCapacity();
-    // Our own block can start it without waiting for another controller's watch.
+    // Prefer a block of this controller: it can start the job without waiting for the watch of another
+    // controller.
     const own = ownBlocks();
     const whole = dispatchToOneBlock(capacity, spec, (block) => own.has(block));
     if (whole) {
       capacity.reserve(spec, whole.block, whole.count);
       return [whole];
     }
-    // Without a leader nobody would dispatch it later.
+    // Without a leader no controller would dispatch the job later, so dispatch it even if there are not
+    // enough free slots.
     return leader() === undefined ? dispatchBySize(capacity, spec) : [];
   }
 
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -34,13 +34,13 @@
   });
 }
 
-test('a job goes whole to the roomiest block, and to none where none has room for all of it', () => {
+test('a job is dispatched to the block with the most free slots, or to no block if none has enough for all tasks', () => {
   assert.deepEqual(dispatchToOneBlock(estimate(), spec('req-1', 8)), { block: 1, first: 0, count: 8 });
   assert.equal(dispatchToOneBlock(estimate(), spec('req-1', 9)), undefined);
 });
 
-// Guards against jobs that wait for a machine to boot while another block has room.
-test('a block whose machines are still booting has no room, and one that is preferred is taken if it has', () => {
+// Guards against a job that waits for a machine to boot while another block has free slots.
+test('machines that are still booting have no free slots, and a preferred block with enough free slots is chosen', () => {
   const capacity = estimate((id) => id === 'm1');
   assert.deepEqual(dispatchToOneBlock(capacity, spec('req-1', 4)), { block: 0, first: 0, count: 4 });
   assert.equal(dispatchToOneBlock(capacity, spec('req-2', 5)), undefined);
@@ -50,7 +50,7 @@
   );
 });
 
-test('a job too big for one block is dispatched as far as there is room, and what is dispatched takes that room', () => {
+test('a job that is too large for one block fills the free slots of all, and its tasks reserve those slots', () => {
   const capacity = estimate();
   assert.deepEqual(dispatchToFreeSlots(capacity, spec('req-1', 11), []), [
     { block: 1, first: 0, count: 8 },
@@ -60,14 +60,15 @@
   assert.equal(dispatchToFreeSlots(capacity, spec('req-3', 4), []), undefined);
 });
 
-test('zone-constrained tasks are dispatched to one block, all or none', () => {
+test('the tasks of a zone-constrained job are all dispatched to one block', () => {
   assert.deepEqual(dispatchToFreeSlots(estimate(), spec('req-1', 20, { colocated: true }), []), [
     { block: 1, first: 0, count: 20 },
   ]);
 });
 
-// Guards against the largest jobs being starved: they need room in many places, and small ones fit anywhere.
-test('a job of many tasks begins within four minutes and comes to its end while small ones take all the room', () => {
+// Guards against starvation of large jobs: they need free slots on many machines, while small jobs fit on any
+// machine.
+test('a large job starts within four minutes and is dispatched completely while small jobs would fill all slots', () => {
   const large = { spec: spec('req-1', 60, { acceptedAt: 0 }), taskRanges: [] as TaskRange[] };
   const order = new QueueOrder([]);
   const jobs = [large];
@@ -84,7 +85,7 @@
   let startedAtS = Infinity;
   let nowS = 0;
   for (; dispatched(large) < 60 && nowS < 900; nowS += 10) {
-    // Every round all that ran has ended, and as many small jobs come as would fill the room.
+    // In each round all tasks of the last round have ended, and enough small jobs arrive to fill all slots.
     for (let i = 0; i < 3; i++) {
       jobs.push({ spec: spec(`req-${100 + nowS + i}`, 4, { acceptedAt: nowS * 1000 }), taskRanges: [] });
     }
@@ -95,13 +96,13 @@
     }
     if (dispatched(large) > 0) startedAtS = Math.min(startedAtS, nowS);
   }
-  assert.ok(startedAtS < 240, `began after ${startedAtS} s`);
+  assert.ok(startedAtS < 240, `started after ${startedAtS} s`);
   assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
 });
 
-// Guards against dispatches task by task: with 25 changes a second a third of them were dispatches of what
-// had no room.
-test('the more waits beyond all room, the more a block is given ahead, up to its size once over', () => {
+// Guards against dispatching one task at a time: with 25 changes per second, a third of the changes were
+// dispatches of tasks that had no free slot.
+test('a larger backlog means more tasks beyond the free slots of a block, up to the size of the block', () => {
   const large = spec('req-1', 500);
   const dispatchedTasks = (backlog: number): number => {
     const capacity = estimate();
@@ -118,8 +119,9 @@
   assert.equal(largeBacklog, noBacklog * 2);
 });
 
-// Guards against a record that outgrows a value of the store: its next write would be refused for good.
-test('a job gets no more ranges than its record holds, and then its tasks go to a block that has some already', () => {
+// Guards against a job record that exceeds the value limit of the store: every later write of it would be
+// refused.
+test('a job gets no more ranges than its record holds; beyond that, tasks go to a block that has tasks of the job', () => {
   const taskRanges = [{ block: 0, first: 2, count: 2 }];
   const dispatch = (maxRanges: number): TaskRange[] | undefined =>
     dispatchToFreeSlots(estimate(), spec('req-1', 14), taskRanges, maxRanges);
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -1,12 +1,13 @@
-/** Which blocks the tasks of one job are dispatched to, by the free slots of the blocks. */
+/** Chooses the blocks to which the tasks of one job are dispatched, by the free slots of the blocks. */
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
 import type { CapacityEstimate } from './capacity-estimate.js';
 import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
 /**
- * All tasks of the job in the one block that has free slots for them: a preferred one if there is such, else
- * the one with the most. Undefined: no block has room for all. Reserves nothing.
+ * One range with all tasks of the job, in a block with enough free slots for all of them: a preferred block
+ * if there is one, else the block with the most free slots. Undefined if no block has enough. Reserves no
+ * slots.
  */
 export function dispatchToOneBlock(
   capacity: CapacityEstimate,
@@ -18,13 +19,16 @@
   return best && wholeJob(spec, best.block);
 }
 
-/** All tasks of the job over all blocks by their sizes, whether or not there is room. Reserves nothing. */
+/**
+ * Divides all tasks of the job among all blocks in proportion to their sizes, regardless of free slots.
+ * Reserves no slots.
+ */
 export function dispatchBySize(capacity: CapacityEstimate, spec: JobSpec): TaskRange[] {
   const blocks = capacity.slotsByBlock(spec);
   const [best] = blocks;
   if (!best) return [];
   if (isZoneConstrained(spec)) return [wholeJob(spec, best.block)];
-  // One more than its size, so that a block without machines gets some as well.
+  // The weight of a block is its size plus one, so that a block without machines gets tasks as well.
   const totalWeight = blocks.reduce((sum, slots) => sum + slots.totalSlots + 1, 0);
   const taskRanges: TaskRange[] = [];
   let first = 0;
@@ -40,8 +44,9 @@
 }
 
 /**
- * The job's ranges with more of its tasks dispatched to where there are free slots, which are reserved.
- * `maxRanges`: how many ranges the job's record can hold. Undefined: there is no room for any further task.
+ * Dispatches further tasks of the job to free slots, and reserves these slots. Returns the job's earlier and
+ * new ranges, or undefined if there is no free slot for any further task. `maxRanges`: how many ranges the
+ * job's record can hold.
  */
 export function dispatchToFreeSlots(
   capacity: CapacityEstimate,
@@ -54,7 +59,10 @@
   return added.length > 0 ? limitTaskRanges(spec, taskRanges, added, maxRanges) : undefined;
 }
 
-/** All tasks go to one block, as soon as any of them could start there. */
+/**
+ * Dispatches all tasks to the block with the most free slots, even if only one of the tasks has a free slot
+ * there.
+ */
 function dispatchZoneConstrained(
   capacity: CapacityEstimate,
   spec: JobSpec,
@@ -87,9 +95,9 @@
 }
 
 /**
- * The ranges with as many of the added ones as the record can hold. If it can hold none of them, a block that
- * has a neighbouring range gets the first gap, whether or not it has room: the job must not stay undispatched
- * for ever.
+ * Merges as many of the added ranges into the existing ranges as the record can hold. If the record can hold
+ * none of them, the first gap is dispatched to a block with a neighbouring range, even if that block has no
+ * free slots: otherwise the job would stay undispatched forever.
  */
 function limitTaskRanges(
   spec: JobSpec,
--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -11,7 +11,7 @@
 const { label } = testSettings();
 const record = ownedBlock(label, leasedMachine('m1'));
 
-/** Renewals whose writes are answered by the test. */
+/** A `LeaseRenewals` whose block writes the test answers by calling `answer`. */
 function createFixture(): {
   renewals: LeaseRenewals;
   written: BlockRecord[];
@@ -29,7 +29,7 @@
   return { renewals: new LeaseRenewals(ports), written, answer: (result) => answer(result) };
 }
 
-test('a renewal leases the block to this incarnation with new fencing tokens, and leaves the record in use alone', async () => {
+test('a renewal leases the block to this incarnation with new fencing tokens, and does not modify the given record', async () => {
   const { renewals, written, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   assert.equal(renewals.isRenewing, true);
@@ -45,7 +45,7 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, undefined]);
 });
 
-test('a renewal for a new layout is told apart, and one that was not applied is none', async () => {
+test('renewals for a new layout are recorded separately, and a renewal that was not applied is not recorded', async () => {
   const { renewals, answer } = createFixture();
   const first = renewals.renew(0, record, 'new-layout');
   answer({ outcome: { kind: 'unknown' }, version: 7 });
@@ -57,7 +57,7 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, 9]);
 });
 
-test('a renewal that fails is under way no longer', async () => {
+test('a renewal that throws is no longer in flight', async () => {
   const { renewals, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   answer(new Error('the queue of commits has ended'));
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -1,28 +1,40 @@
-/** Renewals of block leases by the owner itself, after its own restart or for a new layout of the ledger. */
+/**
+ * Renews block leases on behalf of their owner, after a restart of its process or for a new layout of the
+ * ledger.
+ */
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import { transferBlock } from './block-assignment.js';
 import type { BlockWriter } from './block-writer.js';
 
-/** What the renewals of one controller's leases work with. */
+/** The dependencies of lease renewals. */
 export interface LeaseRenewalsPorts {
   log: Log;
   settings: Pick<Settings, 'label' | 'zone'>;
-  /** Identifies this run of the controller process. */
+  /** Identifies this incarnation of the controller process. */
   incarnation: string;
   writer: Pick<BlockWriter, 'write'>;
 }
 
 /**
- * Why a lease is renewed. `new-incarnation`: the block is leased to an earlier incarnation of this
- * controller, which knew the latest heartbeats and may have left transactions in flight. `new-layout`: the
- * block's ledger is to be written in another layout, and nothing may be committed in the old one after the
- * renewal. In both cases new fencing tokens and a new version of the block invalidate what came before.
+ * Why a lease is renewed.
+ *
+ * `new-incarnation`: the block is leased to an earlier incarnation of this controller. The earlier
+ * incarnation had the latest heartbeats in memory, and transactions that it sent may still be in flight.
+ *
+ * `new-layout`: the ledger of the block is to be written in another layout, and nothing may be committed in
+ * the old layout after the renewal.
+ *
+ * In both cases the renewal gives the machines new fencing tokens and the block a new version, which
+ * invalidates earlier fencing tokens and makes transactions that are still in flight conflict.
  */
 export type RenewalReason = 'new-incarnation' | 'new-layout';
 
-/** Renews one lease at a time, and remembers at which revision each block's lease was last renewed. */
+/**
+ * Renews leases, with at most one renewal in flight, and records the revision of the last renewal of each
+ * block.
+ */
 export class LeaseRenewals {
   private isInFlight = false;
   private readonly renewalRevisions = new Map<number, number>();
@@ -30,28 +42,30 @@
 
   constructor(private readonly ports: LeaseRenewalsPorts) {}
 
-  /** A renewal of some block is in flight; no other is started meanwhile. */
+  /**
+   * Whether a renewal of any block is in flight. Callers must not start another renewal before it has ended.
+   */
   get isRenewing(): boolean {
     return this.isInFlight;
   }
 
   /**
-   * Store revision of the last applied renewal of the block's lease by this process; undefined: there was
+   * Store revision of the last applied renewal of the block's lease by this process; undefined if there was
    * none.
    */
   renewalRevision(block: number): number | undefined {
     return this.renewalRevisions.get(block);
   }
 
-  /** As `renewalRevision`, for renewals because of a new layout only. */
+  /** Same as `renewalRevision`, but only for renewals with the reason `new-layout`. */
   layoutRenewalRevision(block: number): number | undefined {
     return this.layoutRenewalRevisions.get(block);
   }
 
   /**
-   * Renews the lease of the block, whose record stays as it is. Settles when the commit is decided; the
-   * result is seen in the replica of the store, and a renewal that was not applied is left to the caller to
-   * repeat.
+   * Renews the lease of the block. Does not modify `record`. Settles when the outcome of the commit is known;
+   * the new record then arrives through the replica of the store. The caller has to repeat a renewal that was
+   * not applied.
    */
   async renew(block: number, record: BlockRecord, reason: RenewalReason): Promise<void> {
     const { settings, incarnation, log, writer } = this.ports;
@@ -66,7 +80,7 @@
       }
       log.info(
         { event: 'lease-renewed', block, outcome: outcome.kind },
-        'owner renewed the lease of its block',
+        'renewal of a block lease by its owner finished; if not applied, the owner repeats the renewal',
       );
     } finally {
       this.isInFlight = false;
