--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -7,7 +7,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
-import { assignBlocks, type MachineSet } from './block-assignment.js';
+import { assignBlocks, type MachineIdSet } from './block-assignment.js';
 import type { BlockRegistry } from './block-registry.js';
 import { Dispatcher, type DispatcherPorts } from './dispatcher.js';
 import { type LeaderTerm, LeaseWriter } from './lease-writer.js';
@@ -19,7 +19,7 @@
   /** Machines that have not been added to a block yet, by id. */
   readonly unassigned: ReadonlyMap<string, LeasedMachine>;
   /** Machines that are proven to be terminated. */
-  readonly terminated: MachineSet;
+  readonly terminated: MachineIdSet;
   /** Machines that are to be released: no further tasks may be placed on them. */
   readonly toDrain: ReadonlySet<string>;
   /** Machines that the cloud no longer lists and that are not yet proven to be terminated. */
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -10,7 +10,7 @@
 import type { Member } from './block-registry.js';
 
 /** A set of machine ids. */
-export interface MachineSet {
+export interface MachineIdSet {
   has(machine: string): boolean;
 }
 
@@ -30,9 +30,9 @@
   /** Rented machines that have not been added to a block yet. */
   unassignedMachines: LeasedMachine[];
   /** Machines that are proven to be terminated. */
-  terminatedMachines: MachineSet;
+  terminatedMachines: MachineIdSet;
   /** Machines with tasks, as of the current versions of the blocks: these machines stay in their block. */
-  machinesWithTasks: MachineSet;
+  machinesWithTasks: MachineIdSet;
   /** Machines on which no further tasks may be placed. */
   drainingMachines: ReadonlySet<string>;
   /** How many slots the block's waiting tasks need on machines of the same kind as this machine. */
@@ -68,7 +68,7 @@
  * Leases the block to the owner by changing the record in place. The fencing token of each machine becomes
  * the revision of the commit that stores the lease, which is higher than every earlier fencing token.
  */
-export function transferBlock(record: BlockRecord, owner: Member): void {
+export function leaseBlock(record: BlockRecord, owner: Member): void {
   record.owner = owner.label;
   record.incarnation = owner.incarnation;
   record.leaseFencingToken = tokenOfOwnCommit;
@@ -103,7 +103,7 @@
   for (const record of blocks.values()) {
     if (members.has(record.owner)) continue;
     const owner = memberWithFewest();
-    if (owner) transferBlock(record, owner);
+    if (owner) leaseBlock(record, owner);
   }
   for (const label of labels) {
     if (countOwned(label) > 0 || !input.stableMembers.has(label)) continue;
@@ -111,7 +111,7 @@
       .filter((record) => countOwned(record.owner) > 1)
       .sort((a, b) => a.machines.length - b.machines.length);
     const owner = members.get(label);
-    if (smallest && owner) transferBlock(smallest, owner);
+    if (smallest && owner) leaseBlock(smallest, owner);
   }
 }
 
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -8,7 +8,7 @@
 import { type BlockRecord, blockRecord, type LeasedMachine } from '../wire/block-records.js';
 import { formatRecord } from '../wire/controller-records.js';
 import { blockKey, formatKey } from '../wire/keys.js';
-import { transferBlock } from './block-assignment.js';
+import { leaseBlock } from './block-assignment.js';
 import { BlockRegistry } from './block-registry.js';
 import { BlockWriter, type BlockWriteResult } from './block-writer.js';
 
@@ -128,7 +128,7 @@
   test('is leased to another owner with one write, and its fencing tokens are higher than all earlier ones', async () => {
     const fixture = await paged(4000);
     const next = await fixture.read();
-    transferBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
+    leaseBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
     const { outcome } = await fixture.write(next);
     assert.equal(fixture.store.largestWrites, 1);
     const { owner, machines } = await fixture.read();
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -102,7 +102,7 @@
     const kind = taskKind(spec);
     let measured = this.slotsByTaskKind.get(kind);
     if (!measured) {
-      measured = this.servedBlocks().map(([block, record]) => this.measureBlock(spec, block, record));
+      measured = this.candidateBlocks().map(([block, record]) => this.measureBlock(spec, block, record));
       this.slotsByTaskKind.set(kind, measured);
     }
     const slots = measured.map(({ block, freeSlots, totalSlots }) => {
@@ -142,7 +142,7 @@
     this.waitingCpus.set(key, (this.waitingCpus.get(key) ?? 0) + count * spec.cpus);
   }
 
-  private servedBlocks(): [number, BlockRecord][] {
+  private candidateBlocks(): [number, BlockRecord][] {
     const blocks = [...this.input.blocks];
     const served = blocks.filter(([, record]) => this.input.isAlive(record.owner));
     return served.length > 0 ? served : blocks;
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -99,8 +99,8 @@
   /**
    * The jobs to dispatch in this round. A new job is always included. A job that already had undispatched
    * tasks in the last round waits for free slots, which appear one task at a time. Dispatching each of these
-   * tasks separately would take most of the changes that the store accepts, and is not necessary, because of
-   * the tasks that blocks are given as lookahead.
+   * tasks separately would take most of the changes that the store accepts. It is not necessary, since blocks
+   * already have waiting tasks beyond their free slots (see `lookahead`).
    */
   private dueForDispatch(undispatched: IndexedJob[]): IndexedJob[] {
     const { clock, settings } = this.ports;
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -5,7 +5,7 @@
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRecord } from '../wire/block-records.js';
-import { transferBlock } from './block-assignment.js';
+import { leaseBlock } from './block-assignment.js';
 import type { BlockWriter } from './block-writer.js';
 
 /** The dependencies of lease renewals. */
@@ -72,7 +72,7 @@
     this.isInFlight = true;
     try {
       const renewed = { ...record, machines: record.machines.map((machine) => ({ ...machine })) };
-      transferBlock(renewed, { label: settings.label, incarnation, zone: settings.zone });
+      leaseBlock(renewed, { label: settings.label, incarnation, zone: settings.zone });
       const { outcome } = await writer.write(block, renewed);
       if (outcome.kind === 'applied') {
         this.renewalRevisions.set(block, outcome.revision);
--- a/src/blocks/lease-writer.test.ts
+++ b/src/blocks/lease-writer.test.ts
@@ -19,7 +19,7 @@
   writes: Write[];
 }
 
-/** A lease writer whose commits are answered with the outcomes in turn. */
+/** A lease writer whose commits end with the given outcomes, one after the other. */
 function createFixture(outcomes: CommitOutcome[]): {
   leases: LeaseWriter;
   commits: Commit[];
@@ -55,7 +55,7 @@
 const current = ownedBlock('k0', leasedMachine('m1'));
 const next = ownedBlock('k1', leasedMachine('m1'), leasedMachine('m2'));
 
-test('a record is written by the leader only, and over the version that it is based on', async () => {
+test('a write is conditioned on the term of the leader and on the version of the block that it is based on', async () => {
   const { leases, commits } = createFixture([{ kind: 'applied', revision: 9 }]);
   await leases.write(0, current, next);
   assert.deepEqual(commits[0]?.conditions, [
@@ -66,8 +66,9 @@
   assert.equal(await leases.supersedeUnknownCommits(), false);
 });
 
-// Guards against a machine in two blocks: a late commit gives it to one when it has been given to another.
-test('a write of unknown result is followed by one of the block as it stands, over the same version', async () => {
+// Guards against a machine that is in two blocks: a commit of unknown outcome that adds the machine to one
+// block is executed late, after the leader has added the machine to another block.
+test('after a write of unknown outcome, the unchanged block record is written on condition of the same version', async () => {
   const { leases, commits, stored } = createFixture([{ kind: 'unknown' }, { kind: 'unknown' }]);
   await leases.write(0, current, next);
   assert.equal(await leases.supersedeUnknownCommits(), true);
@@ -81,7 +82,8 @@
     machines.map(({ id }) => id),
     ['m1'],
   );
-  // With another version, whichever commit has brought it, the lost one can no longer be executed.
+  // Once the block has another version, whichever commit changed the version, the lost commit can no longer
+  // be executed.
   stored.version = 12;
   assert.equal(await leases.supersedeUnknownCommits(), false);
   assert.equal(commits.length, 2);
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -1,4 +1,4 @@
-/** The leader's commits of block records, and what follows where the result of a commit is unknown. */
+/** Commits block records on behalf of the leader, and resolves commits whose outcome is unknown. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -10,13 +10,13 @@
 
 /** The term of the leader that assigns blocks and dispatches jobs. */
 export interface LeaderTerm {
-  /** Revision of the commit that began the term: a condition of everything that the leader commits. */
+  /** Revision of the commit that began the term. Every commit of the leader is conditioned on it. */
   readonly fencingToken: number;
   /** Fires when the term ends. */
   readonly signal: AbortSignal;
 }
 
-/** What the leader's writes of block records work with. */
+/** The dependencies of a lease writer. */
 export interface LeaseWriterPorts extends BlockWriterPorts {
   clock: Clock;
   log: Log;
@@ -25,13 +25,19 @@
   term: LeaderTerm;
 }
 
-/** Pause after a commit of unknown result, as a ratio of the heartbeat interval. */
+/** Pause after a commit whose outcome is unknown, as a ratio of the heartbeat interval. */
 const unknownResultPauseRatio = 1 / 4;
 
-/** Writes block records, as long as the writer leads and the block is as the replica of the store has it. */
+/**
+ * Writes block records. A write is applied only if this controller still leads and the version of the block
+ * in the store is still the version in the replica.
+ */
 export class LeaseWriter {
   private lastAppliedRevision = 0;
-  /** Blocks with a commit of unknown result, and the version that it was conditioned on. */
+  /**
+   * By block with a commit whose outcome is unknown: the version of the block on which that commit was
+   * conditioned.
+   */
   private readonly unknownCommitVersions = new Map<number, number>();
   private readonly writer: BlockWriter;
 
@@ -40,17 +46,19 @@
   }
 
   /**
-   * The highest store revision of its commits, which the replica has to reach before the next decision; 0:
-   * none yet.
+   * Highest store revision of the commits of this writer; 0 before the first. The replica must reach this
+   * revision before the next decision.
    */
   get committedRevision(): number {
     return this.lastAppliedRevision;
   }
 
   /**
-   * A commit of unknown result may yet be executed: what it gives to a block must not be given to another
-   * meanwhile. So such blocks are first written as they stand, under the same version, after which the late
-   * commit conflicts. Returns whether there were any: nothing else may be written in this round then.
+   * Supersedes commits whose outcome is unknown. Such a commit may still be executed, so machines and quota
+   * shares that it assigns to one block must not be assigned to another block meanwhile. This method
+   * therefore writes the unchanged record of each such block on condition of the same version; after that,
+   * the late commit conflicts. Returns whether there were such blocks. If so, the caller must not write
+   * anything else in this round.
    */
   async supersedeUnknownCommits(): Promise<boolean> {
     const { registry } = this.ports;
@@ -68,8 +76,9 @@
   }
 
   /**
-   * Settles when the commit is decided or its result is known to be unknown. A commit that was not applied is
-   * left to the next round. `current`: the record that `next` is based on, if the block has one.
+   * Writes the record `next` of the block. Settles when the outcome of the commit is known, or, if the
+   * outcome is unknown, after a pause. A commit that was not applied is not retried here: the next round
+   * decides. `current`: the record on which `next` is based; undefined if the block has no record.
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
@@ -85,11 +94,17 @@
         await sleep(settings.heartbeatIntervalMs * unknownResultPauseRatio, term.signal);
         return;
       case 'malformed':
-        log.error({ event: 'block-refused', block, machines: next.machines.length }, 'block record refused');
+        log.error(
+          { event: 'block-refused', block, machines: next.machines.length },
+          'state service refused the block record as malformed; the leader tries again in a later round',
+        );
         return;
       case 'conflict':
       case 'refused':
-        log.debug({ event: 'lease-failed', block, outcome, at: clock() }, 'block not leased');
+        log.debug(
+          { event: 'lease-failed', block, outcome, at: clock() },
+          'block record not written; the leader decides again in the next round',
+        );
     }
   }
 
@@ -98,7 +113,7 @@
     const machines = next.machines.length;
     this.ports.log.info(
       { event: 'block-leased', block, owner: next.owner, before: current?.owner, machines },
-      'block leased',
+      'block leased to a new owner',
     );
   }
 }
--- a/src/blocks/live-members.test.ts
+++ b/src/blocks/live-members.test.ts
@@ -8,7 +8,7 @@
 const settings = testSettings();
 const other: Member = { label: 'other', incarnation: 'b', zone: 'z' };
 
-/** Live members by a clock and a registry that the test sets. */
+/** A `LiveMembers` whose clock and registry the test controls. */
 function createFixture(): { members: LiveMembers; at: (ms: number, alive: Member[]) => string[] } {
   let now = 0;
   let alive: Member[] = [];
@@ -22,14 +22,14 @@
   return { members, at };
 }
 
-test('the leader is alive whether or not the replica has its own key', () => {
+test('the leader counts as alive whether or not the replica has its key', () => {
   const { at } = createFixture();
   assert.deepEqual(at(0, [other]), ['other', settings.label]);
   const own = { label: settings.label, incarnation: 'a', zone: settings.zone };
   assert.deepEqual(at(1, [own]), [settings.label]);
 });
 
-test('a member is stable after a heartbeat interval without a break', () => {
+test('a member is stable after it has been alive without interruption for more than a heartbeat interval', () => {
   const { members, at } = createFixture();
   const interval = settings.heartbeatIntervalMs;
   at(0, [other]);
--- a/src/blocks/live-members.ts
+++ b/src/blocks/live-members.ts
@@ -1,30 +1,32 @@
-/** Which controllers are alive in the eyes of the leader, and for how long they have been. */
+/** Tracks, for the leader, which controllers are alive and since when. */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRegistry, Member } from './block-registry.js';
 
-/** What the leader's view of the members works with. */
+/** The dependencies of `LiveMembers`. */
 export interface LiveMembersPorts {
   clock: Clock;
   settings: Pick<Settings, 'label' | 'zone' | 'heartbeatIntervalMs'>;
   registry: Pick<BlockRegistry, 'liveMembers'>;
-  /** Identifies this run of the controller process. */
+  /** Identifies this incarnation of the controller process. */
   incarnation: string;
 }
 
 /**
- * The live controllers, with the leader itself among them, and how long each has been alive without a break.
+ * The live controllers, including the leader itself, and the time since which each has been alive without
+ * interruption.
  */
 export class LiveMembers {
   private readonly aliveSince = new Map<string, number>();
 
   constructor(private readonly ports: LiveMembersPorts) {}
 
-  /** The members that are alive now; each call also updates since when they are. */
+  /** Returns the members that are alive now, and records since when each of them has been alive. */
   update(): Member[] {
     const { registry, settings, clock, incarnation } = this.ports;
     const members = registry.liveMembers();
-    // A leader without a live key of its own would be deposed, so its key is only late in the replica.
+    // If the leader's own key had expired in the store, the leader would lose its leadership. So if the key
+    // is missing here, the replica only lags behind.
     if (!members.some((member) => member.label === settings.label))
       members.push({ label: settings.label, incarnation, zone: settings.zone });
     const labels = new Set(members.map((member) => member.label));
@@ -34,8 +36,8 @@
   }
 
   /**
-   * Alive for long enough, as of the last update, that a block leased to it will not change hands again at
-   * once.
+   * Whether the member had been alive long enough at the last update for a block to be leased to it without
+   * the risk that the block has to be leased to another controller immediately afterwards.
    */
   isStable(label: string): boolean {
     const { clock, settings } = this.ports;
--- a/src/blocks/machine-pages.ts
+++ b/src/blocks/machine-pages.ts
@@ -1,6 +1,5 @@
 /**
- * The machines of a large block on pages of their own: which page names which machine, and how pages are
- * written.
+ * Distributes the machines of a large block over pages, and creates the conditions and writes of these pages.
  */
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
@@ -10,7 +9,7 @@
 import { type Condition, maxTransactionBytes, type Write } from '../wire/state.js';
 import type { StoredBlock } from './block-registry.js';
 
-/** A change of one page; without machines the page is deleted. */
+/** The new content of one page. A page without machines is deleted. */
 export interface PageChange {
   page: number;
   machines: LeasedMachine[];
@@ -22,19 +21,23 @@
   machines: LeasedMachine[];
 }
 
-/** Digits that a fencing token, or a time of day, may take. */
+/** Maximum number of digits of a fencing token or of a time of day. */
 const numberDigits = 16;
-/** Numbers that a page has beside the id of a machine. */
+/** How many numbers a page stores for each machine, in addition to its id. */
 const numbersPerMachine = 2;
 
-/** How many bytes the machines of a page may take: several pages fit a transaction together. */
+/**
+ * Maximum size of the machines of one page, in bytes: the size limit of a value, or less, so that a
+ * transaction with the maximum number of operations stays within its own size limit.
+ */
 export function machinePageBytes({ state }: Pick<Settings, 'state'>): number {
   return Math.min(state.valueBytes, Math.floor(maxTransactionBytes / state.txnOps));
 }
 
 /**
- * Gives every machine a page. A machine stays on the page that it has, so that a change of few machines
- * changes few pages; new ones go to the first page with room for `pageBytes`.
+ * Assigns each machine to a page, and returns the machines by page number. A machine that already has a page
+ * stays on it, so that a change of few machines changes few pages. A new machine goes to the first page that
+ * does not exceed `pageBytes` with it.
  */
 export function assignPages(
   machines: Iterable<LeasedMachine>,
@@ -55,8 +58,8 @@
 }
 
 /**
- * The pages that differ from what is stored. Fencing tokens alone change no page: the block's record raises
- * them for all its machines.
+ * The pages that differ from the stored pages. A page with new fencing tokens only is not written: the record
+ * of the block raises the fencing tokens of all its machines.
  */
 export function changedPages(
   stored: StoredBlock | undefined,
@@ -74,7 +77,8 @@
 }
 
 /**
- * The pages are as the writer knows them. `versions`: by page; a page that is missing there must not exist.
+ * Conditions that the pages still have the given versions. `versions`: by page; a page without an entry must
+ * not exist.
  */
 export function pageConditions(
   block: number,
@@ -84,7 +88,7 @@
   return [...pages].map((page) => ({ key: machinesKey(block, page), version: versions.get(page) ?? 0 }));
 }
 
-/** The write that makes the change. */
+/** The write that stores the change of the page. */
 export function pageWrite(block: number, { page, machines }: PageChange): Write {
   const key = machinesKey(block, page);
   return machines.length > 0 ? { put: key, value: machineGroups(machines) } : { drop: key };
@@ -102,7 +106,10 @@
   return page !== undefined && page.bytes + addedBytes(page, machine) > pageBytes;
 }
 
-/** Machines of one kind share the names of their type and zone. */
+/**
+ * Bytes that the machine adds to the page. Machines of one kind share one stored copy of the names of their
+ * type and zone.
+ */
 function addedBytes(page: Page, machine: LeasedMachine): number {
   const entryBytes = machine.id.length + numberDigits * numbersPerMachine;
   if (page.kinds.has(machineKind(machine))) return entryBytes;
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -1,4 +1,4 @@
-/** One block that is leased to this controller, from the start of its lease to the end. */
+/** Manages one block that is leased to this controller, from the start of the lease to its end. */
 import { setMaxListeners } from 'node:events';
 
 import type { Clock } from '../base/clock.js';
@@ -15,22 +15,22 @@
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 
-/** What a monitor of machine health is given of the block whose machines it checks. */
+/** The part of an owned block that its health monitor uses. */
 export interface MonitoredBlock {
   blockState: BlockState;
   /** Fires when the lease of the block ends. */
   signal: AbortSignal;
-  /** To be called after machines were proven terminated, so that their tasks wait again. */
+  /** The monitor calls this after it has proven machines to be terminated and their tasks wait again. */
   onTasksRequeued: () => void;
 }
 
 /** Checks the machines of one block and releases failed ones. */
 export interface BlockHealthMonitor {
-  /** Settles when the signal of the block fires. */
+  /** Runs the checks. Settles when the signal of the block fires. */
   run(): Promise<void>;
 }
 
-/** What a block needs from its controller. */
+/** The dependencies of an owned block. */
 export interface OwnedBlockPorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -43,21 +43,24 @@
   jobIndex: JobIndex;
   order: QueueOrder;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Supplied by the controller, since the health monitor of workers builds on this slice. */
+  /**
+   * Creates the health monitor. The controller supplies this function, so that `src/blocks` does not depend
+   * on the health monitor in `src/workers`.
+   */
   createHealthMonitor: (block: MonitoredBlock) => BlockHealthMonitor;
 }
 
-/** State and routines of one owned block. */
+/** The state of one owned block, with its scheduler and its health monitor. */
 export class OwnedBlock {
-  /** The block's jobs, tasks and machines, loaded from the replica of the store. */
+  /** The jobs, tasks and machines of the block, loaded from the replica of the store. */
   readonly blockState: BlockState;
-  /** Places the block's waiting tasks. */
+  /** Places the waiting tasks of the block on its machines. */
   readonly scheduler: Scheduler;
   private readonly abortController = new AbortController();
 
   /**
-   * Loads the state of the block and starts its scheduler and its health monitor. `layout`: how entries of
-   * the block's ledger are written for as long as this object lives.
+   * Loads the state of the block, and starts its scheduler and its health monitor. `layout`: the layout in
+   * which this object writes entries of the block's ledger.
    */
   constructor(
     readonly block: number,
@@ -66,7 +69,8 @@
   ) {
     const { settings, log, clock, wallClock, mirror, order, jobIndex } = ports;
     const { signal } = this.abortController;
-    // Every commit that waits to be retried listens on it.
+    // Each commit that waits for its retry adds a listener to the signal, so their number must not be
+    // limited.
     setMaxListeners(0, signal);
     const blockState = new BlockState({
       block,
@@ -91,7 +95,10 @@
     this.scheduler = scheduler;
   }
 
-  /** Ends the routines of the block; nothing is placed or released for it after that. */
+  /**
+   * Stops the scheduler and the health monitor. Afterwards no task of the block is placed and no machine of
+   * it is released.
+   */
   stop(): void {
     this.abortController.abort();
   }
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -1,4 +1,7 @@
-/** The blocks that are leased to this controller: follows the leases in the replica of the store. */
+/**
+ * Starts and stops the blocks that are leased to this controller, as their leases change in the replica of
+ * the store.
+ */
 import { logDefect } from '../base/defects.js';
 import type { BlockState } from '../placement/block-state.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
@@ -11,39 +14,46 @@
 import { LeaseRenewals, type RenewalReason } from './lease-renewals.js';
 import { OwnedBlock, type OwnedBlockPorts } from './owned-block.js';
 
-/** What the blocks of one controller need from it. */
+/** The dependencies of the owned blocks of one controller. */
 export interface OwnedBlocksPorts extends OwnedBlockPorts {
   registry: BlockRegistry;
-  /** Identifies this run of the controller process: leases to earlier ones are renewed before use. */
+  /**
+   * Identifies this incarnation of the controller process. A lease to an earlier incarnation must be renewed
+   * before the block is used.
+   */
   incarnation: string;
   /** Fires when the controller stops. */
   signal: AbortSignal;
 }
 
-/** A machine of an owned block, with the block's state and scheduler. */
+/** A machine of an owned block, with the state and the scheduler of the block. */
 export interface OwnedMachine {
   blockState: BlockState;
   scheduler: Scheduler;
   machine: MachineState;
 }
 
-/** The blocks that are leased to this controller, each with its state and its routines. */
+/** The blocks that are leased to this controller, each with its state, scheduler and health monitor. */
 export class OwnedBlocks {
   private readonly owned = new Map<number, OwnedBlock>();
   private readonly renewals: LeaseRenewals;
 
   constructor(private readonly ports: OwnedBlocksPorts) {
     this.renewals = new LeaseRenewals({ ...ports, writer: new BlockWriter(ports) });
-    // A controller that is stopping must not release machines because it no longer receives their heartbeats.
+    // A controller that stops receives no more heartbeats. Its health monitors must not release the machines
+    // for that reason, so they are stopped first.
     ports.signal.addEventListener('abort', () => this.stopAll(), { once: true });
   }
 
-  /** The states of all blocks that are owned now. */
+  /** The states of all blocks that this controller currently owns. */
   blockStates(): BlockState[] {
     return [...this.owned.values()].map((owned) => owned.blockState);
   }
 
-  /** The machine by its id, if a block of this controller has it with a fencing token. */
+  /**
+   * Finds a machine of this controller's blocks by its id. Undefined if no owned block has the machine with a
+   * fencing token.
+   */
   findMachine(id: string): OwnedMachine | undefined {
     for (const { blockState, scheduler } of this.owned.values()) {
       const machine = blockState.machines.get(id);
@@ -53,9 +63,9 @@
   }
 
   /**
-   * To be called after every batch of changes of the replica: starts the blocks whose lease to this
-   * controller has begun, stops those whose lease has ended, renews leases where that is due, and passes the
-   * changes on to the blocks' states.
+   * Must be called after every batch of changes of the replica. Starts blocks whose lease to this controller
+   * has begun, stops blocks whose lease to this controller has ended, starts necessary renewals of leases,
+   * and applies the changes to the states of the owned blocks.
    */
   applyChanges(changes: Change[]): void {
     const { registry, settings, signal } = this.ports;
@@ -72,9 +82,11 @@
   }
 
   /**
-   * A block whose ledger layout is outdated is kept until its lease has been renewed, with new fencing tokens
-   * and a version that makes commits in flight conflict. It is then stopped, and started again as after a
-   * restart of the process.
+   * Whether the block must be stopped. This is so if its lease to this incarnation has ended, or if its
+   * ledger layout is outdated and the replica has reached a renewal of the lease for the new layout. The
+   * renewal gives the machines new fencing tokens and the block a new version, which makes commits in flight
+   * conflict. After that, the block is stopped and started again in the same way as after a restart of the
+   * process.
    */
   private mustStop(owned: OwnedBlock, record: BlockRecord | undefined, layout: LedgerLayout): boolean {
     const { settings, incarnation, registry } = this.ports;
@@ -87,17 +99,22 @@
     );
   }
 
-  /** Applies the record of a block that is leased to this controller. */
+  /**
+   * Applies the record of a block that is leased to this controller: starts a renewal of the lease if one is
+   * necessary, and starts or updates the block if it can be used under the current lease.
+   */
   private applyLease(block: number, record: BlockRecord, layout: LedgerLayout): void {
     const { renewals } = this;
     const reason = this.renewalReason(block, record, layout);
     const isRenewed = reason === 'new-layout' && renewals.layoutRenewalRevision(block) !== undefined;
     if (reason !== undefined && !isRenewed && !renewals.isRenewing) this.renewLease(block, record, reason);
     if (reason === 'new-incarnation') return;
-    // Nothing may be committed in the old layout under the version of the renewal.
+    // A block in the old layout must not take over the version of the renewal: its commits would no longer
+    // conflict, and nothing may be committed in the old layout after the renewal.
     if (reason === 'new-layout' && renewals.isRenewing) return;
     const version = this.ports.registry.blockVersion(block);
-    // The replica has yet to reach the renewal, and still names the fencing tokens from before it.
+    // The replica has not reached the last renewal yet: the record still has the fencing tokens from before
+    // the renewal.
     if (version < (renewals.renewalRevision(block) ?? 0)) return;
     const { blockState, scheduler } = this.owned.get(block) ?? this.startBlock(block, layout);
     if (blockState.version === version) return;
@@ -106,8 +123,8 @@
   }
 
   /**
-   * Nobody waits for the renewal, so a failure that it does not account for is logged before it ends the
-   * process.
+   * Starts a renewal without waiting for it. If the renewal rejects, the error is unexpected: it is logged
+   * and thrown again, and ends the process as an unhandled rejection.
    */
   private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
     this.renewals.renew(block, record, reason).catch((error: unknown) => {
@@ -116,7 +133,7 @@
     });
   }
 
-  /** Why the block cannot be used under its present lease; undefined: it can. */
+  /** Why the lease of the block must be renewed; undefined if no renewal is necessary. */
   private renewalReason(block: number, record: BlockRecord, layout: LedgerLayout): RenewalReason | undefined {
     if (record.incarnation !== this.ports.incarnation) return 'new-incarnation';
     return hasOutdatedLayout(this.owned.get(block), layout) ? 'new-layout' : undefined;
@@ -127,14 +144,20 @@
     this.owned.set(block, owned);
     const jobs = owned.blockState.jobs.size;
     const { chunkTasks } = layout;
-    this.ports.log.info({ event: 'lease-started', block, jobs, chunkTasks }, 'lease of the block started');
+    this.ports.log.info(
+      { event: 'lease-started', block, jobs, chunkTasks },
+      'lease of a block to this controller started; scheduling its tasks',
+    );
     return owned;
   }
 
   private stopBlock(owned: OwnedBlock): void {
     owned.stop();
     this.owned.delete(owned.block);
-    this.ports.log.info({ event: 'lease-ended', block: owned.block }, 'lease of the block ended');
+    this.ports.log.info(
+      { event: 'lease-ended', block: owned.block },
+      'lease of a block to this controller ended; scheduler and health monitor of the block stopped',
+    );
   }
 
   private stopAll(): void {
--- a/src/blocks/quota-share-allocator.test.ts
+++ b/src/blocks/quota-share-allocator.test.ts
@@ -12,7 +12,10 @@
 const quotaSharePeriodMs = 1000;
 const unlimited = { cpus: 0, cpusMax: 0, accelerators: 0, acceleratorsMax: 0 };
 
-/** Shares of the team `red` in two blocks, with so many tasks of 2 CPUs waiting in the first. */
+/**
+ * An allocator for the team `red` and two blocks. `shares` returns the next CPU share of the team in each
+ * block, while `waitingTasks` tasks of 2 CPUs each wait in the first block.
+ */
 function createFixture(cpusMax: number): {
   shares: (nowMs: number, blocks: Map<number, BlockRecord>, waiting: number) => (number | undefined)[];
 } {
@@ -64,15 +67,16 @@
   ]);
 }
 
-test('without a limit there are no shares', () => {
+test('a team without a limit gets no quota shares', () => {
   assert.deepEqual(createFixture(0).shares(0, blocksWith(1, 1), 1), [undefined, undefined]);
 });
 
-test('shares stay for a period, and are divided anew sooner where waiting work exceeds the share of its block', () => {
+test('shares are kept for a period, but reallocated earlier if waiting tasks exceed the share of their block', () => {
   const { shares } = createFixture(12);
   assert.deepEqual(shares(0, new Map(), 0), [6, 6]);
   assert.deepEqual(shares(quotaSharePeriodMs - 1, blocksWith(4, 4), 1), [4, 4]);
   assert.deepEqual(shares(quotaSharePeriodMs, blocksWith(4, 4), 1), [7, 5]);
-  // A share of one CPU does not admit the waiting task of two. The other block's is cut first, to make room.
+  // A share of one CPU does not admit the waiting task of two CPUs. The share of the other block is cut
+  // first, so that the share of this block can grow later.
   assert.deepEqual(shares(quotaSharePeriodMs + 1, blocksWith(1, 11), 1), [1, 5]);
 });
--- a/src/blocks/quota-share-allocator.ts
+++ b/src/blocks/quota-share-allocator.ts
@@ -1,4 +1,4 @@
-/** When the leader divides the limits of teams anew among the blocks, and by which demand. */
+/** Decides when the leader reallocates the teams' limits among the blocks, and computes the demand for it. */
 import type { Clock } from '../base/clock.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { needOf } from '../placement/ledger-index.js';
@@ -7,7 +7,7 @@
 import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
 import { allocateQuotaShares, isLimited, isStarved, type TeamDemand } from './quota-shares.js';
 
-/** What the division of the teams' limits works with. */
+/** The dependencies of the quota share allocator. */
 export interface QuotaShareAllocatorPorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -15,17 +15,19 @@
   settings: Pick<Settings, 'teams' | 'controllers'>;
   jobIndex: Pick<JobIndex, 'activeTasks' | 'inQueueOrder' | 'waitingByBlock'>;
   order: QueueOrder;
-  /** Shares are kept for this long, unless work waits for want of a share. */
+  /** How long quota shares are kept, unless waiting tasks exceed the quota share of their block. */
   quotaSharePeriodMs: number;
 }
 
-/** Keeps the shares for a period, or until the waiting work of some block exceeds its share. */
+/**
+ * Allocates quota shares, and keeps them for a period or until the waiting tasks of a block exceed its share.
+ */
 export class QuotaShareAllocator {
   private allocatedAt = -Infinity;
 
   constructor(private readonly ports: QuotaShareAllocatorPorts) {}
 
-  /** The shares to write now, by block; empty where no team has a limit. */
+  /** The quota shares to write now, by block. Empty if no team has a limit. */
   nextShares(blocks: ReadonlyMap<number, BlockRecord>): Map<number, QuotaShares> {
     const { settings, clock, quotaSharePeriodMs } = this.ports;
     const limitedTeams = [...settings.teams.values()].filter(isLimited);
@@ -45,7 +47,10 @@
     return allocateQuotaShares({ teams: limitedTeams, currentShares, demand });
   }
 
-  /** What each team's tasks use and wait for in each block, as the replica of the store has it. */
+  /**
+   * Computes from the replica of the store what each team's tasks use, and what its waiting tasks need, in
+   * each block.
+   */
   private teamDemand(): (block: number, team: string) => TeamDemand {
     const { jobIndex, order, wallClock } = this.ports;
     const demands = new Map<string, TeamDemand>();
--- a/src/blocks/quota-shares.test.ts
+++ b/src/blocks/quota-shares.test.ts
@@ -5,7 +5,7 @@
 import type { QuotaShares } from '../wire/block-records.js';
 import { allocateQuotaShares } from './quota-shares.js';
 
-test("shares never add up to more than the team's limit, whatever is in use beyond them", () => {
+test("the sum of the shares never exceeds the team's limit, even if a block uses more than its new share", () => {
   const { teams } = testSettings();
   const need = { cpus: 4, accelerators: 0, memoryGb: 1 };
   const currentShares = new Map<number, QuotaShares>([
@@ -24,10 +24,11 @@
   };
   const next = allocateQuotaShares(input);
   const share = (block: number): number => next.get(block)?.['red']?.[0] ?? 0;
-  // 32 in all: 24 are leased to the first block, so only 8 are free now, and its share is cut to what it
-  // uses.
+  // The limit is 32 CPUs. The first block has a share of 24, so the second block can get only 8 now. The
+  // share of the first block is cut to the 20 CPUs that its tasks use.
   assert.deepEqual([share(0), share(1)], [20, 8]);
-  // Once the cut is in force, the rest is there to give.
+  // After the smaller share of the first block has been committed, the second block can get the CPUs that
+  // this frees.
   currentShares.set(0, { red: [20, 0] });
   currentShares.set(1, { red: [8, 0] });
   const later = allocateQuotaShares(input);
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -1,31 +1,31 @@
-/** How the limits of teams are divided among the blocks. */
+/** Divides the limits of teams among the blocks. */
 import type { Resources } from '../model/types.js';
 import { withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { QuotaShares } from '../wire/block-records.js';
 
-/** Amounts of the resources that teams have limits of. */
+/** Amounts of the resources for which teams have limits. */
 export type QuotaAmount = [cpus: number, accelerators: number];
 
-/** The indexes of an amount: CPUs and accelerators are divided independently. */
+/** The indexes of a `QuotaAmount`. CPUs and accelerators are divided independently of each other. */
 const resourceIndexes = [0, 1] as const;
 type ResourceIndex = (typeof resourceIndexes)[number];
 
-/** What a block's tasks of one team take, and would take if the team's limit admitted them. */
+/** The resources that one team's tasks in one block use, and the resources that its waiting tasks need. */
 export interface TeamDemand {
   used: QuotaAmount;
-  /** Waiting tasks in the order in which they are to be admitted, one entry a job. */
+  /** Waiting tasks in the order in which they are to be admitted, with one entry per job. */
   waiting: { need: Resources; count: number }[];
 }
 
-/** What a division of the teams' limits is made from. */
+/** The input of a division of the teams' limits. */
 export interface QuotaShareInput {
   teams: Iterable<Team>;
-  /** The shares that each block has; there is an entry for every block that may get one. */
+  /** The current shares of each block. There is an entry for every block that may get a share. */
   currentShares: ReadonlyMap<number, QuotaShares>;
   /**
-   * By block and team; complete up to the present versions of the blocks, which is what makes growing a share
-   * safe.
+   * The demand of a team in a block. Must include everything up to the current versions of the blocks:
+   * otherwise it would not be safe to increase a share.
    */
   demand: (block: number, team: string) => TeamDemand;
 }
@@ -38,15 +38,18 @@
   next: QuotaAmount;
 }
 
-/** Differences of amounts below this come from rounding. */
+/** Smaller differences between amounts are treated as rounding errors. */
 const roundingTolerance = 1e-6;
 
-/** The team has a limit of its own, which is divided into shares. */
+/** Whether the team has a limit of its own, which is then divided into shares. */
 export function isLimited(team: Team): boolean {
   return team.cpusMax > 0 || team.acceleratorsMax > 0;
 }
 
-/** Work of the team waits in the block that would exceed the block's share. `shares`: those of the block. */
+/**
+ * Whether the next waiting task of the team in a block would exceed the block's share. `shares`: the current
+ * shares of the block.
+ */
 export function isStarved(demand: TeamDemand, shares: QuotaShares, team: Team): boolean {
   const next = demand.waiting[0];
   if (!next) return false;
@@ -58,10 +61,12 @@
 }
 
 /**
- * The next shares of each block, by team. A block may use its share and no more, but a share may be cut below
- * what its tasks take at the moment. So the sum over the blocks of the larger of share and use stays within
- * the limit: a share only grows by what is left of that, and others are cut first, in an earlier commit, to
- * make room.
+ * Computes the next shares of each block, by team.
+ *
+ * A block must not start tasks beyond its share, but its share may be cut below what its tasks use at the
+ * moment. A block may therefore use the larger of its share and its current use, and the sum of these amounts
+ * over all blocks must stay within the limit. A share grows only by the part of the limit that this sum
+ * leaves. If that is not enough, the shares of other blocks are cut first, in an earlier commit.
  */
 export function allocateQuotaShares(input: QuotaShareInput): Map<number, QuotaShares> {
   const shares = new Map<number, QuotaShares>([...input.currentShares.keys()].map((block) => [block, {}]));
@@ -97,7 +102,7 @@
     const current = share.current[resource];
     const wanted = share.wanted[resource];
     const growth = Math.min(Math.max(0, wanted - current), Math.max(0, available));
-    // Cut only where another block wants more: otherwise the share stays for what comes next.
+    // Cut a share only if another block wants more than it has. Otherwise the share is kept for future tasks.
     const isWantedElsewhere = shares.some(
       (other) => other !== share && other.wanted[resource] > other.current[resource] + roundingTolerance,
     );
@@ -108,7 +113,8 @@
 }
 
 /**
- * A block wants what it uses, then what its waiting tasks take one by one, then an even part of what is left.
+ * Computes the share that each block wants: the resources that its tasks use, plus the needs of its waiting
+ * tasks as far as the limit admits them, plus an equal part of the remainder of the limit.
  */
 function computeWantedShares(shares: BlockShare[], team: Team): void {
   const total: QuotaAmount = [0, 0];
@@ -127,7 +133,8 @@
 }
 
 /**
- * Adds so many tasks as the team's limit admits beside the total, to what the block wants and to the total.
+ * Adds up to `count` waiting tasks to the wanted share of a block and to the total of all blocks, one task at
+ * a time, until the total has reached the team's limit.
  */
 function addWaiting(
   wanted: QuotaAmount,
--- a/src/blocks/rebalancer.test.ts
+++ b/src/blocks/rebalancer.test.ts
@@ -23,7 +23,10 @@
 const interval = settings.heartbeatIntervalMs;
 const alive = { boot: 'b', zone: 'a' };
 
-/** Two blocks with room for four tasks each, and one job of as many tasks that all wait in the first. */
+/**
+ * Two blocks with four slots each, and one job with `tasks` tasks that all wait in the first block. `run`
+ * runs a round at the given time, and returns the job's task ranges if the round has written them.
+ */
 async function createFixture(
   tasks: number,
 ): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
@@ -70,16 +73,16 @@
   return { run };
 }
 
-test('tasks without a slot are recalled once they have waited for four heartbeat intervals beside free slots', async () => {
+test('tasks without a slot are recalled after waiting four heartbeat intervals while another block has free slots', async () => {
   const { run } = await createFixture(6);
   assert.equal(await run(0), undefined);
   assert.equal(await run(interval * 4 - 1), undefined);
-  // One round a heartbeat interval.
+  // At most one round runs in a heartbeat interval, so this call does nothing.
   assert.equal(await run(interval * 4), undefined);
   assert.deepEqual(await run(interval * 5 - 1), [{ block: 0, first: 0, count: 4 }]);
 });
 
-test('tasks that have a slot where they wait are not recalled, nor more than have one elsewhere', async () => {
+test('tasks with a slot in their block are not recalled, and no more tasks than other blocks have free slots for', async () => {
   const fitting = await createFixture(4);
   assert.equal(await fitting.run(0), undefined);
   assert.equal(await fitting.run(interval * 4), undefined);
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,4 +1,7 @@
-/** The leader's recall of tasks that wait in a full block while other blocks have room for them. */
+/**
+ * Recalls, on behalf of the leader, tasks that wait in a full block while other blocks have free slots for
+ * them.
+ */
 import type { Clock } from '../base/clock.js';
 import { isZoneConstrained } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
@@ -16,7 +19,7 @@
 import type { DispatchWriter } from './dispatch-writer.js';
 import { recallTasks } from './task-recall.js';
 
-/** What the recall of stuck tasks works with. */
+/** The dependencies of the rebalancer. */
 export interface RebalancerPorts extends CapacityPorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -31,26 +34,31 @@
 interface RecallRound {
   now: number;
   capacity: CapacityEstimate;
-  /** Since when tasks are stuck, by job and block: becomes the next round's memory. */
+  /** Times since when tasks have been stuck, by block and job. Kept for the next round. */
   stuckSince: Map<string, number>;
   recalls: Promise<void>[];
 }
 
 /**
- * Tasks that wait in a block without free slots for so many heartbeat intervals, while another block has
- * some, are recalled. Sooner than that most of them start where they are.
+ * Tasks are recalled after they have waited for this many heartbeat intervals in a block without free slots
+ * while another block has free slots. Most tasks that have waited for less time than this still start in
+ * their block.
  */
 const recallAfterHeartbeats = 4;
 /**
- * A recall leaves the record so much of its room for ranges at most, so that tasks dispatched anew find some.
+ * Limit for the task ranges of a job after a recall, as a ratio of the ranges that its record can hold. The
+ * rest is left for the ranges that are added when the recalled tasks are dispatched again.
  */
 const maxRangesAfterRecallRatio = 1 / 2;
-/** The estimate is of what fits now: work given ahead is what is to be recalled. */
+/**
+ * The estimate counts only slots that are free now: tasks that were dispatched to a block beyond its free
+ * slots are the tasks to recall.
+ */
 const noLookahead = 0;
 
 /**
- * Recalls stuck tasks; the dispatcher dispatches them anew once the replica has reached the record without
- * them.
+ * Recalls stuck tasks. The dispatcher dispatches them again after the replica has reached the job record
+ * without them.
  */
 export class Rebalancer {
   private rebalancedAt = -Infinity;
@@ -59,8 +67,9 @@
   constructor(private readonly ports: RebalancerPorts) {}
 
   /**
-   * Recalls tasks that have been stuck for long and whose team's limit admits them elsewhere, in the queue
-   * order. Does so once a heartbeat interval at most, and settles when the commits are decided.
+   * Recalls tasks that have been stuck for `recallAfterHeartbeats` and that their team's limit still admits,
+   * in queue order of their jobs. Does nothing if the last round was less than a heartbeat interval ago.
+   * Settles when the outcomes of the commits are known.
    */
   async run(): Promise<void> {
     const { jobIndex, clock, settings, order, wallClock } = this.ports;
@@ -71,7 +80,8 @@
     const round: RecallRound = { now, capacity, stuckSince: new Map(), recalls: [] };
     const usage = this.teamUsage();
     for (const job of jobIndex.inQueueOrder(order, wallClock())) {
-      if (usage.admits(settings.teams.get(job.spec.team), needOf(job.spec))) this.recallStuck(job, round);
+      if (usage.admits(settings.teams.get(job.spec.team), needOf(job.spec)))
+        this.recallStuckTasks(job, round);
     }
     this.stuckSince = round.stuckSince;
     await Promise.all(round.recalls);
@@ -84,10 +94,10 @@
   }
 
   /**
-   * Recalls stuck tasks of the job from one block: a further block has to wait until the job's record has
-   * changed.
+   * Recalls stuck tasks of the job from at most one block. Tasks in another block can be recalled only after
+   * the replica has reached the changed record of the job.
    */
-  private recallStuck(job: IndexedJob, round: RecallRound): void {
+  private recallStuckTasks(job: IndexedJob, round: RecallRound): void {
     const { jobIndex, settings, writer } = this.ports;
     const stuckLimitMs = settings.heartbeatIntervalMs * recallAfterHeartbeats;
     for (const { block, count } of jobIndex.waitingByBlock(job)) {
@@ -108,7 +118,10 @@
     }
   }
 
-  /** Of a zone-constrained job, which stays with one block, all tasks are recalled or none. */
+  /**
+   * The task ranges of the job after a recall; undefined if nothing can be recalled. A zone-constrained job
+   * stays in one block, so either all of its tasks are recalled or none.
+   */
   private rangesAfterRecall(job: IndexedJob, block: number, tasks: number): TaskRange[] | undefined {
     const { jobIndex, writer } = this.ports;
     const { spec, taskRanges, id } = job;
@@ -123,7 +136,10 @@
   }
 }
 
-/** The slots that the recalled tasks will take are not offered to the next job's tasks. */
+/**
+ * Reserves the slots that the recalled tasks will take in other blocks, so that other jobs' tasks are not
+ * recalled for them.
+ */
 function reserveElsewhere(
   job: IndexedJob,
   { block, movable, slots }: { block: number; movable: number; slots: BlockSlots[] },
@@ -134,10 +150,12 @@
   }
 }
 
-/** How many of a job's tasks that wait in the block have no slot there and one in others. */
+/**
+ * How many of a job's tasks that wait in the block have no slot there but have a free slot in another block.
+ */
 function countMovableTasks(slots: BlockSlots[], block: number, waiting: number): number {
   const own = slots.find((other) => other.block === block);
-  // A block whose owner is not alive has no slots at all.
+  // A block whose owner is not alive is missing in `slots`: none of its waiting tasks has a slot there.
   const withoutSlot = own ? clamp(-own.freeSlots, waiting) : waiting;
   const elsewhere = slots.reduce((sum, other) => sum + (other === own ? 0 : Math.max(0, other.freeSlots)), 0);
   return Math.min(withoutSlot, elsewhere);
--- a/src/blocks/task-ranges.test.ts
+++ b/src/blocks/task-ranges.test.ts
@@ -3,7 +3,7 @@
 
 import { mergeTaskRanges, undispatchedRanges } from './task-ranges.js';
 
-test('every task is dispatched once: gaps are found and neighbouring ranges joined', () => {
+test('undispatched tasks are found between and after the ranges, and adjacent ranges of a block are merged', () => {
   const taskRanges = [
     { block: 0, first: 4, count: 2 },
     { block: 1, first: 0, count: 3 },
--- a/src/blocks/task-ranges.ts
+++ b/src/blocks/task-ranges.ts
@@ -1,13 +1,13 @@
-/** Arithmetic on the ranges of tasks that a job's record dispatches to blocks. */
+/** Operations on the task ranges with which a job's record dispatches tasks to blocks. */
 import type { JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
 
-/** Consecutive tasks of a job that no block has yet. */
+/** Consecutive tasks of a job that are not dispatched to a block yet. */
 export type UndispatchedRange = Omit<TaskRange, 'block'>;
 
 /**
- * The tasks of a job that none of its ranges covers, in the order of their indexes. `tasks`: how many the job
- * has.
+ * The tasks of a job that none of its ranges covers, in the order of their indexes. `tasks`: the number of
+ * tasks of the job.
  */
 export function undispatchedRanges(taskRanges: TaskRange[], tasks: number): UndispatchedRange[] {
   const gaps: UndispatchedRange[] = [];
@@ -20,14 +20,14 @@
   return gaps;
 }
 
-/** How many of the job's tasks no range covers. */
+/** The number of tasks of a job that none of its ranges covers. */
 export function countUndispatchedTasks(taskRanges: TaskRange[], tasks: number): number {
   return undispatchedRanges(taskRanges, tasks).reduce((sum, gap) => sum + gap.count, 0);
 }
 
 /**
- * Joins neighbouring ranges of the same block. The block of the first range stays first, since that block
- * commits the job's outcome.
+ * Merges adjacent ranges of the same block. The block of the first range stays first, because that block
+ * commits the outcome of the job.
  */
 export function mergeTaskRanges(taskRanges: TaskRange[]): TaskRange[] {
   const merged: TaskRange[] = [];
@@ -44,7 +44,7 @@
   return merged;
 }
 
-/** One range with all tasks of a job. */
+/** A range with all tasks of the job in one block. */
 export function wholeJob(spec: Pick<JobSpec, 'tasks'>, block: number): TaskRange {
   return { block, first: 0, count: spec.tasks };
 }
--- a/src/blocks/task-recall.test.ts
+++ b/src/blocks/task-recall.test.ts
@@ -26,8 +26,8 @@
   done,
 });
 
-// Guards against work that waits in a full block for ever while another block has room for it.
-test('waiting tasks are recalled from the ends of their block, never one that is on a machine or done', () => {
+// Guards against tasks that wait forever in a full block while another block has free slots for them.
+test('waiting tasks are recalled from the ends of the ranges of a block, but no task that is active or done', () => {
   const taskRanges = [
     { block: 0, first: 0, count: 6 },
     { block: 1, first: 6, count: 4 },
@@ -44,7 +44,7 @@
     { block: 1, first: 6, count: 4 },
     { block: 0, first: 10, count: 2 },
   ]);
-  // Also one that waits between others that are done.
+  // A waiting task between tasks that are done is recalled as well.
   assert.deepEqual(
     recallTasks([{ block: 0, first: 0, count: 3 }], [entry(0, [], [0, 0, 2, 2])], { block: 0, maxTasks: 5 }),
     [
@@ -59,9 +59,9 @@
   );
 });
 
-// Guards against two blocks that start one task: its intent was committed just before it was recalled,
-// unseen.
-test("a task that is on a block's ledger goes back to that block before anything of its job is dispatched", () => {
+// Guards against a task that is started by two blocks: the intent of the first block was committed just
+// before the recall, and the leader's replica had not reached that commit yet.
+test('a recalled task that is in the ledger of a block is returned to that block before others are dispatched', () => {
   const taskRanges = [{ block: 1, first: 0, count: 2 }];
   const job = (
     change: Partial<JobSpec> = {},
@@ -76,7 +76,7 @@
   ]);
   assert.equal(restoreStartedTasks(job(), [entry(1, [0])]), undefined);
   assert.equal(restoreStartedTasks(job({}, [{ block: 1, first: 0, count: 6 }]), [entry(0, [3])]), undefined);
-  // Tasks that depend on each other's zones go back to it all together.
+  // All tasks of a zone-constrained job are returned to the block together.
   assert.deepEqual(restoreStartedTasks(job({ spread: true }, []), [entry(0, [3])]), [
     { block: 0, first: 0, count: 6 },
   ]);
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -1,6 +1,6 @@
 /**
- * Recall of tasks that are dispatched to a block but not started, and return of tasks that had been started
- * after all.
+ * Recalls tasks that a block has not started, and returns recalled tasks to a block that had already started
+ * them.
  */
 import { fromRanges } from '../base/ranges.js';
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
@@ -8,22 +8,23 @@
 import type { TaskRange } from '../wire/job-records.js';
 import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
-/** What the ledger of a block says of a job's tasks. */
+/** The active and done tasks of a job, from an entry in the ledger of a block. */
 export type LedgerTasks = Pick<IndexedEntry, 'block' | 'active' | 'done'>;
 
 /** A recall of waiting tasks from one block. */
 export interface Recall {
   block: number;
-  /** How many tasks to recall at most. */
+  /** Maximum number of tasks to recall. */
   maxTasks: number;
-  /** How many ranges of the job may be left; without a bound if missing. */
+  /** Maximum number of task ranges that the job may have after the recall; unlimited if omitted. */
   maxRanges?: number;
 }
 
 /**
- * The job's ranges without the recalled tasks, which are the last that wait in the block, so that the ranges
- * stay few. `entries`: the job's entries in the ledgers of all blocks; what these name as active or done is
- * not recalled. Undefined: no task of the block waits, or too many ranges would be left.
+ * Returns the job's ranges without the recalled tasks. The last waiting tasks of the block are recalled, so
+ * that the number of ranges stays small. Undefined if no task of the block waits, or if too many ranges would
+ * remain. `entries`: the job's entries in the ledgers of all blocks. Tasks that are active or done in the
+ * block's entries are not recalled.
  */
 export function recallTasks(
   taskRanges: TaskRange[],
@@ -46,10 +47,14 @@
 }
 
 /**
- * The job's ranges with those tasks that no range covers though the ledger of a block names them: their
- * intents were committed before the job's record was, unseen by the leader that recalled them, and they must
- * go to no other block. An intent that is later than the record conflicts on its version, so the ledger as of
- * the record's revision names all of them. Undefined: there are none.
+ * Returns the job's ranges, extended by the tasks that no range covers although the ledger of a block lists
+ * them as active or done. Undefined if there are no such tasks.
+ *
+ * The intents of these tasks were committed before the job's record was written by the recall, but the
+ * replica of the leader that recalled the tasks had not reached the intents yet. The tasks must not be
+ * dispatched to another block. Intents are conditioned on the version of the job's record, so an intent that
+ * is committed after the record conflicts. The ledgers as of the revision of the record therefore list all
+ * such tasks.
  */
 export function restoreStartedTasks(
   { taskRanges, spec }: { taskRanges: TaskRange[]; spec: Pick<JobSpec, 'tasks' | 'colocated' | 'spread'> },
@@ -70,7 +75,7 @@
   return mergeTaskRanges([...taskRanges, ...restored]);
 }
 
-/** Indexes of the tasks that the block has on a machine, or has done. */
+/** Indexes of the job's tasks that are active on a machine of the block or done in the block. */
 function startedTasks(block: number, entries: Iterable<LedgerTasks>): Set<number> {
   const started = new Set<number>();
   for (const entry of entries) {
