--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -41,7 +41,7 @@
   constructor(private readonly ports: OwnedBlocksPorts) {
     this.renewals = new LeaseRenewals({ ...ports, writer: new BlockWriter(ports) });
     // A controller that stops receives no more heartbeats. Its health monitors must not release the machines
-    // for that reason, so they are stopped first.
+    // for that reason, so they are stopped when the signal fires.
     ports.signal.addEventListener('abort', () => this.stopAll(), { once: true });
   }
 
