--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -11,8 +11,8 @@
 const { label } = testSettings();
 const record = ownedBlock(label, leasedMachine('m1'));
 
-/** Renewals whose writes are answered by the test. */
-function stage(): {
+/** A `LeaseRenewals` whose block writes the test answers by calling `answer`. */
+function createFixture(): {
   renewals: LeaseRenewals;
   written: BlockRecord[];
   answer: (result: BlockWriteResult | Error) => void;
@@ -29,8 +29,8 @@
   return { renewals: new LeaseRenewals(ports), written, answer: (result) => answer(result) };
 }
 
-test('a renewal leases the block to this incarnation with new fencing tokens, and leaves the record in use alone', async () => {
-  const { renewals, written, answer } = stage();
+test('a renewal leases the block to this incarnation with new fencing tokens, and does not modify the given record', async () => {
+  const { renewals, written, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   assert.equal(renewals.isRenewing, true);
   assert.equal(written[0]?.incarnation, 'second');
@@ -45,8 +45,8 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, undefined]);
 });
 
-test('a renewal for a new layout is told apart, and one that was not applied is none', async () => {
-  const { renewals, answer } = stage();
+test('renewals for a new layout are recorded separately, and a renewal that was not applied is not recorded', async () => {
+  const { renewals, answer } = createFixture();
   const first = renewals.renew(0, record, 'new-layout');
   answer({ outcome: { kind: 'unknown' }, version: 7 });
   await first;
@@ -57,8 +57,8 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, 9]);
 });
 
-test('a renewal that fails is under way no longer', async () => {
-  const { renewals, answer } = stage();
+test('a renewal that throws is no longer in flight', async () => {
+  const { renewals, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   answer(new Error('the queue of commits has ended'));
   await assert.rejects(renewal, /queue of commits has ended/);
--- a/src/blocks/rebalancer.test.ts
+++ b/src/blocks/rebalancer.test.ts
@@ -23,8 +23,13 @@
 const interval = settings.heartbeatIntervalMs;
 const alive = { boot: 'b', zone: 'a' };
 
-/** Two blocks with room for four tasks each, and one job of as many tasks that all wait in the first. */
-async function stage(tasks: number): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
+/**
+ * Two blocks with four slots each, and one job with `tasks` tasks that all wait in the first block. `run`
+ * runs a round at the given time, and returns the job's task ranges if the round has written them.
+ */
+async function createFixture(
+  tasks: number,
+): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
   const store = new HeldStore();
   const spec = jobSpec('req-1', tasks);
   const taskRanges = [{ block: 0, first: 0, count: tasks }];
@@ -68,20 +73,20 @@
   return { run };
 }
 
-test('tasks without a slot are recalled once they have waited for four heartbeat intervals beside free slots', async () => {
-  const { run } = await stage(6);
+test('tasks without a slot are recalled after waiting four heartbeat intervals while another block has free slots', async () => {
+  const { run } = await createFixture(6);
   assert.equal(await run(0), undefined);
   assert.equal(await run(interval * 4 - 1), undefined);
-  // One round a heartbeat interval.
+  // At most one round runs in a heartbeat interval, so this call does nothing.
   assert.equal(await run(interval * 4), undefined);
   assert.deepEqual(await run(interval * 5 - 1), [{ block: 0, first: 0, count: 4 }]);
 });
 
-test('tasks that have a slot where they wait are not recalled, nor more than have one elsewhere', async () => {
-  const fitting = await stage(4);
+test('tasks with a slot in their block are not recalled, and no more tasks than other blocks have free slots for', async () => {
+  const fitting = await createFixture(4);
   assert.equal(await fitting.run(0), undefined);
   assert.equal(await fitting.run(interval * 4), undefined);
-  const many = await stage(12);
-  assert.equal(await many.run(0), undefined);
-  assert.deepEqual(await many.run(interval * 4), [{ block: 0, first: 0, count: 8 }]);
+  const overfull = await createFixture(12);
+  assert.equal(await overfull.run(0), undefined);
+  assert.deepEqual(await overfull.run(interval * 4), [{ block: 0, first: 0, count: 8 }]);
 });
