--- a/src/ladder/autoscaler.test.ts
+++ b/src/ladder/autoscaler.test.ts
@@ -14,14 +14,14 @@
 import { jobKey } from '../wire/keys.js';
 import { Autoscaler, type AutoscalerPorts } from './autoscaler.js';
 
-/** Longer than the interval between two evaluations of the test's settings, 1.25 s. */
+/** In ms. Longer than the evaluation interval that follows from the test's settings, which is 1.25 s. */
 const evaluationMs = 1300;
 
 /**
- * An autoscaler whose term began at time 0, with a job of four tasks of two slots that waits in block 1. Timers are
- * mocked, the time is set by hand, and the list lags by 4 s.
+ * Runs an autoscaler in a term that began at time 0. In block 1, a job waits with four tasks of two slots
+ * each. Timers are mocked, the test sets the clock, and the machine list lags by 4 s.
  */
-class RunningAutoscaler {
+class AutoscalerHarness {
   readonly rented: string[] = [];
   readonly released: string[] = [];
   readonly leased = new Map<string, LeasedMachine>();
@@ -30,21 +30,23 @@
   isStoreReachable = true;
   now = 1;
   private readonly term = new Term(1, 0);
-  private readonly ended: Promise<void>;
+  private readonly runPromise: Promise<void>;
 
   constructor(
     private readonly context: TestContext,
-    change: Pick<AutoscalerPorts, 'isFirstTerm'>,
+    overrides: Pick<AutoscalerPorts, 'isFirstTerm'>,
   ) {
     context.mock.timers.enable({ apis: ['setTimeout'] });
     const taskRanges = [{ block: 1, first: 0, count: 4 }];
     const value = jobRecord({ spec: jobSpec('req-1'), taskRanges });
     this.jobIndex.applyChanges([{ key: jobKey('req-1'), value, version: 1, deleted: false }]);
-    this.autoscaler = new Autoscaler({ ...this.ports(), ...change });
-    this.ended = this.autoscaler.run();
+    this.autoscaler = new Autoscaler({ ...this.ports(), ...overrides });
+    this.runPromise = this.autoscaler.run();
   }
 
-  /** Lets everything that is due happen, and whatever follows from it. */
+  /**
+   * Sets the clock, then fires the timers and runs the event loop often enough for an evaluation to complete.
+   */
   async evaluateAt(now: number): Promise<void> {
     this.now = now;
     for (let step = 0; step < 4; step++) {
@@ -55,7 +57,7 @@
 
   async end(): Promise<void> {
     this.term.end({ kind: 'shutdown' });
-    await this.ended;
+    await this.runPromise;
   }
 
   private ports(): Omit<AutoscalerPorts, 'isFirstTerm'> {
@@ -90,48 +92,49 @@
   }
 }
 
-test('waiting work is scaled out for, and the waiting slots of its block are known', async (t) => {
-  const running = new RunningAutoscaler(t, { isFirstTerm: true });
-  await running.evaluateAt(1);
-  assert.deepEqual(running.rented, ['m0']);
-  assert.deepEqual([...running.autoscaler.inventory.unassigned.keys()], ['m0']);
-  const waiting = [0, 1].map((block) => running.autoscaler.waitingSlots(block, leasedMachine('m0')));
+test('a pool is scaled out for waiting tasks, and their slots are counted for the block that they wait in', async (t) => {
+  const harness = new AutoscalerHarness(t, { isFirstTerm: true });
+  await harness.evaluateAt(1);
+  assert.deepEqual(harness.rented, ['m0']);
+  assert.deepEqual([...harness.autoscaler.inventory.unassigned.keys()], ['m0']);
+  const waiting = [0, 1].map((block) => harness.autoscaler.waitingSlots(block, leasedMachine('m0')));
   assert.deepEqual(waiting, [0, 8]);
-  await running.end();
+  await harness.end();
 });
 
-// Guards against machines that are rented twice: what the last leader rented may not be listed yet.
-test('a leader that is not the first rents nothing until the lag of the list has passed', async (t) => {
-  const running = new RunningAutoscaler(t, { isFirstTerm: false });
-  await running.evaluateAt(4000);
-  assert.deepEqual(running.rented, []);
-  await running.evaluateAt(4001);
-  assert.deepEqual(running.rented, ['m0']);
-  await running.end();
+// Guards against renting machines twice: machines that the previous leader rented may not be on the list yet,
+// so the new leader would rent them again.
+test('a leader that is not the first one rents nothing until the machine list lag has passed', async (t) => {
+  const harness = new AutoscalerHarness(t, { isFirstTerm: false });
+  await harness.evaluateAt(4000);
+  assert.deepEqual(harness.rented, []);
+  await harness.evaluateAt(4001);
+  assert.deepEqual(harness.rented, ['m0']);
+  await harness.end();
 });
 
-// Guards against rentals by a leader whose term may be over.
+// Guards against rentals by a leader that cannot reach the store and whose term may therefore be over.
 test('nothing is rented while the store does not answer', async (t) => {
-  const running = new RunningAutoscaler(t, { isFirstTerm: true });
-  running.isStoreReachable = false;
-  await running.evaluateAt(1);
-  assert.deepEqual(running.rented, []);
-  running.isStoreReachable = true;
-  await running.evaluateAt(2);
-  assert.deepEqual(running.rented, ['m0']);
-  await running.end();
+  const harness = new AutoscalerHarness(t, { isFirstTerm: true });
+  harness.isStoreReachable = false;
+  await harness.evaluateAt(1);
+  assert.deepEqual(harness.rented, []);
+  harness.isStoreReachable = true;
+  await harness.evaluateAt(2);
+  assert.deepEqual(harness.rented, ['m0']);
+  await harness.end();
 });
 
-test('a machine that nothing needs for a boot time is drained, and released once its record says so', async (t) => {
-  const running = new RunningAutoscaler(t, { isFirstTerm: true });
-  running.leased.set('m9', leasedMachine('m9'));
-  running.jobIndex.applyChanges([{ key: jobKey('req-1'), value: undefined, version: 2, deleted: true }]);
-  await running.evaluateAt(1);
-  await running.evaluateAt(60_000);
-  assert.deepEqual([...running.autoscaler.inventory.toDrain], ['m9']);
-  assert.deepEqual(running.released, []);
-  running.leased.set('m9', leasedMachine('m9', { draining: true }));
-  await running.evaluateAt(60_001);
-  assert.deepEqual(running.released, ['m9']);
-  await running.end();
+test('a machine that is surplus for a boot time is drained, and released once its record is marked draining', async (t) => {
+  const harness = new AutoscalerHarness(t, { isFirstTerm: true });
+  harness.leased.set('m9', leasedMachine('m9'));
+  harness.jobIndex.applyChanges([{ key: jobKey('req-1'), value: undefined, version: 2, deleted: true }]);
+  await harness.evaluateAt(1);
+  await harness.evaluateAt(60_000);
+  assert.deepEqual([...harness.autoscaler.inventory.toDrain], ['m9']);
+  assert.deepEqual(harness.released, []);
+  harness.leased.set('m9', leasedMachine('m9', { draining: true }));
+  await harness.evaluateAt(60_001);
+  assert.deepEqual(harness.released, ['m9']);
+  await harness.end();
 });
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -1,4 +1,6 @@
-/** The leader's autoscaling: composes inventory, demand, ladders, scale-out and scale-in into one loop. */
+/**
+ * The leader's autoscaler: combines machine inventory, demand, ladders, scale-out and scale-in into one loop.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
@@ -25,7 +27,7 @@
 import { ScaleOut } from './scale-out.js';
 import { ScaleInWindow, ScaleOutWindow } from './scaling-windows.js';
 
-/** What the autoscaler and its parts use of the controller. */
+/** The parts of the controller that the autoscaler and its components use. */
 export interface AutoscalerPorts {
   clock: Clock;
   wallClock: () => number;
@@ -38,26 +40,29 @@
   mirror: Pick<Mirror, 'get'>;
   commits: Pick<CommitQueue, 'commit'>;
   term: Pick<Term, 'signal' | 'fencingToken' | 'startedAt'>;
-  /** There has been no leader before, so that no rental of one is still to be listed. */
+  /**
+   * No leader has been elected before, so there are no earlier rentals that are missing from the machine
+   * list.
+   */
   isFirstTerm: boolean;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** The store has answered lately: without it the term may be over. */
+  /** Whether the store has answered recently. If it has not, the term may already be over. */
   isStoreReachable: () => boolean;
-  /** All machines of all blocks, as the store has them. */
+  /** The machines of all blocks as recorded in the store, by id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** Evaluations per heartbeat interval: what the ladder counts changes with heartbeats. */
+/** Evaluations per heartbeat interval. The slots that the ladder counts change when heartbeats arrive. */
 const evaluationsPerHeartbeat = 2;
 const minEvaluationIntervalMs = 1000;
-/** Time between two lists of machines at least, in evaluations. */
+/** Minimum time between two requests for the machine list, in evaluation intervals. */
 const evaluationsPerList = 2;
-/** Releases are looked for this often in an evaluation interval. */
-const releasesPerEvaluation = 2;
+/** How many times per evaluation interval drained machines are checked for release. */
+const releaseChecksPerEvaluation = 2;
 
-/** Scales each pool out and in by its ladder, for as long as the term lasts. */
+/** Scales each pool out and in by the thresholds of its ladder until the term ends. */
 export class Autoscaler {
-  /** The machines that the leader knows of. */
+  /** The machines that this leader has rented, found in the machine list or read from the store. */
   readonly inventory: MachineInventory;
   private pools = new Map<string, Pool>();
   private readonly ladders: PoolLadders;
@@ -86,7 +91,7 @@
   async run(): Promise<void> {
     const { term, log } = this.ports;
     const listIntervalMs = this.evaluationIntervalMs * evaluationsPerList;
-    const releaseIntervalMs = this.evaluationIntervalMs / releasesPerEvaluation;
+    const releaseIntervalMs = this.evaluationIntervalMs / releaseChecksPerEvaluation;
     const poller = new MachineListPoller(this.ports, this.inventory, listIntervalMs);
     const releaser = new MachineReleaser(this.ports, this.inventory, releaseIntervalMs);
     await Promise.all([
@@ -96,7 +101,9 @@
     ]);
   }
 
-  /** Slots of tasks that wait in a block and may run on machines like this one, as of the last evaluation. */
+  /**
+   * Slots of the tasks that wait in the block and count for the machine's pool, as of the last evaluation.
+   */
   waitingSlots(block: number, machine: LeasedMachine): number {
     const pool = this.pools.get(poolKey(machine.type, machine.spot));
     return pool?.waitingSlotsByBlock.get(block) ?? 0;
@@ -110,19 +117,25 @@
     }
   }
 
-  /** What the last leader rented takes a while to be listed; renting sooner would rent it twice. */
+  /**
+   * Whether the machine list includes everything that the previous leader rented. Rented machines appear on
+   * the list only after the list lag; a leader that rents earlier would rent them twice.
+   */
   private isListComplete(): boolean {
     const { term, clock, settings, isFirstTerm } = this.ports;
     const listLagMs = isFirstTerm ? 0 : settings.cloud.listLagMs;
     return clock() - term.startedAt > listLagMs && this.inventory.lastListAt > term.startedAt;
   }
 
-  /** Yields to the event loop between its longer steps, so that requests are served meanwhile. */
+  /**
+   * Evaluates all pools once. Yields to the event loop between the longer steps, so that requests are served
+   * meanwhile.
+   */
   private async evaluate(): Promise<void> {
     const { clock, jobIndex } = this.ports;
     const now = clock();
     const machines = this.inventory.currentMachines();
-    this.inventory.dropAssigned();
+    this.inventory.removeAssigned();
     const pools = this.buildPools(machines, now);
     await nextTurn();
     this.countDemand(pools, machines);
@@ -159,9 +172,9 @@
 
   private async scale(pool: Pool, now: number): Promise<void> {
     const ladder = this.ladders.ladderOf(pool);
-    const lacking = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
+    const shortage = this.scaleOutWindow.machinesToAdd(pool, ladder, now);
     const surplus = this.scaleInWindow.machinesToRemove(pool, ladder, now);
-    if (lacking > 0) await this.scaleOut.addMachines(pool, lacking);
+    if (shortage > 0) await this.scaleOut.addMachines(pool, shortage);
     else if (surplus > 0) this.scaleIn(pool, surplus);
   }
 
--- a/src/ladder/capacity-refusals.ts
+++ b/src/ladder/capacity-refusals.ts
@@ -1,39 +1,45 @@
-/** Back-off from zones in which the cloud has refused capacity. */
+/** Back-off after the cloud has refused capacity in a zone. */
 
 const maxBackoffSteps = 4;
 
 interface Refusal {
-  /** Monotonic time in ms until which nothing is asked for. */
-  until: number;
-  /** Refusals in a row, at most `maxBackoffSteps`. */
-  steps: number;
+  /** Monotonic time in ms. No request is sent before it. */
+  retryAt: number;
+  /** Number of consecutive refusals, capped at `maxBackoffSteps`. */
+  consecutiveRefusals: number;
 }
 
 /**
- * Remembers where the cloud has refused a machine, by type, zone and kind (spot or ordinary). With each refusal in a row
- * the pause before the next request grows by `backoffMs`, up to `maxBackoffSteps` times that. Times are monotonic, in ms.
+ * Records refused rentals by machine type, zone and kind (spot or ordinary). Each consecutive refusal
+ * lengthens the back-off before the next request by `backoffMs`, up to `maxBackoffSteps` times `backoffMs`.
+ * Times are monotonic, in ms.
  */
 export class CapacityRefusals {
   private readonly refusals = new Map<string, Refusal>();
 
   constructor(private readonly backoffMs: number) {}
 
-  /** The cloud has refused: nothing is to be asked for there until the pause is over. */
+  /** Records a refusal by the cloud and starts the back-off for this type, zone and kind. */
   recordRefusal(type: string, zone: string, spot: boolean, now: number): void {
     const key = refusalKey(type, zone, spot);
-    const steps = Math.min((this.refusals.get(key)?.steps ?? 0) + 1, maxBackoffSteps);
-    this.refusals.set(key, { until: now + this.backoffMs * steps, steps });
+    const consecutiveRefusals = Math.min(
+      (this.refusals.get(key)?.consecutiveRefusals ?? 0) + 1,
+      maxBackoffSteps,
+    );
+    this.refusals.set(key, { retryAt: now + this.backoffMs * consecutiveRefusals, consecutiveRefusals });
   }
 
-  /** The cloud has granted machines: earlier refusals are forgotten. */
+  /**
+   * Removes the recorded refusals of this type, zone and kind. Called when the cloud has granted machines.
+   */
   clear(type: string, zone: string, spot: boolean): void {
     this.refusals.delete(refusalKey(type, zone, spot));
   }
 
-  /** True while the pause after a refusal lasts. */
+  /** Whether the back-off after a refusal is still running. */
   isRefused(type: string, zone: string, spot: boolean, now: number): boolean {
     const refusal = this.refusals.get(refusalKey(type, zone, spot));
-    return refusal !== undefined && refusal.until > now;
+    return refusal !== undefined && refusal.retryAt > now;
   }
 }
 
--- a/src/ladder/demand.test.ts
+++ b/src/ladder/demand.test.ts
@@ -15,16 +15,16 @@
 
 const slotShare = 0.125;
 
-interface Scene {
+interface DemandCase {
   jobs: { spec: JobSpec; taskRanges?: TaskRange[] }[];
   entries?: LedgerEntry[];
   machines?: LeasedMachine[];
-  /** Keys of pools of which the cloud gives no more. */
+  /** Keys of the pools for which the cloud refuses more machines. */
   exhausted?: string[];
 }
 
-/** The pools of one type of machine, with eight slots each, after the count. */
-function countedPools({ jobs, entries = [], machines = [], exhausted = [] }: Scene): Map<string, Pool> {
+/** Counts the demand and returns the pools of one machine type; a machine has eight slots. */
+function countedPools({ jobs, entries = [], machines = [], exhausted = [] }: DemandCase): Map<string, Pool> {
   const jobIndex = new JobIndex(() => 0);
   const isRefused = (spot: boolean): boolean => exhausted.includes(spot ? 'c8/spot' : 'c8/ordinary');
   const pools = buildPools(
@@ -51,11 +51,11 @@
   return pools;
 }
 
-function slots(pool: Pool | undefined): unknown {
+function slotCounts(pool: Pool | undefined): unknown {
   return [pool?.countedSlots, [...(pool?.waitingSlotsByBlock ?? [])], pool?.undispatchedSlots];
 }
 
-test('tasks count on machines, waiting in their block, and before they are dispatched', () => {
+test('tasks count while they run on machines, wait in a block, or are not dispatched to a block yet', () => {
   const pools = countedPools({
     jobs: [{ spec: jobSpec('req-1', { tasks: 5 }), taskRanges: [{ block: 0, first: 0, count: 3 }] }],
     entries: [
@@ -73,33 +73,33 @@
     ],
     machines: [leasedMachine('m1')],
   });
-  // Two slots a task: one task runs, two wait in block 0, two are not dispatched.
-  assert.deepEqual(slots(pools.get('c8/ordinary')), [10, [[0, 4]], 4]);
-  assert.deepEqual(slots(pools.get('c8/spot')), [0, [], 0]);
+  // Each task takes two slots: one task runs, two tasks wait in block 0, and two tasks are not dispatched.
+  assert.deepEqual(slotCounts(pools.get('c8/ordinary')), [10, [[0, 4]], 4]);
+  assert.deepEqual(slotCounts(pools.get('c8/spot')), [0, [], 0]);
 });
 
-test("waiting tasks beyond their team's limit do not count", () => {
-  // The team `red` may use 32 cores, which is room for sixteen tasks.
+test("waiting tasks that exceed their team's limit do not count", () => {
+  // The limit of team `red` is 32 cores, enough for sixteen tasks.
   const pools = countedPools({
     jobs: [{ spec: jobSpec('req-1', { tasks: 10 }) }, { spec: jobSpec('req-2', { tasks: 10 }) }],
   });
-  assert.deepEqual(slots(pools.get('c8/ordinary')), [32, [], 32]);
+  assert.deepEqual(slotCounts(pools.get('c8/ordinary')), [32, [], 32]);
 });
 
-test('what the cheapest pool cannot take counts for the next, and what none can for the last', () => {
+test('tasks that an exhausted pool has no room for count for the next pool, or for the last one if no pool has room', () => {
   const spec = jobSpec('req-1', { tasks: 10, spot: true });
   const machines = [leasedMachine('m1', { spot: true })];
-  const open = countedPools({ jobs: [{ spec }], machines });
-  assert.deepEqual(slots(open.get('c8/spot')), [20, [], 20]);
-  const spotOnly = countedPools({ jobs: [{ spec }], machines, exhausted: ['c8/spot'] });
-  // Work that may use spot machines waits for them as long as there are any.
-  assert.deepEqual(slots(spotOnly.get('c8/spot')), [20, [], 20]);
-  const none = countedPools({ jobs: [{ spec }], exhausted: ['c8/spot', 'c8/ordinary'] });
-  assert.deepEqual(slots(none.get('c8/spot')), [0, [], 0]);
-  assert.deepEqual(slots(none.get('c8/ordinary')), [20, [], 20]);
+  const withSpotCapacity = countedPools({ jobs: [{ spec }], machines });
+  assert.deepEqual(slotCounts(withSpotCapacity.get('c8/spot')), [20, [], 20]);
+  const spotExhausted = countedPools({ jobs: [{ spec }], machines, exhausted: ['c8/spot'] });
+  // Tasks that may use spot machines count only for spot pools while one of these pools has machines.
+  assert.deepEqual(slotCounts(spotExhausted.get('c8/spot')), [20, [], 20]);
+  const bothExhausted = countedPools({ jobs: [{ spec }], exhausted: ['c8/spot', 'c8/ordinary'] });
+  assert.deepEqual(slotCounts(bothExhausted.get('c8/spot')), [0, [], 0]);
+  assert.deepEqual(slotCounts(bothExhausted.get('c8/ordinary')), [20, [], 20]);
 });
 
-test('a job may run on the pools of its types, zones and kind that its tasks fit, cheapest first', () => {
+test('pools are eligible if their type, zones and kind suit the job and its tasks fit, the cheapest first', () => {
   const types = [
     machineType(),
     machineType({ name: 'c16', cpus: 16, price: 7, zones: ['b'] }),
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,4 +1,4 @@
-/** Counting of demand: which work counts for which pool, in slots. */
+/** Demand counting: how many slots of running and waiting tasks count for each pool. */
 import { type JobSpec, type Resources, taskKind, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import { needOf } from '../placement/ledger-index.js';
@@ -9,23 +9,24 @@
 import { eligiblePools, type Pool, poolKey } from './pools.js';
 import { slotsOf, slotsPerMachine } from './slots.js';
 
-/** What the count is made from. */
+/** The inputs of one demand count. */
 export interface DemandInputs {
   jobIndex: JobIndex;
   order: QueueOrder;
   /** Time of day in ms. */
   now: number;
   machines: ReadonlyMap<string, LeasedMachine>;
-  /** Fresh pools, of which nothing is counted yet. */
+  /** New pools whose slot counts are all zero. */
   pools: ReadonlyMap<string, Pool>;
   teams: ReadonlyMap<string, Team>;
-  /** The share of a machine that one slot stands for. */
+  /** The share of a machine that one slot represents. */
   slotShare: number;
 }
 
 /**
- * Fills in the counted slots of each pool: tasks on its machines, and waiting tasks that their team's limit admits.
- * Waiting tasks fill the eligible pools in the order of price and go on to the next where the cloud gives no more.
+ * Fills in the counted slots of each pool: the tasks on its machines, and the waiting tasks that their team's
+ * limit admits. Waiting tasks count for the cheapest eligible pool. If the cloud refuses more machines for
+ * that pool, the tasks that exceed its free slots count for the next cheapest pool.
  */
 export function countDemand(inputs: DemandInputs): void {
   const usage = new TeamUsage();
@@ -44,7 +45,7 @@
 
 function countWaitingTasks(inputs: DemandInputs, usage: TeamUsage): void {
   const { jobIndex, pools, slotShare } = inputs;
-  // There are far fewer kinds of tasks than jobs.
+  // Eligible pools are cached by task kind, because there are far fewer task kinds than jobs.
   const poolsByKind = new Map<string, Pool[]>();
   const poolsFor = (spec: JobSpec): Pool[] => {
     const kind = taskKind(spec);
@@ -54,18 +55,21 @@
   };
   for (const job of jobsToCount(inputs)) {
     const need = needOf(job.spec);
-    let left = admittedTasks(job, inputs, usage);
-    usage.add(job.spec.team, need, left);
+    let remaining = admittedTasks(job, inputs, usage);
+    usage.add(job.spec.team, need, remaining);
     const eligible = poolsFor(job.spec);
     for (const { block, count } of jobIndex.waitingByBlock(job)) {
-      const tasks = Math.min(left, count);
-      countWaiting({ need, tasks, block }, eligible, slotShare);
-      left -= tasks;
+      const tasks = Math.min(remaining, count);
+      distributeOverPools({ need, tasks, block }, eligible, slotShare);
+      remaining -= tasks;
     }
   }
 }
 
-/** Sorted only where it matters: the order decides whose tasks are admitted below a limit. */
+/**
+ * The jobs to count. They are sorted only if a team has a limit: the order then decides which tasks are
+ * admitted.
+ */
 function jobsToCount({ jobIndex, order, now, teams }: DemandInputs): Iterable<IndexedJob> {
   const anyLimit = [...teams.values()].some((team) => team.cpusMax > 0 || team.acceleratorsMax > 0);
   return anyLimit ? jobIndex.inQueueOrder(order, now) : jobIndex.jobs.values();
@@ -74,36 +78,44 @@
 interface WaitingTasks {
   need: Resources;
   tasks: number;
-  /** Undefined: dispatched to no block yet. */
+  /** The block that the tasks were dispatched to; undefined if they are not dispatched yet. */
   block: number | undefined;
 }
 
-function countWaiting({ need, tasks, block }: WaitingTasks, eligible: Pool[], slotShare: number): void {
-  let left = tasks;
+/** Counts waiting tasks for the eligible pools, in their order. */
+function distributeOverPools(
+  { need, tasks, block }: WaitingTasks,
+  eligible: Pool[],
+  slotShare: number,
+): void {
+  let remaining = tasks;
   for (const pool of eligible) {
-    if (left <= 0) break;
+    if (remaining <= 0) break;
     const slotsPerTask = slotsOf(need, pool.type, slotShare);
-    // What no pool has room for still counts for the last one, so that its ladder does not scale in under it.
+    // Tasks that no pool has room for count for the last pool, so that its ladder does not scale in while
+    // they wait.
     const counted =
-      pool === eligible.at(-1) ? left : Math.min(left, Math.floor(freeSlots(pool, slotShare) / slotsPerTask));
-    addWaiting(pool, block, counted * slotsPerTask);
-    left -= counted;
+      pool === eligible.at(-1)
+        ? remaining
+        : Math.min(remaining, Math.floor(freeSlots(pool, slotShare) / slotsPerTask));
+    addWaitingSlots(pool, block, counted * slotsPerTask);
+    remaining -= counted;
   }
 }
 
-/** Unlimited where the cloud gives more machines. */
+/** The free slots of the pool's machines; Infinity unless the cloud refuses more machines for the pool. */
 function freeSlots(pool: Pool, slotShare: number): number {
   if (!pool.exhausted) return Infinity;
   return Math.max(0, pool.machines.length * slotsPerMachine(slotShare) - pool.countedSlots);
 }
 
-function addWaiting(pool: Pool, block: number | undefined, slots: number): void {
+function addWaitingSlots(pool: Pool, block: number | undefined, slots: number): void {
   pool.countedSlots += slots;
   if (block === undefined) pool.undispatchedSlots += slots;
   else pool.waitingSlotsByBlock.set(block, (pool.waitingSlotsByBlock.get(block) ?? 0) + slots);
 }
 
-/** How many of the job's waiting tasks its team's limit admits beside what the team uses already. */
+/** How many of the job's waiting tasks the team's limit admits, given what the team already uses. */
 function admittedTasks(job: IndexedJob, { teams, jobIndex }: DemandInputs, usage: TeamUsage): number {
   const { spec } = job;
   const team = teams.get(spec.team);
@@ -112,14 +124,14 @@
   const { done, active } = jobIndex.progress(job.id);
   let count = Math.max(0, spec.tasks - done - active);
   if (!withinLimit(used.cpus, spec.cpus * count, team.cpusMax)) {
-    count = tasksWithin(team.cpusMax - used.cpus, spec.cpus);
+    count = tasksThatFit(team.cpusMax - used.cpus, spec.cpus);
   }
   if (!withinLimit(used.accelerators, spec.accelerators * count, team.acceleratorsMax)) {
-    count = Math.min(count, tasksWithin(team.acceleratorsMax - used.accelerators, spec.accelerators));
+    count = Math.min(count, tasksThatFit(team.acceleratorsMax - used.accelerators, spec.accelerators));
   }
   return count;
 }
 
-function tasksWithin(free: number, perTask: number): number {
+function tasksThatFit(free: number, perTask: number): number {
   return perTask > 0 ? Math.max(0, Math.floor(free / perTask)) : 0;
 }
--- a/src/ladder/failure-observer.test.ts
+++ b/src/ladder/failure-observer.test.ts
@@ -12,7 +12,9 @@
 
 const graceMs = 1000;
 
-/** A job of four tasks in block 0 that came at time 0, and what is observed of it. */
+/**
+ * A job with four tasks in block 0 that was first seen at time 0, and an observer that takes samples of it.
+ */
 class ObservedJob {
   private readonly observer = new FailureObserver(graceMs);
   private readonly jobIndex = new JobIndex(() => 0);
@@ -23,14 +25,14 @@
     this.apply(jobKey('req-1'), jobRecord({ spec: jobSpec('req-1'), taskRanges }));
   }
 
-  /** What the ledger has of the job's tasks. */
-  record(tasks: Pick<LedgerEntry, 'active' | 'waiting' | 'done'>): void {
+  /** Replaces the ledger entry of the job. */
+  setLedgerEntry(tasks: Pick<LedgerEntry, 'active' | 'waiting' | 'done'>): void {
     const resources = { cpus: 2, accelerators: 0, memoryGb: 2 };
     this.apply(ledgerKey(0, 0), ledgerPage([{ id: 'req-1', chunk: 0, team: 'red', ...resources, ...tasks }]));
   }
 
   observe(now: number): PoolSample[] {
-    const pools = new Map(this.pools.map((one) => [one.key, one]));
+    const pools = new Map(this.pools.map((each) => [each.key, each]));
     return this.observer.observe({ jobIndex: this.jobIndex, pools, machines: this.machines, now });
   }
 
@@ -39,39 +41,39 @@
   }
 }
 
-test('tasks that wait when their job has been there for a while have failed, once', () => {
+test('tasks that still wait when the grace period of their job ends are counted as failed, and only once', () => {
   const ordinary = pool({ machines: [leasedMachine('m1')] });
   const job = new ObservedJob([ordinary]);
-  job.record({ active: [[0, 1, 'm1']], waiting: [], done: [] });
+  job.setLedgerEntry({ active: [[0, 1, 'm1']], waiting: [], done: [] });
   assert.deepEqual(job.observe(graceMs - 1), []);
   const sample = { observedAt: graceMs, tasks: 4, failed: 3, machineNumber: 2 };
   assert.deepEqual(job.observe(graceMs), [{ pool: ordinary, sample }]);
   assert.deepEqual(job.observe(graceMs + 1), []);
 });
 
-test('a task that loses its machine later has failed, without counting as an arrival again', () => {
+test('a task that loses its machine later is counted as failed, but not as another arrival', () => {
   const ordinary = pool();
   const job = new ObservedJob([ordinary]);
-  job.record({ active: [[0, 1, 'm1']], waiting: [], done: [1, 3] });
+  job.setLedgerEntry({ active: [[0, 1, 'm1']], waiting: [], done: [1, 3] });
   const arrival = { observedAt: graceMs, tasks: 4, failed: 0, machineNumber: 1 };
   assert.deepEqual(job.observe(graceMs), [{ pool: ordinary, sample: arrival }]);
-  job.record({ active: [], waiting: [[0, 1]], done: [1, 3] });
+  job.setLedgerEntry({ active: [], waiting: [[0, 1]], done: [1, 3] });
   const displaced = { observedAt: 5000, tasks: 0, failed: 1, machineNumber: 1 };
   assert.deepEqual(job.observe(5000), [{ pool: ordinary, sample: displaced }]);
   assert.deepEqual(job.observe(6000), []);
 });
 
-test('waiting for what the cloud refuses is no failure', () => {
-  const refused = pool({ exhausted: true });
-  const job = new ObservedJob([refused]);
+test('tasks that wait for machines that the cloud refuses are not counted as failed', () => {
+  const exhaustedPool = pool({ exhausted: true });
+  const job = new ObservedJob([exhaustedPool]);
   const sample = { observedAt: graceMs, tasks: 4, failed: 0, machineNumber: 1 };
-  assert.deepEqual(job.observe(graceMs), [{ pool: refused, sample }]);
+  assert.deepEqual(job.observe(graceMs), [{ pool: exhaustedPool, sample }]);
 });
 
-test('a job whose tasks all started counts for the pool that they run in', () => {
-  const cheaper = pool({ key: 'c8/cheaper' });
-  const used = pool();
-  const job = new ObservedJob([cheaper, used]);
-  job.record({ active: [[0, 1, 'm1']], waiting: [], done: [1, 3] });
-  assert.equal(job.observe(graceMs)[0]?.pool, used);
+test('a job without waiting tasks is sampled for the pool that runs its tasks', () => {
+  const cheaperPool = pool({ key: 'c8/cheaper' });
+  const usedPool = pool();
+  const job = new ObservedJob([cheaperPool, usedPool]);
+  job.setLedgerEntry({ active: [[0, 1, 'm1']], waiting: [], done: [1, 3] });
+  assert.equal(job.observe(graceMs)[0]?.pool, usedPool);
 });
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -1,10 +1,10 @@
-/** Observation of task failures, by which the thresholds are tuned. */
+/** Samples of task failures, from which the thresholds are tuned. */
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { eligiblePools, type Pool, poolKey } from './pools.js';
 import type { FailureSample } from './threshold-tuner.js';
 
-/** What is known at one evaluation. */
+/** The state of jobs, pools and machines at one evaluation. */
 export interface ObservedState {
   jobIndex: JobIndex;
   pools: ReadonlyMap<string, Pool>;
@@ -20,18 +20,19 @@
 }
 
 /**
- * Derives from the job index which tasks had to wait on arrival and which lost their machine. Each job's arrival is
- * counted once; afterwards only tasks that are displaced. Tasks that wait for what the cloud refuses are not counted as
- * failed: a lower threshold would not have helped them.
+ * Derives from the job index which tasks had to wait on arrival and which were displaced, that is, lost their
+ * machine. The arrival of each job is counted once; after that, only newly displaced tasks of the job are
+ * counted. If the cloud refuses machines for every eligible pool, waiting tasks are not counted as failed: a
+ * lower threshold would not have helped them.
  */
 export class FailureObserver {
-  /** Jobs whose arrival was counted, with their displaced tasks at the last observation. */
+  /** Displaced tasks at the last observation, by job id. Contains the jobs whose arrival has been counted. */
   private readonly displacedTasksByJob = new Map<string, number>();
 
-  /** `graceMs`: how long a new job's tasks have until they count as waiting. */
+  /** `graceMs`: time from when a job is first seen ready until its waiting tasks count as failed. */
   constructor(private readonly graceMs: number) {}
 
-  /** The samples since the last observation. */
+  /** Returns the samples of arrivals and displacements since the last observation. */
   observe(state: ObservedState): PoolSample[] {
     const samples: PoolSample[] = [];
     for (const job of state.jobIndex.jobs.values()) {
@@ -39,16 +40,18 @@
       const sample = this.observeJob(job, state);
       if (sample) samples.push(sample);
     }
-    this.forgetClosedJobs(state.jobIndex);
+    this.removeClosedJobs(state.jobIndex);
     return samples;
   }
 
   private observeJob(job: IndexedJob, state: ObservedState): PoolSample | undefined {
-    const displaced = displacedTasks(job, state.jobIndex);
-    const displacedBefore = this.displacedTasksByJob.get(job.id);
+    const displaced = countDisplacedTasks(job, state.jobIndex);
+    const previouslyDisplaced = this.displacedTasksByJob.get(job.id);
     this.displacedTasksByJob.set(job.id, displaced);
-    const isArrival = displacedBefore === undefined;
-    const failed = isArrival ? waitingTasks(job, state.jobIndex) : Math.max(0, displaced - displacedBefore);
+    const isArrival = previouslyDisplaced === undefined;
+    const failed = isArrival
+      ? countWaitingTasks(job, state.jobIndex)
+      : Math.max(0, displaced - previouslyDisplaced);
     if (!isArrival && failed === 0) return undefined;
     const eligible = eligiblePools(job.spec, state.pools.values());
     const nextPool = eligible.find((pool) => !pool.exhausted) ?? eligible[0];
@@ -63,23 +66,23 @@
     return { pool, sample };
   }
 
-  private forgetClosedJobs({ jobs }: JobIndex): void {
+  private removeClosedJobs({ jobs }: JobIndex): void {
     for (const id of this.displacedTasksByJob.keys()) if (!jobs.has(id)) this.displacedTasksByJob.delete(id);
   }
 }
 
-/** Tasks of the job that were on a machine and wait again. */
-function displacedTasks(job: IndexedJob, jobIndex: JobIndex): number {
+/** The number of the job's tasks that were on a machine and wait again. */
+function countDisplacedTasks(job: IndexedJob, jobIndex: JobIndex): number {
   let displaced = 0;
   for (const entry of jobIndex.entriesOf(job.id)) displaced += entry.waiting.length;
   return displaced;
 }
 
-function waitingTasks(job: IndexedJob, jobIndex: JobIndex): number {
+function countWaitingTasks(job: IndexedJob, jobIndex: JobIndex): number {
   return jobIndex.waitingByBlock(job).reduce((sum, { count }) => sum + count, 0);
 }
 
-/** The pool of the first known machine that runs a task of the job. */
+/** The pool of the first machine in `machines` that runs a task of the job; undefined if there is none. */
 function poolInUse(job: IndexedJob, { jobIndex, machines, pools }: ObservedState): Pool | undefined {
   for (const entry of jobIndex.entriesOf(job.id)) {
     for (const [, , machineId] of entry.active) {
--- a/src/ladder/machine-inventory.ts
+++ b/src/ladder/machine-inventory.ts
@@ -1,4 +1,6 @@
-/** The leader's inventory of machines: what is rented, what is to be drained, and what is terminated. */
+/**
+ * The leader's inventory of machines: which are rented, which are to be drained, and which are terminated.
+ */
 import type { Clock } from '../base/clock.js';
 import { RecentNames } from '../base/recent-names.js';
 import type { CloudMachine } from '../model/types.js';
@@ -6,85 +8,98 @@
 import type { LeasedMachine } from '../wire/block-records.js';
 import { MissingMachineDetector } from './missing-machine-detector.js';
 
-/** What the inventory uses of the controller. */
+/** The parts of the controller that the inventory uses. */
 export interface MachineInventoryPorts {
   clock: Clock;
   wallClock: () => number;
   settings: Pick<Settings, 'cloud'>;
-  /** All machines of all blocks, as the store has them. */
+  /** The machines of all blocks as recorded in the store, by id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** Terminated machines are remembered for this many times the lag of the cloud's list, and for the minimum below. */
-const terminatedMemoryLags = 20;
-const minTerminatedMemoryMs = 60_000;
+/**
+ * Terminated machines are retained for this many times the lag of the machine list, but at least for the
+ * minimum below.
+ */
+const terminatedRetentionLags = 20;
+const minTerminatedRetentionMs = 60_000;
 
 /**
- * Combines the cloud's list of machines, the leases in the store and what the leader itself has rented and released.
- * Terminated machines stay known for a while, since the list and the blocks may still name them.
+ * Combines the cloud's machine list, the leased machines in the store, and the machines that this leader has
+ * rented and released. Terminated machines are retained for a while, because the list and the blocks may
+ * still contain them.
  */
 export class MachineInventory {
-  /** Rented or found in the list, and leased to no block yet. */
+  /** Machines that were rented or found in the list and are not leased to a block yet, by id. */
   readonly unassigned = new Map<string, LeasedMachine>();
-  /** Known to be terminated. */
+  /** Ids of machines that are known to be terminated. */
   readonly terminated: RecentNames;
-  /** To be drained and released: nothing more is to be placed on them. */
+  /** Ids of machines to drain and release. No more tasks are to be placed on them. */
   readonly toDrain = new Set<string>();
-  /** Failed, or no longer listed: most likely terminated by the cloud, which a release will confirm. */
+  /**
+   * Ids of machines that failed or are no longer listed. The cloud has probably terminated them; a release
+   * confirms it.
+   */
   readonly presumedTerminated = new Set<string>();
-  /** A release is under way. */
+  /** Ids of machines with a release request in progress. */
   private readonly releasing = new Set<string>();
   private readonly missingMachines: MissingMachineDetector;
 
   constructor(private readonly ports: MachineInventoryPorts) {
     const { listLagMs } = ports.settings.cloud;
-    const terminatedMemoryMs = Math.max(minTerminatedMemoryMs, listLagMs * terminatedMemoryLags);
-    this.terminated = new RecentNames(ports.clock, terminatedMemoryMs);
+    const terminatedRetentionMs = Math.max(minTerminatedRetentionMs, listLagMs * terminatedRetentionLags);
+    this.terminated = new RecentNames(ports.clock, terminatedRetentionMs);
     this.missingMachines = new MissingMachineDetector(listLagMs);
   }
 
-  /** When the cloud's list was last applied, in monotonic ms; -Infinity before the first. */
+  /** Monotonic time in ms at which a machine list was last applied; -Infinity before the first list. */
   get lastListAt(): number {
     return this.missingMachines.lastListAt;
   }
 
-  /** Takes the next list of the cloud: what is new on it is unassigned, what is missing from it presumed terminated. */
+  /**
+   * Applies a machine list of the cloud. Machines that are new on the list become unassigned. Machines that
+   * have been missing from the list for too long, or are listed as failed, are presumed terminated.
+   */
   applyMachineList(machines: CloudMachine[]): void {
     const leased = this.ports.leasedMachines();
-    const known = machines.filter(({ id }) => !this.terminated.has(id));
-    for (const machine of known) this.applyListedMachine(machine, leased);
+    const notTerminated = machines.filter(({ id }) => !this.terminated.has(id));
+    for (const machine of notTerminated) this.applyListedMachine(machine, leased);
     const expected = [...leased.keys()].filter((id) => !this.terminated.has(id));
-    const listed = known.map(({ id }) => id);
+    const listed = notTerminated.map(({ id }) => id);
     for (const id of this.missingMachines.recordList(this.ports.clock(), listed, expected)) {
       if (!this.terminated.has(id)) this.presumedTerminated.add(id);
     }
   }
 
-  /** All machines that are leased or unassigned, without those that are terminated. */
+  /** All leased or unassigned machines that are not known to be terminated, by id. */
   currentMachines(): Map<string, LeasedMachine> {
     const machines = new Map([...this.ports.leasedMachines(), ...this.unassigned]);
     for (const id of machines.keys()) if (this.terminated.has(id)) machines.delete(id);
     return machines;
   }
 
-  /** Takes machines out of the unassigned ones that a block has by now. */
-  dropAssigned(): void {
+  /** Removes machines from `unassigned` that are leased to a block by now. */
+  removeAssigned(): void {
     const leased = this.ports.leasedMachines();
     for (const id of this.unassigned.keys()) if (leased.has(id)) this.unassigned.delete(id);
   }
 
-  /** Adds machines that were just rented. */
-  addRented(ids: Iterable<string>, kind: Pick<LeasedMachine, 'type' | 'zone' | 'spot'>): void {
-    for (const id of ids) this.unassigned.set(id, unassignedMachine(id, kind, this.ports.wallClock()));
+  /** Adds machines that were just rented to `unassigned`. */
+  addRented(ids: Iterable<string>, attributes: Pick<LeasedMachine, 'type' | 'zone' | 'spot'>): void {
+    for (const id of ids) this.unassigned.set(id, unassignedMachine(id, attributes, this.ports.wallClock()));
   }
 
-  /** True where nothing more is to be placed on the machine. */
+  /** Whether no more tasks are to be placed on the machine. */
   isDraining(id: string): boolean {
     return this.toDrain.has(id) || this.presumedTerminated.has(id);
   }
 
-  /** True while a draining machine can still be kept: it is there, and its release has not begun. */
-  canKeep(id: string): boolean {
+  /**
+   * Whether the drain of a machine can be cancelled: it is not presumed terminated, and no release is in
+   * progress.
+   */
+  canCancelDrain(id: string): boolean {
     return !this.presumedTerminated.has(id) && !this.releasing.has(id);
   }
 
@@ -93,25 +108,29 @@
     this.toDrain.add(id);
   }
 
-  /** Takes the mark of a draining machine back. */
-  keep(id: string): void {
+  /** Removes the drain mark, so that the machine stays in use. */
+  cancelDrain(id: string): void {
     this.toDrain.delete(id);
   }
 
   /**
-   * Draining machines that are empty and may be released. A block's owner places nothing on a machine that its record
-   * calls draining, and what it had committed before that record is in the job index by the time the record is: so a
-   * leased machine is due only once its record says so.
+   * Ids of the draining machines that have no tasks and may be released. The owner of a block places no task
+   * on a machine whose record in the store is marked draining. When that record becomes visible here, the job
+   * index already includes everything that the owner committed before it. A leased machine is therefore due
+   * only once its record is marked draining.
    */
   dueForRelease(isBusy: (id: string) => boolean): string[] {
     const leased = this.ports.leasedMachines();
     return [...this.toDrain, ...this.presumedTerminated].filter((id) => {
-      const isMarked = leased.get(id)?.draining ?? true;
-      return isMarked && !isBusy(id);
+      const isMarkedDraining = leased.get(id)?.draining ?? true;
+      return isMarkedDraining && !isBusy(id);
     });
   }
 
-  /** Runs a release of these machines; none of them can be kept meanwhile. Fails as the release does. */
+  /**
+   * Runs `release`. Until it settles, the drain of these machines cannot be cancelled. Rejects if `release`
+   * rejects.
+   */
   async whileReleasing<T>(ids: string[], release: () => Promise<T>): Promise<T> {
     for (const id of ids) this.releasing.add(id);
     try {
@@ -121,7 +140,10 @@
     }
   }
 
-  /** Notes that these machines are terminated: the leader has released them, or the owner of their block has. */
+  /**
+   * Records that these machines are terminated. They were released by the leader or by the owner of their
+   * block.
+   */
   markTerminated(ids: Iterable<string>): void {
     for (const id of ids) {
       this.terminated.add(id);
@@ -134,7 +156,8 @@
   private applyListedMachine(machine: CloudMachine, leased: ReadonlyMap<string, LeasedMachine>): void {
     const { id, ageS, state } = machine;
     this.presumedTerminated.delete(id);
-    // Rented by an earlier leader, or by a request that was carried out late: it is used like any other.
+    // The machine was rented by an earlier leader, or by a request that the cloud carried out late. It is
+    // used like any other machine.
     if (!leased.has(id) && !this.unassigned.has(id)) {
       this.unassigned.set(id, unassignedMachine(id, machine, this.ports.wallClock() - ageS * 1000));
     }
--- a/src/ladder/machine-list-poller.ts
+++ b/src/ladder/machine-list-poller.ts
@@ -1,30 +1,33 @@
-/** Periodic listing of the cloud's machines. */
+/** Periodic requests for the cloud's machine list. */
 import { sleep } from '../base/clock.js';
 import { type CloudClient, maxMachinesPerList } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** What the poller uses of the controller. */
+/** The parts of the controller that the poller uses. */
 export interface MachineListPollerPorts {
   cloud: Pick<CloudClient, 'listMachines'>;
   settings: Pick<Settings, 'cloud'>;
   term: Pick<Term, 'signal'>;
 }
 
-/** The share of the calls to the cloud that lists of all machines may take. */
+/** Maximum share of the cloud's request rate limit that is used for machine lists. */
 const listCallShare = 0.4;
 
-/** Keeps the inventory up to date with the cloud's list, at a pace that leaves calls for scaling. */
+/**
+ * Applies the cloud's machine list to the inventory periodically. Limits its request rate, so that requests
+ * remain for scaling.
+ */
 export class MachineListPoller {
-  /** `minIntervalMs`: the time between two lists, at least. */
+  /** `minIntervalMs`: minimum pause after a machine list before the next one is requested. */
   constructor(
     private readonly ports: MachineListPollerPorts,
     private readonly inventory: Pick<MachineInventory, 'applyMachineList'>,
     private readonly minIntervalMs: number,
   ) {}
 
-  /** Runs until the term ends; throws where the cloud's answer cannot be read. */
+  /** Runs until the term ends. Rejects if the cloud's answer cannot be parsed. */
   async run(): Promise<void> {
     const { cloud, term } = this.ports;
     while (!term.signal.aborted) {
--- a/src/ladder/machine-releaser.test.ts
+++ b/src/ladder/machine-releaser.test.ts
@@ -8,16 +8,16 @@
 import { MachineInventory } from './machine-inventory.js';
 import { MachineReleaser } from './machine-releaser.js';
 
-/** Runs a releaser until the inventory has been looked at so many times; returns the batches that were released. */
+/** Runs a releaser for `checks` release checks and returns the batches that it asked the cloud to release. */
 async function runReleaser(
   inventory: MachineInventory,
-  { looks, succeeds = true, reachable = true }: { looks: number; succeeds?: boolean; reachable?: boolean },
+  { checks, succeeds = true, reachable = true }: { checks: number; succeeds?: boolean; reachable?: boolean },
 ): Promise<string[][]> {
   const term = new Term(1, 0);
   const batches: string[][] = [];
-  let left = looks;
-  const countLook = (): void => {
-    if (--left === 0) term.end({ kind: 'shutdown' });
+  let remainingChecks = checks;
+  const countCheck = (): void => {
+    if (--remainingChecks === 0) term.end({ kind: 'shutdown' });
   };
   const releaser = new MachineReleaser(
     {
@@ -31,7 +31,7 @@
       log: silentLog,
       term,
       isStoreReachable: () => {
-        countLook();
+        countCheck();
         return reachable;
       },
     },
@@ -53,24 +53,24 @@
   return inventory;
 }
 
-test('drained machines are released a hundred at a time, and are terminated from then on', async () => {
+test('drained machines are released at most a hundred at a time and then recorded as terminated', async () => {
   const ids = Array.from({ length: 130 }, (_, i) => `m${i}`);
   const inventory = inventoryOf(...ids);
-  const batches = await runReleaser(inventory, { looks: 3 });
+  const batches = await runReleaser(inventory, { checks: 3 });
   assert.deepEqual(batches, [ids.slice(0, 100), ids.slice(100)]);
   assert.equal(inventory.toDrain.size, 0);
   assert.ok(ids.every((id) => inventory.terminated.has(id)));
 });
 
-test('machines whose release fails stay to be drained, and are released with the next try', async () => {
+test('machines whose release fails stay marked for draining, and the next check releases them again', async () => {
   const inventory = inventoryOf('m1');
-  assert.deepEqual(await runReleaser(inventory, { looks: 2, succeeds: false }), [['m1'], ['m1']]);
+  assert.deepEqual(await runReleaser(inventory, { checks: 2, succeeds: false }), [['m1'], ['m1']]);
   assert.deepEqual([...inventory.toDrain], ['m1']);
   assert.equal(inventory.terminated.has('m1'), false);
 });
 
-// Guards against releases by a leader whose term may be over.
+// Guards against releases by a leader that cannot reach the store and whose term may therefore be over.
 test('nothing is released while the store does not answer', async () => {
   const inventory = inventoryOf('m1');
-  assert.deepEqual(await runReleaser(inventory, { looks: 3, reachable: false }), []);
+  assert.deepEqual(await runReleaser(inventory, { checks: 3, reachable: false }), []);
 });
--- a/src/ladder/machine-releaser.ts
+++ b/src/ladder/machine-releaser.ts
@@ -1,4 +1,4 @@
-/** Release of drained machines. */
+/** Release of drained machines by the leader. */
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type CloudClient, maxMachinesPerRelease } from '../cloud/client.js';
@@ -6,17 +6,20 @@
 import type { JobIndex } from '../placement/job-index.js';
 import type { MachineInventory } from './machine-inventory.js';
 
-/** What the releaser uses of the controller. */
+/** The parts of the controller that the releaser uses. */
 export interface MachineReleaserPorts {
   cloud: Pick<CloudClient, 'release'>;
   jobIndex: Pick<JobIndex, 'machineLoads'>;
   log: Log;
   term: Pick<Term, 'signal'>;
-  /** The store has answered lately: without it the term may be over. */
+  /** Whether the store has answered recently. If it has not, the term may already be over. */
   isStoreReachable: () => boolean;
 }
 
-/** Releases draining machines once they are empty, which also proves that nothing runs on them any more. */
+/**
+ * Releases draining machines once they have no tasks. A successful release also proves that nothing runs on
+ * them any more.
+ */
 export class MachineReleaser {
   constructor(
     private readonly ports: MachineReleaserPorts,
@@ -41,6 +44,9 @@
     const isReleased = await this.inventory.whileReleasing(batch, () => cloud.release(batch));
     if (!isReleased) return;
     this.inventory.markTerminated(batch);
-    log.info({ event: 'scaled-in', count: batch.length, machines: batch }, 'machines released');
+    log.info(
+      { event: 'scaled-in', count: batch.length, machines: batch },
+      'released machines that were drained or presumed terminated',
+    );
   }
 }
--- a/src/ladder/missing-machine-detector.ts
+++ b/src/ladder/missing-machine-detector.ts
@@ -1,12 +1,12 @@
-/** Detection of machines that the cloud's list no longer names. */
+/** Detection of machines that are missing from the cloud's machine list. */
 
-/** A list shows a state of the cloud that is at most this many times the list's lag old. */
+/** The state of the cloud that a machine list shows is at most this many times the list lag old. */
 const maxListAgeLags = 2;
 
 /**
- * Notices which machines have been missing from the cloud's list for longer than the list may lag behind. Lists may
- * overtake each other, and a machine that was just rented is on none yet, so one list without it proves nothing.
- * Times are monotonic, in ms.
+ * Detects machines that have been missing from the cloud's list for longer than the list may lag behind. A
+ * single list without a machine proves nothing: lists may arrive out of order, and a machine that was just
+ * rented is on no list yet. Times are monotonic, in ms.
  */
 export class MissingMachineDetector {
   private readonly lastSeenAt = new Map<string, number>();
@@ -14,15 +14,17 @@
 
   constructor(private readonly listLagMs: number) {}
 
-  /** When the last list came; -Infinity before the first. */
+  /** Time at which the last list was recorded; -Infinity before the first list. */
   get lastListAt(): number {
     return this.listedAt;
   }
 
   /**
-   * Takes the next list and returns the machines that are missing by now; each is returned once, unless it is expected
-   * or listed again. `expected` are machines that should be listed: one that never was counts from when it was first
-   * expected. After a gap between lists, by a pause of this process or an outage of the cloud, all count anew.
+   * Records a list and returns the ids of the machines that have been missing for too long. Each is returned
+   * once, unless it is expected or listed again. `expected` contains the machines that should be listed; if a
+   * machine was never listed, the time that it has been missing is counted from when it was first expected.
+   * After a gap between lists, due to a pause of this process or an outage of the cloud, the time is counted
+   * anew for all machines.
    */
   recordList(now: number, listed: Iterable<string>, expected: Iterable<string>): string[] {
     const maxListAgeMs = this.listLagMs * maxListAgeLags;
--- a/src/ladder/pool-ladders.test.ts
+++ b/src/ladder/pool-ladders.test.ts
@@ -16,7 +16,10 @@
   writes: Write[];
 }
 
-/** Ladders of a leader with the fencing token 7, by the default settings: periods of 30 s, a target of 0.01. */
+/**
+ * Ladders of a leader with fencing token 7 and default settings: tuning period of 30 s, target failure ratio
+ * of 0.01.
+ */
 function setUp(stored: [string, StoredValue][] = []): { ladders: PoolLadders; commits: Commit[] } {
   const values = new Map(stored);
   const commits: Commit[] = [];
@@ -37,7 +40,7 @@
   return { ladders, commits };
 }
 
-test('a ladder goes on with the thresholds that the last leader saved, each pool with its own', () => {
+test('the ladder of each pool starts with the thresholds that the previous leader saved for this pool', () => {
   const { ladders } = setUp([[ladderKey('c8/ordinary'), { value: ladderRecord([[3, 9]]), version: 4 }]]);
   const thresholds = (ladder: { threshold: (machineNumber: number) => number }): number[] =>
     [2, 3].map((machineNumber) => ladder.threshold(machineNumber));
@@ -45,24 +48,24 @@
   assert.deepEqual(thresholds(ladders.ladderOf(pool({ key: 'c8/spot', spot: true }))), [7, 15]);
 });
 
-test('a threshold is moved once a period and saved under the condition that the term has not changed', async () => {
+test('a threshold moves once per period and is saved on condition that the term has not changed', async () => {
   const { ladders, commits } = setUp();
-  const sampled = pool();
+  const sampledPool = pool();
   ladders.addSample({
-    pool: sampled,
+    pool: sampledPool,
     sample: { observedAt: 0, tasks: 10, failed: 1, machineNumber: 2 },
   });
-  await ladders.tune([sampled, pool({ key: 'c8/spot', spot: true })], 29_999);
+  await ladders.tune([sampledPool, pool({ key: 'c8/spot', spot: true })], 29_999);
   assert.equal(commits.length, 0);
-  await ladders.tune([sampled, pool({ key: 'c8/spot', spot: true })], 30_000);
+  await ladders.tune([sampledPool, pool({ key: 'c8/spot', spot: true })], 30_000);
   assert.deepEqual(commits, [
     {
       conditions: [{ key: 'lead', version: 7 }],
       writes: [{ put: 'ladder/c8/ordinary', value: { moved: [[2, 5]] } }],
     },
   ]);
-  await ladders.tune([sampled], 59_999);
+  await ladders.tune([sampledPool], 59_999);
   assert.equal(commits.length, 1);
-  await ladders.tune([sampled], 60_000);
+  await ladders.tune([sampledPool], 60_000);
   assert.deepEqual(commits[1]?.writes, [{ put: 'ladder/c8/ordinary', value: { moved: [[2, 4]] } }]);
 });
--- a/src/ladder/pool-ladders.ts
+++ b/src/ladder/pool-ladders.ts
@@ -1,4 +1,4 @@
-/** The ladders of all pools and their periodic tuning. */
+/** The ladders of all pools, and their periodic tuning. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { OperatorSettings } from '../settings/operator.js';
@@ -8,7 +8,7 @@
 import { ThresholdStore, type ThresholdStorePorts } from './threshold-store.js';
 import { ThresholdTuner } from './threshold-tuner.js';
 
-/** What the ladders use of the controller. */
+/** The parts of the controller that the ladders use. */
 export interface PoolLaddersPorts extends ThresholdStorePorts {
   clock: Clock;
   log: Log;
@@ -20,31 +20,37 @@
   tuner: ThresholdTuner;
 }
 
-/** Holds a ladder with its tuner for each pool; a pool's ladder is loaded from the store when it is first asked for. */
+/**
+ * Holds a ladder and its tuner for each pool. The ladder of a pool is loaded from the store when it is first
+ * needed.
+ */
 export class PoolLadders {
   private readonly ladders = new Map<string, TunedLadder>();
   private readonly store: ThresholdStore;
-  private tunedAt: number;
+  private lastTunedAt: number;
 
   constructor(private readonly ports: PoolLaddersPorts) {
     this.store = new ThresholdStore(ports);
-    this.tunedAt = ports.clock();
+    this.lastTunedAt = ports.clock();
   }
 
-  /** The ladder of the pool. */
+  /** The ladder of the pool, loaded from the store on the first call. */
   ladderOf(pool: Pool): Ladder {
     return this.tunedLadderOf(pool).ladder;
   }
 
-  /** Takes a sample for the pool's tuner. */
+  /** Passes a sample to the tuner of its pool. */
   addSample({ pool, sample }: PoolSample): void {
-    this.tunedLadderOf(pool).tuner.add(sample);
+    this.tunedLadderOf(pool).tuner.addSample(sample);
   }
 
-  /** Once a period (`ladder/periodS`): moves at most one threshold of each pool by one slot, and saves what was moved. */
+  /**
+   * Once per period (setting `ladder/periodS`), moves at most one threshold of each pool by one slot and
+   * saves the moved thresholds. Earlier calls have no effect.
+   */
   async tune(pools: Iterable<Pool>, now: number): Promise<void> {
-    if (now - this.tunedAt < this.ports.operator.ladder.periodS * 1000) return;
-    this.tunedAt = now;
+    if (now - this.lastTunedAt < this.ports.operator.ladder.periodS * 1000) return;
+    this.lastTunedAt = now;
     for (const pool of pools) await this.tunePool(pool, now);
   }
 
@@ -56,22 +62,22 @@
     const threshold = ladder.threshold(move.machineNumber);
     this.ports.log.info(
       { event: 'threshold-moved', pool: pool.key, ...move, threshold, failureRatio },
-      'threshold moved',
+      'moved a scale-out threshold by one slot; saving it',
     );
     await this.store.save(pool.key, ladder);
   }
 
   private tunedLadderOf(pool: Pool): TunedLadder {
-    let entry = this.ladders.get(pool.key);
-    if (!entry) this.ladders.set(pool.key, (entry = this.createLadder(pool)));
-    return entry;
+    let tunedLadder = this.ladders.get(pool.key);
+    if (!tunedLadder) this.ladders.set(pool.key, (tunedLadder = this.createLadder(pool)));
+    return tunedLadder;
   }
 
   private createLadder(pool: Pool): TunedLadder {
     const { targetFailureRatio, windowS, slotShare, start, spotStart } = this.ports.operator.ladder;
-    const shape = { slotShare, startShare: pool.spot ? spotStart : start };
+    const settings = { slotShare, startShare: pool.spot ? spotStart : start };
     return {
-      ladder: new Ladder(shape, this.store.load(pool.key)),
+      ladder: new Ladder(settings, this.store.load(pool.key)),
       tuner: new ThresholdTuner({ targetFailureRatio, windowMs: windowS * 1000 }),
     };
   }
--- a/src/ladder/pool-log.ts
+++ b/src/ladder/pool-log.ts
@@ -1,4 +1,4 @@
-/** Periodic log of the pools, for the people on call. */
+/** Periodic log of the pools, for operators. */
 import type { Log } from '../base/log.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { lateClasses } from '../placement/lateness.js';
@@ -6,7 +6,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { Pool } from './pools.js';
 
-/** What the log uses of the controller. */
+/** The parts of the controller that the log uses. */
 export interface PoolLogPorts {
   log: Log;
   wallClock: () => number;
@@ -15,24 +15,30 @@
   jobIndex: Pick<JobIndex, 'jobs' | 'asQueuedJob'>;
 }
 
-/** Logs what machines there are and what is asked for, at `info` once a period and at `debug` with each evaluation. */
+/**
+ * Logs the machines and the demand of each pool: at level `info` once per period (setting `ladder/periodS`),
+ * and at level `debug` on each evaluation.
+ */
 export class PoolLog {
-  private loggedAt = -Infinity;
+  private lastLoggedAt = -Infinity;
 
   constructor(private readonly ports: PoolLogPorts) {}
 
-  /** Logs the pools where that is due, and with them the classes of jobs that run late. */
+  /**
+   * Logs the pools if due. The entry at level `info` is followed by an entry for the job classes that miss
+   * their objectives, if any.
+   */
   write(pools: Iterable<Pool>, now: number): void {
     const { log, operator } = this.ports;
-    const isDue = now - this.loggedAt >= operator.ladder.periodS * 1000;
+    const isDue = now - this.lastLoggedAt >= operator.ladder.periodS * 1000;
     if (!isDue && !log.isLevelEnabled('debug')) return;
-    const facts = { event: 'pools', pools: [...pools].map((pool) => poolFacts(pool)) };
+    const fields = { event: 'pools', pools: [...pools].map((pool) => poolFields(pool)) };
     if (!isDue) {
-      log.debug(facts, 'pools');
+      log.debug(fields, 'machines and demand of each pool');
       return;
     }
-    log.info(facts, 'pools');
-    this.loggedAt = now;
+    log.info(fields, 'machines and demand of each pool');
+    this.lastLoggedAt = now;
     this.logLateClasses();
   }
 
@@ -40,11 +46,11 @@
     const { log, jobIndex, settings, wallClock } = this.ports;
     const jobs = [...jobIndex.jobs.values()].map((job) => jobIndex.asQueuedJob(job));
     const classes = lateClasses(settings.objectives, jobs, wallClock());
-    if (classes.length > 0) log.info({ event: 'late', classes }, 'classes run late');
+    if (classes.length > 0) log.info({ event: 'late', classes }, 'job classes miss their objectives');
   }
 }
 
-function poolFacts(pool: Pool): object {
+function poolFields(pool: Pool): object {
   return {
     pool: pool.key,
     machines: pool.machines.length,
--- a/src/ladder/pools.ts
+++ b/src/ladder/pools.ts
@@ -1,32 +1,39 @@
-/** Pools: the machines of one type and kind (spot or ordinary). Each pool has a ladder of its own. */
+/**
+ * Pools: a pool contains the machines of one type and kind (spot or ordinary). Each pool has its own ladder.
+ */
 import { fits, type JobSpec, type MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 
-/** The machines of one type and kind, with the work that counts for them, at one evaluation. */
+/** The machines of one type and kind and the demand that counts for them, at one evaluation. */
 export interface Pool {
-  /** Also the name of the pool's record in the store. */
+  /** Identifies the pool. Also the name of its record in the store. */
   key: string;
   type: MachineType;
   spot: boolean;
-  /** Booting or running, and not draining. */
+  /** Machines that are booting or running, and are not draining. */
   machines: LeasedMachine[];
   draining: LeasedMachine[];
-  /** The cloud has refused this pool's machines in every zone; it is not asked for now. */
+  /**
+   * The cloud has refused the pool's machines in every zone, and no request is sent until a back-off ends.
+   */
   exhausted: boolean;
-  /** Slots of the tasks on its machines, and of the waiting ones below. */
+  /** Slots of the tasks on the pool's machines and of the waiting tasks below. */
   countedSlots: number;
-  /** Slots of waiting tasks that were dispatched to a block, by block. */
+  /** Slots of the waiting tasks that were dispatched to a block, by block number. */
   waitingSlotsByBlock: Map<number, number>;
-  /** Slots of waiting tasks that were dispatched to no block yet. */
+  /** Slots of the waiting tasks that are not dispatched to a block yet. */
   undispatchedSlots: number;
 }
 
-/** The key of the pool of this type and kind. */
+/** The key of the pool for this machine type and kind. */
 export function poolKey(type: string, spot: boolean): string {
   return `${type}/${spot ? 'spot' : 'ordinary'}`;
 }
 
-/** Two pools for each type, ordinary and spot, with nothing counted yet. Machines of unknown types are left out. */
+/**
+ * Builds two pools for each type, ordinary and spot, with slot counts of zero. Machines of unknown types are
+ * ignored.
+ */
 export function buildPools(
   types: Iterable<MachineType>,
   machines: Iterable<LeasedMachine>,
@@ -63,8 +70,9 @@
 }
 
 /**
- * The pools whose machines may run the job's tasks, cheapest for such a task first. Jobs that may use spot machines get
- * only spot pools while one of those has machines or may get some: ordinary machines are left to jobs that need them.
+ * The pools whose machines may run the job's tasks, sorted by the price of one such task, the cheapest first.
+ * Jobs that may use spot machines get only spot pools while one of these has machines or is not exhausted.
+ * Ordinary machines are left to the jobs that need them.
  */
 export function eligiblePools(spec: JobSpec, pools: Iterable<Pool>): Pool[] {
   const eligible = [...pools].filter((pool) => mayRunOn(spec, pool));
@@ -83,7 +91,7 @@
   );
 }
 
-/** The price of the share of a machine that one task of the job takes. */
+/** The price of the share of a machine that one task of the job occupies. */
 function taskPrice(spec: JobSpec, { type, spot }: Pool): number {
   const price = spot ? type.spotPrice : type.price;
   return price * Math.max(spec.cpus / type.cpus, spec.memoryGb / type.memoryGb);
--- a/src/ladder/scale-in.test.ts
+++ b/src/ladder/scale-in.test.ts
@@ -10,7 +10,7 @@
   memoryGb: 1,
 });
 
-test('the least loaded machines are drained first, of equally loaded ones the last by name', () => {
+test('the least loaded machines are drained first; of equally loaded machines, the last by name', () => {
   const machines = ['m1', 'm2', 'm3', 'm4'].map((id) => leasedMachine(id));
   const loads = new Map([
     ['m1', load(4)],
@@ -21,7 +21,7 @@
   assert.deepEqual(drained, ['m4', 'm2', 'm3']);
 });
 
-test('a machine within its minimum charge of a minute is kept', () => {
+test('a machine is not drained within the minimum charge period of one minute', () => {
   const machines = [leasedMachine('m1', { rentedAt: 1 }), leasedMachine('m2')];
   const state = { loads: new Map(), slotShare: 0.125, now: 60_000 };
   assert.deepEqual(machinesToDrain(pool({ machines }), 2, state), [machines[1]]);
--- a/src/ladder/scale-in.ts
+++ b/src/ladder/scale-in.ts
@@ -4,21 +4,23 @@
 import type { Pool } from './pools.js';
 import { slotsOf } from './slots.js';
 
-/** A machine that is released earlier is charged for this long all the same. */
+/** Minimum charge period: a machine that is released earlier is still charged for this time. */
 const minChargeMs = 60_000;
 
-/** What the choice is made from. */
+/** The inputs of the choice. */
 export interface ScaleInState {
-  /** What the tasks on each machine take; empty machines are not in it. */
+  /** Resources that tasks occupy, by machine id. Machines without tasks have no entry. */
   loads: ReadonlyMap<string, Resources>;
+  /** The share of a machine's dominant resource that one slot represents. */
   slotShare: number;
   /** Time of day in ms. */
   now: number;
 }
 
 /**
- * At most `count` machines of the pool, the least loaded first. Machines that are still within their minimum charge are
- * kept. Placement fills machines in the order of their names, so of equally loaded ones the last goes first.
+ * Chooses at most `count` machines of the pool, the least loaded first. Machines within their minimum charge
+ * period are not chosen. Placement fills machines in the order of their names, so of equally loaded machines
+ * the last by name is chosen first.
  */
 export function machinesToDrain(pool: Pool, count: number, state: ScaleInState): LeasedMachine[] {
   const loadOf = ({ id }: LeasedMachine): number => {
--- a/src/ladder/scale-out.test.ts
+++ b/src/ladder/scale-out.test.ts
@@ -9,17 +9,17 @@
 import { MachineInventory } from './machine-inventory.js';
 import { ScaleOut, spreadOverZones } from './scale-out.js';
 
-interface Setup {
+interface ScaleOutSetup {
   scaleOut: ScaleOut;
   inventory: MachineInventory;
-  /** Requests to the cloud: zone and count. */
+  /** Rental requests to the cloud: zone and number of machines. */
   requests: [zone: string, count: number][];
   term: Term;
   setTime: (ms: number) => void;
 }
 
-/** The list lags by 4 s, so the first pause after a refusal is 8 s. */
-function setUp(answer: (zone: string, count: number) => RentalOutcome): Setup {
+/** The machine list lags by 4 s, so the back-off after a first refusal is 8 s. */
+function setUp(respond: (zone: string, count: number) => RentalOutcome): ScaleOutSetup {
   let now = 0;
   const settings = testSettings();
   const term = new Term(1, 0);
@@ -33,7 +33,7 @@
   const cloud = {
     rent: (_type: string, zone: string, _spot: boolean, count: number) => {
       requests.push([zone, count]);
-      return Promise.resolve(answer(zone, count));
+      return Promise.resolve(respond(zone, count));
     },
   };
   const scaleOut = new ScaleOut({ clock: () => now, cloud, log: silentLog, settings, term }, inventory);
@@ -45,7 +45,7 @@
   machines: Array.from({ length: count }, (_, i) => `${zone}${i}`),
 });
 
-test('new machines go to the zones with the fewest, of several to the first by name', () => {
+test('each new machine goes to the zone with the fewest machines; of several zones, to the first by name', () => {
   const machines = [{ zone: 'a' }, { zone: 'a' }, { zone: 'b' }];
   assert.deepEqual([...spreadOverZones(1, ['a', 'b'], machines)], [['b', 1]]);
   assert.deepEqual(
@@ -59,7 +59,7 @@
   assert.deepEqual([...spreadOverZones(2, [], machines)], []);
 });
 
-test('draining machines are kept before any is rented, unless they are presumed terminated', async () => {
+test('the drain of machines is cancelled before others are rented, unless they are presumed terminated', async () => {
   const { scaleOut, inventory, requests } = setUp(rentAll);
   const draining = ['m1', 'm2', 'm3'].map((id) => leasedMachine(id));
   for (const { id } of draining) inventory.drain(id);
@@ -70,7 +70,7 @@
   assert.deepEqual([...inventory.unassigned.keys()], ['a0']);
 });
 
-test('a zone takes several requests of fifty machines at most', async () => {
+test('machines in a zone are rented by several requests for at most fifty machines each', async () => {
   const { scaleOut, requests } = setUp(rentAll);
   await scaleOut.addMachines(pool({ type: machineType({ zones: ['a'] }) }), 120);
   assert.deepEqual(requests, [
@@ -80,7 +80,7 @@
   ]);
 });
 
-test('a zone that gave less than was asked for is left out until its pause is over', async () => {
+test('a zone in which fewer machines were rented than requested is skipped until its back-off ends', async () => {
   const { scaleOut, requests, setTime } = setUp((zone, count) =>
     zone === 'a' ? { kind: 'no-capacity' } : rentAll(zone, count),
   );
@@ -101,7 +101,7 @@
   assert.deepEqual(requests.at(-1), ['a', 1]);
 });
 
-test('a cloud that only asks to slow down is asked again at once in the next evaluation', async () => {
+test('a busy response of the cloud starts no back-off: the next evaluation requests machines again', async () => {
   const { scaleOut, requests } = setUp(() => ({ kind: 'busy' }));
   const onlyZone = pool({ type: machineType({ zones: ['a'] }) });
   await scaleOut.addMachines(onlyZone, 60);
@@ -112,7 +112,7 @@
   ]);
 });
 
-// Guards against rentals by a leader whose term is over.
+// Guards against rentals by a leader whose term has ended.
 test('nothing is rented once the term has ended', async () => {
   const { scaleOut, requests, term } = setUp(rentAll);
   term.end({ kind: 'shutdown' });
--- a/src/ladder/scale-out.ts
+++ b/src/ladder/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: how a pool gets more machines. */
+/** Scale-out: adds machines to pools. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type CloudClient, maxMachinesPerRental } from '../cloud/client.js';
@@ -9,7 +9,7 @@
 import type { MachineInventory } from './machine-inventory.js';
 import type { Pool } from './pools.js';
 
-/** What scale-out uses of the controller. */
+/** The parts of the controller that scale-out uses. */
 export interface ScaleOutPorts {
   clock: Clock;
   cloud: Pick<CloudClient, 'rent'>;
@@ -18,10 +18,13 @@
   term: Pick<Term, 'signal'>;
 }
 
-/** The first pause after a refusal, in times the lag of the cloud's list. */
+/** Back-off after a first refusal, as a multiple of the machine list lag. */
 const refusalBackoffLags = 2;
 
-/** Adds machines to pools: draining machines that can still be kept first, then machines rented in the emptiest zones. */
+/**
+ * Adds machines to pools. First cancels the drain of machines, then rents machines in the zones in which the
+ * pool has fewest.
+ */
 export class ScaleOut {
   private readonly refusals: CapacityRefusals;
 
@@ -32,34 +35,38 @@
     this.refusals = new CapacityRefusals(ports.settings.cloud.listLagMs * refusalBackoffLags);
   }
 
-  /** True while every zone of the type is in the pause after a refusal. */
+  /** Whether the back-off after a refusal is running in every zone of the type. */
   isExhausted(type: MachineType, spot: boolean, now: number): boolean {
     return type.zones.every((zone) => this.refusals.isRefused(type.name, zone, spot, now));
   }
 
-  /** Adds up to `count` machines to the pool; fewer where the cloud refuses or the term ends. */
+  /** Adds up to `count` machines to the pool; fewer if the cloud refuses or the term ends. */
   async addMachines(pool: Pool, count: number): Promise<void> {
     const { term, clock } = this.ports;
-    const missing = count - this.keepDraining(pool, count);
-    const openZones = pool.type.zones.filter(
+    const toRent = count - this.cancelDrains(pool, count);
+    const availableZones = pool.type.zones.filter(
       (zone) => !this.refusals.isRefused(pool.type.name, zone, pool.spot, clock()),
     );
-    for (const [zone, share] of spreadOverZones(missing, openZones, pool.machines)) {
-      // One call rents only so many: a site that starts from nothing takes several for each zone.
-      for (let left = share; left > 0 && !term.signal.aborted; left -= maxMachinesPerRental) {
-        if (!(await this.rentInZone(pool, zone, Math.min(left, maxMachinesPerRental)))) break;
+    for (const [zone, share] of spreadOverZones(toRent, availableZones, pool.machines)) {
+      // One request rents at most `maxMachinesPerRental` machines. A site that starts without machines needs
+      // several requests for each zone.
+      for (let remaining = share; remaining > 0 && !term.signal.aborted; remaining -= maxMachinesPerRental) {
+        if (!(await this.rentInZone(pool, zone, Math.min(remaining, maxMachinesPerRental)))) break;
       }
     }
   }
 
-  /** Keeps up to `count` draining machines, which is quicker than renting. Returns how many were kept. */
-  private keepDraining(pool: Pool, count: number): number {
-    const kept = pool.draining.filter(({ id }) => this.inventory.canKeep(id)).slice(0, count);
-    for (const { id } of kept) this.inventory.keep(id);
-    return kept.length;
+  /**
+   * Cancels the drain of up to `count` machines, which is quicker than renting. Returns the number of
+   * machines retained.
+   */
+  private cancelDrains(pool: Pool, count: number): number {
+    const retained = pool.draining.filter(({ id }) => this.inventory.canCancelDrain(id)).slice(0, count);
+    for (const { id } of retained) this.inventory.cancelDrain(id);
+    return retained.length;
   }
 
-  /** Returns true where all that was asked for was rented. */
+  /** Requests machines in a zone. Returns true if all requested machines were rented. */
   private async rentInZone(pool: Pool, zone: string, requested: number): Promise<boolean> {
     const { clock, cloud, log } = this.ports;
     const { name: type } = pool.type;
@@ -70,44 +77,49 @@
     if (rented.length > 0) {
       this.refusals.clear(type, zone, spot);
       const machines = { count: rented.length, first: rented[0], last: rented.at(-1) };
-      log.info({ event: 'scaled-out', pool: key, zone, requested, ...machines }, 'machines rented');
+      log.info(
+        { event: 'scaled-out', pool: key, zone, requested, ...machines },
+        'rented machines to scale the pool out',
+      );
     }
     if (rented.length === requested) return true;
-    // The cloud only asks to slow down, which is no refusal: the next evaluation asks again.
+    // A busy cloud only asks for fewer requests and has not refused capacity: the next evaluation sends the
+    // request again.
     if (outcome.kind === 'busy') return false;
     this.refusals.recordRefusal(type, zone, spot, clock());
     log.info(
       { event: 'scale-out-refused', pool: key, zone, requested, reason: outcome.kind },
-      'capacity refused',
+      'cloud did not confirm all requested machines; backing off from this zone for the pool',
     );
     return false;
   }
 }
 
 /**
- * How many of `count` new machines each open zone gets, so that the pool is spread evenly: each goes to the zone with the
- * fewest machines, of several to the first by name. Zones that get none are left out; without an open zone none does.
+ * Distributes `count` new machines over the available zones, so that the pool is spread evenly. Each machine
+ * goes to the zone with the fewest machines; of several such zones, to the first by name. Returns the number
+ * of new machines by zone, without zones that get none. The result is empty if no zone is available.
  */
 export function spreadOverZones(
   count: number,
-  openZones: Iterable<string>,
+  availableZones: Iterable<string>,
   machines: Iterable<{ zone: string }>,
 ): Map<string, number> {
   const machinesInZone = new Map<string, number>();
-  for (const { zone } of machines) addOne(machinesInZone, zone);
-  const zones = [...openZones];
+  for (const { zone } of machines) increment(machinesInZone, zone);
+  const zones = [...availableZones];
   const shares = new Map<string, number>();
-  for (let left = count; left > 0; left--) {
-    const emptiest = zones.sort(
+  for (let remaining = count; remaining > 0; remaining--) {
+    const targetZone = zones.sort(
       (a, b) => (machinesInZone.get(a) ?? 0) - (machinesInZone.get(b) ?? 0) || (a < b ? -1 : 1),
     )[0];
-    if (emptiest === undefined) break;
-    addOne(machinesInZone, emptiest);
-    addOne(shares, emptiest);
+    if (targetZone === undefined) break;
+    increment(machinesInZone, targetZone);
+    increment(shares, targetZone);
   }
   return shares;
 }
 
-function addOne(counts: Map<string, number>, key: string): void {
+function increment(counts: Map<string, number>, key: string): void {
   counts.set(key, (counts.get(key) ?? 0) + 1);
 }
--- a/src/ladder/scaling-windows.test.ts
+++ b/src/ladder/scaling-windows.test.ts
@@ -6,10 +6,10 @@
 import { Ladder } from './ladder.js';
 import { ScaleInWindow, ScaleOutWindow } from './scaling-windows.js';
 
-const shape = { slotShare: 0.125, startShare: 0.8 };
+const ladderSettings = { slotShare: 0.125, startShare: 0.8 };
 
-test('machines are scaled in once they have been too many for a boot time, as many as there were all along', () => {
-  const ladder = new Ladder(shape);
+test('machines are scaled in after a boot time of surplus, as many as were surplus throughout', () => {
+  const ladder = new Ladder(ladderSettings);
   const window = new ScaleInWindow();
   const pool = (counted: number): Parameters<ScaleInWindow['machinesToRemove']>[0] => ({
     key: 'c8/spot',
@@ -20,20 +20,20 @@
   const trace: [number, number, number][] = [
     [0, 5, 0],
     [39_000, 5, 0],
-    [39_500, 20, 0], // demand is back: the count starts anew
+    [39_500, 20, 0], // all machines are needed again: a new boot time of surplus must pass
     [40_000, 0, 0],
     [60_000, 5, 0],
     [79_000, 0, 0],
-    [80_000, 0, 2], // one of the three was needed in between
+    [80_000, 0, 2], // one of the three machines was needed within the window
     [119_000, 0, 3],
   ];
   for (const [now, counted, count] of trace)
     assert.equal(window.machinesToRemove(pool(counted), ladder, now), count, `at ${now}`);
 });
 
-test('what has no room is scaled out for at once, the reserve only once it has been lacking for a while', () => {
-  const ladder = new Ladder(shape);
-  const window = new ScaleOutWindow(shape.slotShare);
+test('a pool is scaled out at once for demand beyond its capacity, but for the reserve only after a while', () => {
+  const ladder = new Ladder(ladderSettings);
+  const window = new ScaleOutWindow(ladderSettings.slotShare);
   const pool = (counted: number): Parameters<ScaleOutWindow['machinesToAdd']>[0] => ({
     key: 'c8/spot',
     countedSlots: counted,
@@ -41,7 +41,7 @@
     type: { bootS: 40 } as MachineType,
   });
   const trace: [number, number, number][] = [
-    [0, 78, 0], // ten machines have room for 80; the ladder would have thirteen
+    [0, 78, 0], // ten machines have a capacity of 80 slots; the ladder's target is thirteen machines
     [5000, 60, 0],
     [10_000, 78, 0],
     [12_000, 100, 3],
--- a/src/ladder/scaling-windows.ts
+++ b/src/ladder/scaling-windows.ts
@@ -1,4 +1,4 @@
-/** How long demand has to last before a pool is scaled out or in. */
+/** Windows over which a shortage or surplus of machines must last before a pool is scaled out or in. */
 import type { Ladder } from './ladder.js';
 import type { Pool } from './pools.js';
 import { slotsPerMachine } from './slots.js';
@@ -6,18 +6,21 @@
 
 type PoolDemand = Pick<Pool, 'key' | 'type' | 'machines' | 'countedSlots'>;
 
-/** The share of a type's boot time for which the ladder's reserve must be lacking before it is rented. */
+/**
+ * Share of a type's boot time for which the ladder's reserve must be missing before machines are rented for
+ * it.
+ */
 const scaleOutWindowBootTimeShare = 1 / 4;
 
 /**
- * Decides how many machines a pool can do without. Only those count that have not been needed throughout a boot time: a
- * machine that is released too soon is paid for again while its successor boots, and work waits meanwhile. After a boot
- * time, keeping it has cost as much as renting anew would.
+ * Decides how many machines a pool can release. Only machines that were surplus throughout a boot time count.
+ * If a machine is released too soon, its replacement is paid for while it boots, and tasks wait meanwhile.
+ * After a boot time, keeping the machine has cost as much as renting a new one would.
  */
 export class ScaleInWindow {
   private readonly sustainedSurplus = new SustainedMinimum();
 
-  /** Records the pool's demand at this time, and returns the number of machines to scale in. */
+  /** Records the pool's demand at `now` and returns the number of machines to remove. */
   machinesToRemove(pool: PoolDemand, ladder: Ladder, now: number): number {
     const { key, type, machines, countedSlots } = pool;
     let needed = machines.length;
@@ -27,22 +30,22 @@
 }
 
 /**
- * Decides how many machines a pool lacks. For work beyond the capacity of the machines there are it scales out at once.
- * The reserve that the ladder keeps beyond that is rented only after it has been lacking for a while: a burst that the
- * present machines can take is over before a machine rented for it has booted.
+ * Decides how many machines a pool is short of. Demand beyond the capacity of the present machines is scaled
+ * out for at once. The reserve that the ladder adds to that is rented only after it has been missing for a
+ * while: a burst that fits the present machines is over before a machine that was rented for it has booted.
  */
 export class ScaleOutWindow {
-  private readonly sustainedLack = new SustainedMinimum();
+  private readonly sustainedShortage = new SustainedMinimum();
 
   constructor(private readonly slotShare: number) {}
 
-  /** Records the pool's demand at this time, and returns the number of machines to scale out by. */
+  /** Records the pool's demand at `now` and returns the number of machines to add. */
   machinesToAdd(pool: PoolDemand, ladder: Ladder, now: number): number {
     const { key, type, machines, countedSlots } = pool;
-    const lack = ladder.scaleOutTarget(machines.length, countedSlots) - machines.length;
+    const shortage = ladder.scaleOutTarget(machines.length, countedSlots) - machines.length;
     const windowMs = type.bootS * 1000 * scaleOutWindowBootTimeShare;
-    const sustainedLack = this.sustainedLack.record(key, lack, now, windowMs);
+    const sustainedShortage = this.sustainedShortage.record(key, shortage, now, windowMs);
     const beyondCapacity = Math.ceil(countedSlots / slotsPerMachine(this.slotShare)) - machines.length;
-    return Math.max(sustainedLack, Math.min(lack, beyondCapacity));
+    return Math.max(sustainedShortage, Math.min(shortage, beyondCapacity));
   }
 }
--- a/src/ladder/threshold-store.ts
+++ b/src/ladder/threshold-store.ts
@@ -1,4 +1,4 @@
-/** Persistence of the moved thresholds: they survive a change of leader. */
+/** Persistence of the moved thresholds, so that they survive a change of leader. */
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -7,7 +7,7 @@
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
 import type { Ladder, MovedThreshold } from './ladder.js';
 
-/** What the threshold store uses of the controller. */
+/** The parts of the controller that the threshold store uses. */
 export interface ThresholdStorePorts {
   mirror: Pick<Mirror, 'get'>;
   commits: Pick<CommitQueue, 'commit'>;
@@ -15,18 +15,18 @@
   settings: Pick<Settings, 'state'>;
 }
 
-/** Loads and saves the moved thresholds of each pool; saving is conditioned on the leader's term. */
+/** Loads and saves the moved thresholds of each pool. A save succeeds only while the leader's term lasts. */
 export class ThresholdStore {
   constructor(private readonly ports: ThresholdStorePorts) {}
 
-  /** The thresholds of the pool as the last leader saved them; none where there is no record. */
+  /** The moved thresholds of the pool that were last saved; empty if there is no record. */
   load(pool: string): MovedThreshold[] {
     return parseLadder(this.ports.mirror.get(ladderKey(pool))?.value);
   }
 
   /**
-   * Saves the moved thresholds of the pool, as many of the last moved as a value holds. A failed commit is not repeated:
-   * the next move saves them again.
+   * Saves the moved thresholds of the pool. If a stored value cannot hold all of them, the most recently
+   * moved ones are saved. A failed commit is not retried, because the next move saves the thresholds again.
    */
   async save(pool: string, ladder: Ladder): Promise<void> {
     const { commits, term, settings } = this.ports;
--- a/src/ladder/threshold-tuner.ts
+++ b/src/ladder/threshold-tuner.ts
@@ -1,47 +1,54 @@
-/** Online tuning of a pool's thresholds by the share of tasks that failed over a window. */
+/** Online tuning of a pool's thresholds by the share of tasks that failed within a time window. */
 import type { Ladder } from './ladder.js';
 
 /**
- * Tasks of a pool that arrived or were displaced at one time. A task fails when it has to wait on arrival, or loses its
- * machine.
+ * The tasks of a pool that arrived or were displaced at one time. A task fails if it has to wait on arrival
+ * or loses its machine.
  */
 export interface FailureSample {
   /** Monotonic time in ms. */
   observedAt: number;
-  /** Tasks that arrived. */
+  /** Number of tasks that arrived. */
   tasks: number;
-  /** Tasks that had to wait for a machine, or lost theirs. */
+  /** Number of tasks that had to wait for a machine or lost their machine. */
   failed: number;
-  /** The next machine to be rented at that time: with a lower threshold it might have been there. */
+  /**
+   * Number of the next machine to be rented at that time. With a lower threshold it might already have been
+   * rented.
+   */
   machineNumber: number;
 }
 
-/** What the tuner aims at. */
+/** The target and the window of the tuner. */
 export interface TunerSettings {
-  /** The share of failed tasks above which a threshold goes down. */
+  /** The share of failed tasks above which a threshold is lowered. */
   targetFailureRatio: number;
-  /** For how long a sample counts. */
+  /** Time in ms for which a sample counts. */
   windowMs: number;
 }
 
-/** One step of the tuning. */
+/** One tuning step: the threshold that was moved, and by how many slots. */
 export interface ThresholdMove {
   machineNumber: number;
   bySlots: 1 | -1;
 }
 
-/** Moves one threshold of a pool by one slot per period: down while too many tasks fail, else up. */
+/**
+ * Moves one threshold of a pool by one slot per call of `tune`: down if too many tasks failed, otherwise up.
+ */
 export class ThresholdTuner {
   private samples: FailureSample[] = [];
 
   constructor(private readonly settings: TunerSettings) {}
 
-  /** Takes a sample into the window. */
-  add(sample: FailureSample): void {
+  /** Adds a sample to the window. */
+  addSample(sample: FailureSample): void {
     this.samples.push(sample);
   }
 
-  /** The share of tasks that failed within the window; undefined where none arrived in it. */
+  /**
+   * The share of tasks that failed within the window that ends at `now`; undefined if no task arrived in it.
+   */
   failureRatio(now: number): number | undefined {
     this.samples = this.samples.filter((sample) => now - sample.observedAt <= this.settings.windowMs);
     const tasks = this.samples.reduce((sum, sample) => sum + sample.tasks, 0);
@@ -50,8 +57,9 @@
   }
 
   /**
-   * Moves a threshold of the ladder: the one with most failures in the window, or that of the next machine to be rented.
-   * Returns the move, or undefined where nothing arrived in the window or the threshold is at its bound.
+   * Moves a threshold of the ladder: the one with most failures in the window or, if no task failed, that of
+   * the next machine to be rented. Returns the move, or undefined if no task arrived in the window or the
+   * threshold is at its bound.
    */
   tune(ladder: Ladder, nextMachineNumber: number, now: number): ThresholdMove | undefined {
     const failureRatio = this.failureRatio(now);
@@ -61,7 +69,9 @@
     return ladder.move(machineNumber, bySlots) ? { machineNumber, bySlots } : undefined;
   }
 
-  /** The threshold in force at most failures of the window; of several the lowest. */
+  /**
+   * The machine number with most failures in the window, the lowest of several; undefined if no task failed.
+   */
   private thresholdWithMostFailures(): number | undefined {
     const failedByMachineNumber = new Map<number, number>();
     for (const { failed, machineNumber } of this.samples) {
