--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -9,17 +9,19 @@
 import { parsePeerStatus, type PeerStatus } from '../wire/peer-status.js';
 import { PeerLinks } from './peer-links.js';
 
-// Guards against links over which every status arrived and none was understood: the reader made maps of what the writer had
-// packed as objects, and nothing that rests on the status of peers was ever in force.
-test('what a controller says of itself arrives whole at its peer, over a real connection', async () => {
+// Guards against links that deliver every status but decode none: the receiver decoded as Maps what the
+// sender had packed as objects, so that no rule that depends on the statuses of peers ever took effect.
+test('a peer receives all fields of a status over a real connection', async () => {
   const stop = new AbortController();
   const port = 24_900;
-  const heard: PeerStatus[] = [];
-  const end = (index: number, onStatus: (status: PeerStatus) => void): PeerLinks => {
+  const receivedStatuses: PeerStatus[] = [];
+  const createLinks = (index: number, onStatus: (status: PeerStatus) => void): PeerLinks => {
     const settings = testSettings((file) => {
-      const [own, other] = index === 0 ? [0, 1] : [1, 0];
-      const others = [{ label: `keel-${other}`, location: 'a', address: `127.0.0.1:${port + other}` }];
-      Object.assign(file, { label: `keel-${own}`, back: `127.0.0.1:${port + own}`, others });
+      const [ownIndex, otherIndex] = index === 0 ? [0, 1] : [1, 0];
+      const others = [
+        { label: `keel-${otherIndex}`, location: 'a', address: `127.0.0.1:${port + otherIndex}` },
+      ];
+      Object.assign(file, { label: `keel-${ownIndex}`, back: `127.0.0.1:${port + ownIndex}`, others });
     });
     return new PeerLinks({
       clock: steadyClock,
@@ -37,14 +39,14 @@
       cancellationsSince: (revision) => ({ cancelledSince: revision, cancelled: [['req-000001', 40]] }),
     });
   };
-  const links = [end(0, () => undefined), end(1, (status) => heard.push(status))];
+  const links = [createLinks(0, () => undefined), createLinks(1, (status) => receivedStatuses.push(status))];
   for (const link of links) void link.run(stop.signal);
   const deadline = Date.now() + 5000;
   while (links[1]?.lastStatus('keel-0') === undefined && Date.now() < deadline) {
     await new Promise((resolve) => setTimeout(resolve, 50));
   }
   stop.abort();
-  const last = heard.at(-1);
+  const last = receivedStatuses.at(-1);
   assert.deepEqual(
     [
       last?.from,
@@ -91,10 +93,13 @@
   ],
 };
 
-const kept: Record<string, PeerStatus> = { plain: plainStatus, leader: leaderStatus };
+const sampleStatuses: Record<string, PeerStatus> = { plain: plainStatus, leader: leaderStatus };
 
-/** The controller that says these things of itself, listening on one port and dialling its peer on the next. */
-function speaker(status: PeerStatus, port: number, onStatus: (status: PeerStatus) => void): PeerLinks {
+/**
+ * The links of a controller that sends this status. It listens on `port` and connects to its peer on the next
+ * port.
+ */
+function createSender(status: PeerStatus, port: number, onStatus: (status: PeerStatus) => void): PeerLinks {
   const {
     from,
     incarnation,
@@ -123,7 +128,7 @@
   });
 }
 
-/** The first bytes that come in on a port. */
+/** The first `count` bytes received on a port. */
 function firstBytes(port: number, count: number, signal: AbortSignal): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     let received = Buffer.alloc(0);
@@ -140,7 +145,7 @@
   });
 }
 
-/** Sends bytes to a port as soon as somebody listens there. */
+/** Sends bytes to a port as soon as a server listens there. */
 async function sendBytes(port: number, bytes: Buffer): Promise<Socket> {
   for (;;) {
     const socket = createConnection({ host: '127.0.0.1', port });
@@ -156,18 +161,18 @@
   }
 }
 
-/** A status that is not understood is waited for in vain. */
+/** Without a time-out, a test would wait forever for a status that is not decoded. */
 const linkTimeoutMs = 10_000;
 
-// Guards against controllers of two versions that no longer understand each other.
-for (const [index, [name, status]] of Object.entries(kept).entries()) {
+// Guards against controllers of two versions that cannot decode each other's statuses.
+for (const [index, [name, status]] of Object.entries(sampleStatuses).entries()) {
   test(
-    `a status goes out in the same fields and bytes as ever: ${name}`,
+    `a status is sent with the same fields and bytes as in earlier versions: ${name}`,
     { timeout: linkTimeoutMs },
     async () => {
       const port = 24_910 + index * 10;
       const stop = new AbortController();
-      const links = speaker(status, port, () => undefined);
+      const links = createSender(status, port, () => undefined);
       const { echoedSequence, echoedIncarnation } = status;
       if (echoedSequence > 0)
         links.receive({
@@ -186,28 +191,34 @@
   );
 
   test(
-    `a status of an earlier version is read in all its fields: ${name}`,
+    `all fields of a status from an earlier version are read: ${name}`,
     { timeout: linkTimeoutMs },
     async () => {
       const port = 24_912 + index * 10;
       const stop = new AbortController();
-      const heard = new Promise<PeerStatus>((resolve) => {
-        const links = speaker({ ...plainStatus, from: 'keel-1' }, port, resolve);
+      const receivedStatus = new Promise<PeerStatus>((resolve) => {
+        const links = createSender({ ...plainStatus, from: 'keel-1' }, port, resolve);
         void links.run(stop.signal);
       });
       const socket = await sendBytes(port, samples.bytes(name));
-      assert.deepEqual(await heard, status);
+      assert.deepEqual(await receivedStatus, status);
       socket.destroy();
       stop.abort();
     },
   );
 }
 
-/** Links without sockets; `at` sets the clock, `reaches` the revision of our replica of the store. */
-function pinnedLinks(): { at: (now: number) => PeerLinks; reaches: (revision: number) => void } {
+/**
+ * Links without sockets. `linksAt` sets the clock and returns the links; `setStoreRevision` sets the revision
+ * of this controller's replica of the store.
+ */
+function createLinksWithSetClock(): {
+  linksAt: (now: number) => PeerLinks;
+  setStoreRevision: (revision: number) => void;
+} {
   let now = 0;
   let storeRevision = 40;
-  const own = new PeerLinks({
+  const links = new PeerLinks({
     clock: () => now,
     log: silentLog,
     settings: testSettings(),
@@ -222,11 +233,11 @@
     }),
     cancellationsSince: (revision) => ({ cancelledSince: revision, cancelled: [] }),
   });
-  const at = (time: number): PeerLinks => {
+  const linksAt = (time: number): PeerLinks => {
     now = time;
-    return own;
+    return links;
   };
-  return { at, reaches: (revision) => void (storeRevision = revision) };
+  return { linksAt, setStoreRevision: (revision) => void (storeRevision = revision) };
 }
 
 const statusWithoutSequence: Omit<PeerStatus, 'sequence' | 'echoedSequence'> = {
@@ -242,71 +253,72 @@
   echoedIncarnation: 'mine',
 };
 
-test('a status is dated by the echo of our own message, so one that was delayed proves nothing new', () => {
-  const { at } = pinnedLinks();
-  const first = at(1000).compose('keel-1');
-  at(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
-  assert.deepEqual(at(9000).lastStatus('keel-1'), {
+test('the echo bounds the creation time of a status, so a delayed status proves nothing new', () => {
+  const { linksAt } = createLinksWithSetClock();
+  const first = linksAt(1000).composeStatus('keel-1');
+  linksAt(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
+  assert.deepEqual(linksAt(9000).lastStatus('keel-1'), {
     notBefore: 1000,
     storeContactAgeMs: 40,
     cancellationsKnownUntil: 1000,
   });
-  const second = at(9000).compose('keel-1');
+  const second = linksAt(9000).composeStatus('keel-1');
   assert.deepEqual([second.echoedSequence, second.echoedIncarnation], [1, 'theirs']);
-  at(9000).receive({
+  linksAt(9000).receive({
     ...statusWithoutSequence,
     sequence: 3,
     echoedSequence: second.sequence,
     storeContactAgeMs: 50,
   });
-  at(9000).receive({
+  linksAt(9000).receive({
     ...statusWithoutSequence,
     sequence: 2,
     echoedSequence: first.sequence,
     storeContactAgeMs: 60,
   });
-  assert.deepEqual(at(9000).lastStatus('keel-1'), {
+  assert.deepEqual(linksAt(9000).lastStatus('keel-1'), {
     notBefore: 9000,
     storeContactAgeMs: 50,
     cancellationsKnownUntil: 9000,
   });
-  at(9000).receive({
+  linksAt(9000).receive({
     ...statusWithoutSequence,
     from: 'stranger',
     sequence: 9,
     echoedSequence: second.sequence,
   });
-  assert.equal(at(9000).lastStatus('stranger'), undefined);
+  assert.equal(linksAt(9000).lastStatus('stranger'), undefined);
 });
 
-// Guards against a list of cancellations that does not reach back to what we know: of a new incarnation of the peer, or after
-// the list was cut.
-test('cancellations count as known only where the list of the peer reaches back to our own replica', () => {
-  const { at, reaches } = pinnedLinks();
-  const echo = at(1000).compose('keel-1').sequence;
-  at(1500).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: echo });
-  const later = at(2000).compose('keel-1').sequence;
-  at(2500).receive({
+// Guards against a list of cancellations that begins after the revision of this controller's replica. This
+// happens with a new incarnation of the peer, or after the peer has shortened its list.
+test('cancellations count as known only if the list of the peer reaches back to the replica', () => {
+  const { linksAt, setStoreRevision } = createLinksWithSetClock();
+  const firstSequence = linksAt(1000).composeStatus('keel-1').sequence;
+  linksAt(1500).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: firstSequence });
+  const secondSequence = linksAt(2000).composeStatus('keel-1').sequence;
+  linksAt(2500).receive({
     ...statusWithoutSequence,
     incarnation: 'next',
     sequence: 1,
-    echoedSequence: later,
+    echoedSequence: secondSequence,
     cancelledSince: 41,
   });
-  assert.deepEqual(at(2500).lastStatus('keel-1'), {
+  assert.deepEqual(linksAt(2500).lastStatus('keel-1'), {
     notBefore: 2000,
     storeContactAgeMs: 40,
     cancellationsKnownUntil: 1000,
   });
-  // Once our replica has reached what its new incarnation read first, nothing is missing.
-  reaches(41);
-  const last = at(3000).compose('keel-1').sequence;
-  at(3500).receive({
+  // When the replica has reached the revision from which the new incarnation of the peer lists cancellations,
+  // no cancellation is missing.
+  setStoreRevision(41);
+  const thirdSequence = linksAt(3000).composeStatus('keel-1').sequence;
+  linksAt(3500).receive({
     ...statusWithoutSequence,
     incarnation: 'next',
     sequence: 2,
-    echoedSequence: last,
+    echoedSequence: thirdSequence,
     cancelledSince: 41,
   });
-  assert.equal(at(3500).lastStatus('keel-1')?.cancellationsKnownUntil, 3000);
+  assert.equal(linksAt(3500).lastStatus('keel-1')?.cancellationsKnownUntil, 3000);
 });
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -1,4 +1,6 @@
-/** Connections between the controllers, over which each tells the others its status several times in a heartbeat interval. */
+/**
+ * Connections over which each controller sends its status to its peers several times per heartbeat interval.
+ */
 import { createConnection, createServer, type Socket } from 'node:net';
 import { Readable, Writable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
@@ -18,65 +20,89 @@
   peerStatusRecord,
 } from '../wire/peer-status.js';
 
-/** What a peer last said of itself, and when at the earliest it can have said so. Moments are by our own clock, in ms. */
+/**
+ * The last status of a peer whose age could be bounded. Times are readings of this controller's clock, in ms.
+ */
 export interface LastPeerStatus {
-  /** When the message of ours that the status answers was sent: the status was made later than that. */
+  /**
+   * When this controller sent the message whose sequence number the status echoes. The peer created the
+   * status later than that.
+   */
   notBefore: number;
-  /** How long the peer had been without the store when it said so. */
+  /** How long the peer had been without contact to the store when it created the status, in ms. */
   storeContactAgeMs: number;
-  /** Every cancellation that the peer confirmed before this moment is known here: it has listed them without a gap. */
+  /**
+   * This controller knows every cancellation that the peer confirmed before this time, because the lists in
+   * the statuses of the peer have covered these cancellations without a gap.
+   */
   cancellationsKnownUntil: number;
 }
 
-/** What the links need of the rest of the controller. */
+/** What the peer links require from the rest of the controller. */
 export interface PeerLinksPorts {
   clock: Clock;
   log: Log;
   settings: Pick<Settings, 'label' | 'peerOn' | 'peers' | 'controllers' | 'heartbeatIntervalMs'>;
-  /** Tells one life of this process from the next. */
+  /** Identifies this process; a restarted process has a different one. */
   incarnation: string;
-  /** The revision that our replica of the store has reached. */
+  /** The revision that this controller's replica of the store has reached. */
   storeRevision: () => number;
-  /** What this controller says of itself now. */
+  /** The present values of the status fields that do not depend on the links. */
   localStatus: () => Pick<
     PeerStatus,
     'storeContactAgeMs' | 'fencingToken' | 'terminatedMachines' | 'bootedMachines'
   >;
-  /** All cancellations that we can have confirmed and a peer whose replica has reached this revision may lack. */
+  /**
+   * All cancellations that this controller may have confirmed and that may be missing from the replica of a
+   * peer which has reached this revision.
+   */
   cancellationsSince: (revision: number) => ListedCancellations;
-  /** Called with each status that is newer than those that came before it. */
+  /** Called with each received status that is newer than all earlier ones from the same peer. */
   onStatus: (status: PeerStatus) => void;
 }
 
-/** The last message from a peer. */
-interface LastReceived {
+/** Fields of the last status received from a peer that the next status to that peer depends on. */
+interface LastReceivedStatus {
   incarnation: string;
   sequence: number;
   storeRevision: number;
 }
 
-/** Statuses in a heartbeat interval: what they date decides on tens of seconds. */
+/**
+ * Statuses sent per heartbeat interval. The times that they prove are used for decisions on a scale of tens
+ * of seconds.
+ */
 const statusesPerHeartbeat = 4;
 const minStatusIntervalMs = 500;
-/** For so many of our latest messages we remember when they were sent. */
+/** Send times are kept for this many of the latest statuses. */
 const sentTimesKept = 120;
-/** A link that has been silent for so many status intervals is dead; its sender connects again. */
+/** A link without traffic for this many status intervals is closed; the sending side then connects again. */
 const idleTimeoutStatuses = 20;
-/** A status waits while this much is queued on the socket: behind a cut the peer would get them late and in bulk. */
+/**
+ * No status is sent while this many bytes or more are queued on the socket. During a network partition the
+ * queued statuses would otherwise grow in number, and the peer would receive them late and all at once.
+ */
 const maxQueuedBytes = 4096;
-/** Connections that we accept, for each controller: those of a peer that has restarted may linger. */
+/**
+ * Incoming connections accepted per controller. More than one, as connections of a restarted peer may stay
+ * open.
+ */
 const maxConnectionsPerController = 4;
-/** Both ends must agree: a reader with the library's defaults gets a Map, of which no field can be read. */
+/**
+ * Both ends must use the same options: a receiver with the library's defaults decodes a status as a Map, and
+ * the fields of a Map cannot be read as properties.
+ */
 const messagePackOptions = { useRecords: false };
 
 /**
- * Links between controllers. Each status echoes the sequence number of the last one heard from its receiver, which dates it: a
- * status that a partition held back and delivered late proves nothing about now.
+ * Links between controllers. Each status echoes the sequence number of the last status received from its
+ * receiver. From the echo, the receiver derives the earliest time at which the status can have been created.
+ * A status that a network partition delayed is therefore not taken for a recent one.
  */
 export class PeerLinks {
   private lastSequence = 0;
   private readonly sentAtBySequence = new Map<number, number>();
-  private readonly lastReceived = new Map<string, LastReceived>();
+  private readonly lastReceived = new Map<string, LastReceivedStatus>();
   private readonly lastStatuses = new Map<string, LastPeerStatus>();
 
   private readonly statusIntervalMs: number;
@@ -88,12 +114,15 @@
     );
   }
 
-  /** The last status of a peer that could be dated; undefined before the first. */
+  /** The last status of a peer whose creation time could be bounded; undefined before the first. */
   lastStatus(label: string): LastPeerStatus | undefined {
     return this.lastStatuses.get(label);
   }
 
-  /** Takes a status that has arrived. Strangers' statuses, and those that a later one has overtaken, are ignored. */
+  /**
+   * Processes a received status. Ignores statuses of senders that are not configured as peers, and statuses
+   * that arrive after a later one of the same incarnation.
+   */
   receive(status: PeerStatus): void {
     const { settings, onStatus } = this.ports;
     const { from, incarnation, sequence, storeRevision } = status;
@@ -102,25 +131,29 @@
     if (last?.incarnation === incarnation && last.sequence >= sequence) return;
     this.lastReceived.set(from, { incarnation, sequence, storeRevision });
     onStatus(status);
-    this.date(status);
+    this.updateLastStatus(status);
   }
 
-  /** Remembers the status with the moment at which it can have been made at the earliest, where its echo tells. */
-  private date(status: PeerStatus): void {
+  /**
+   * Stores the status with the earliest time at which it can have been created. Ignores a status that echoes
+   * another incarnation of this controller, or a sequence number whose send time is no longer kept.
+   */
+  private updateLastStatus(status: PeerStatus): void {
     const { incarnation, storeRevision } = this.ports;
     const { from, storeContactAgeMs, cancelledSince, echoedSequence, echoedIncarnation } = status;
     if (echoedIncarnation !== incarnation) return;
     const notBefore = this.sentAtBySequence.get(echoedSequence);
     if (notBefore === undefined) return;
-    // What an earlier status listed stays known, also where a new incarnation of the peer cannot list it again.
-    const isComplete = cancelledSince <= storeRevision();
-    const knownBefore = this.lastStatuses.get(from)?.cancellationsKnownUntil ?? -Infinity;
-    const cancellationsKnownUntil = isComplete ? notBefore : knownBefore;
+    // Cancellations listed by an earlier status stay known, even if a new incarnation of the peer cannot list
+    // them again.
+    const isListComplete = cancelledSince <= storeRevision();
+    const previouslyKnownUntil = this.lastStatuses.get(from)?.cancellationsKnownUntil ?? -Infinity;
+    const cancellationsKnownUntil = isListComplete ? notBefore : previouslyKnownUntil;
     this.lastStatuses.set(from, { notBefore, storeContactAgeMs, cancellationsKnownUntil });
   }
 
-  /** The next status to a peer; it is taken to be sent now. */
-  compose(receiver: string): PeerStatus {
+  /** Creates the next status for a peer and records the present time as its send time. */
+  composeStatus(receiver: string): PeerStatus {
     const { settings, incarnation, localStatus, storeRevision, cancellationsSince, clock } = this.ports;
     const received = this.lastReceived.get(receiver);
     const sequence = ++this.lastSequence;
@@ -138,7 +171,7 @@
     };
   }
 
-  /** Accepts the peers' connections and keeps one to each of them, until the signal fires. */
+  /** Accepts connections from peers and maintains one connection to each peer, until the signal fires. */
   async run(signal: AbortSignal): Promise<void> {
     const { settings, log } = this.ports;
     await Promise.all([
@@ -169,7 +202,10 @@
 
   private acceptConnection(socket: Socket, signal: AbortSignal): void {
     this.receiveStatuses(socket, signal).catch((error: unknown) => {
-      this.ports.log.debug({ event: 'peer-link-lost', err: error }, 'incoming peer link ended');
+      this.ports.log.debug(
+        { event: 'peer-link-lost', err: error },
+        'incoming peer link closed; the peer is expected to reconnect',
+      );
     });
   }
 
@@ -197,7 +233,10 @@
       });
       await pipeline(statuses, new PackrStream(messagePackOptions), socket, { signal });
     } catch (error) {
-      this.ports.log.debug({ event: 'peer-link-lost', peer: label, err: error }, 'outgoing peer link ended');
+      this.ports.log.debug(
+        { event: 'peer-link-lost', peer: label, err: error },
+        'outgoing peer link closed; reconnects unless shutting down',
+      );
     } finally {
       socket.destroy();
     }
@@ -205,7 +244,7 @@
 
   private async *statusStream(label: string, socket: Socket, signal: AbortSignal): AsyncGenerator {
     while (!signal.aborted) {
-      if (socket.writableLength < maxQueuedBytes) yield peerStatusRecord(this.compose(label));
+      if (socket.writableLength < maxQueuedBytes) yield peerStatusRecord(this.composeStatus(label));
       await sleep(this.statusIntervalMs, signal);
     }
   }
