--- a/src/store/adaptive-share.test.ts
+++ b/src/store/adaptive-share.test.ts
@@ -3,11 +3,11 @@
 
 import { AdaptiveShare, type PacedCommit } from './adaptive-share.js';
 
-// Guards against submissions that wait behind a fixed share while the others leave theirs unused.
-test('a share grows while users wait and nothing is refused, shrinks while nobody waits, and halves with a refusal', () => {
+// Guards against submissions that wait because of a fixed share while other controllers leave theirs unused.
+test('a share grows while users wait, shrinks while no user waits, and halves on a refusal', () => {
   const adaptiveShare = new AdaptiveShare(0);
-  const factorAfter = (commit: PacedCommit, times: number, from: number): number => {
-    for (let i = 1; i <= times; i++) adaptiveShare.recordCommit(commit, from + i * 1000);
+  const factorAfter = (commit: PacedCommit, times: number, startMs: number): number => {
+    for (let i = 1; i <= times; i++) adaptiveShare.recordCommit(commit, startMs + i * 1000);
     return adaptiveShare.factor;
   };
   assert.equal(factorAfter({ refused: false, waited: false }, 5, 0), 1);
@@ -19,8 +19,9 @@
   assert.equal(factorAfter({ refused: true, waited: false }, 9, 82_000), 1);
 });
 
-// Guards against a controller that goes on asking for the present rates once lower ones hold, and is refused for ever.
-test('refusals cut an even share down to what announced limits leave of it, and it recovers slowly', () => {
+// Guards against a controller that keeps the present request rate after lower limits take effect, and whose
+// commits are then refused forever.
+test('refusals reduce an even share to what announced limits leave, and it recovers slowly', () => {
   const adaptiveShare = new AdaptiveShare(0, 0.7);
   for (let i = 0; i < 3; i++) adaptiveShare.recordCommit({ refused: true, waited: false }, i * 100);
   assert.equal(adaptiveShare.factor.toFixed(3), '0.729');
--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -1,33 +1,42 @@
-/** The adaptive part of a controller's share of the state service's write limit. */
+/** Adapts a controller's share of the state service's write limit to demand and to refusals. */
 
-/** How fast a share grows above an even one while a user has to wait, as a part of the even share a second. */
+/** Growth of a share above the even share while users wait, as a fraction of the even share per second. */
 const growthPerSecond = 0.5;
-/** How fast a share shrinks back to an even one while nobody has to wait. */
+/**
+ * Decay of a share towards the even share while no user waits, as a fraction of the even share per second.
+ */
 const decayPerSecond = 0.1;
-/** The largest share, in even shares. */
+/** The largest share, as a multiple of the even share. */
 const maxFactor = 4;
-/** A share cut below an even one recovers so slowly that it reaches it only where the limits were raised again. */
+/**
+ * Growth of a share below the even share, as a fraction of the even share per second. It is so slow that the
+ * share reaches the even share only if the limits were raised again.
+ */
 const recoveryPerSecond = 0.01;
-/** What each refusal leaves of a share above an even one. */
+/** Each refusal multiplies a share above the even share by this factor. */
 const refusalFactorAboveEven = 1 / 2;
-/** What each refusal leaves of a share that is no more than an even one. */
+/** Each refusal multiplies a share equal to or below the even share by this factor. */
 const refusalFactorBelowEven = 0.9;
-/** A pause between two commits counts as at most this long. */
+/** The time between two commits counts as at most this many seconds of growth or decay. */
 const maxElapsedS = 1;
 
-/** What a commit says of the share. */
+/** The result of a commit, as far as the share depends on it. */
 export interface PacedCommit {
-  /** The service refused it for its limits. */
+  /** The service refused the commit because a rate limit was exceeded. */
   refused: boolean;
-  /** A user had to wait for its turn. Other work can be gathered, so that it waits is no reason for a larger share. */
+  /**
+   * A user had to wait until the commit was sent. Waiting of other work is not reported here: that work can
+   * be batched, so its waiting is no reason for a larger share.
+   */
   waited: boolean;
 }
 
 /**
- * How far a controller goes beyond its even share of the store's limits. The others seldom need all of theirs at the same
- * time, and no message says how much they leave: as long as the service refuses nothing, a controller that keeps users
- * waiting takes more, and each refusal halves its share, down to an even one. Where lower limits are announced, refusals
- * cut even shares down to what these will leave.
+ * The controller's share of the store's write limit, relative to an even share. The other controllers seldom
+ * need all of their shares at the same time, and no message reports how much of them is unused. Therefore the
+ * share grows while users wait and the service refuses nothing. Each refusal halves the share, down to the
+ * even share. If lower limits are announced, refusals reduce the share further, down to the part that the
+ * lower limits will leave.
  */
 export class AdaptiveShare {
   private updatedAt: number;
@@ -35,7 +44,7 @@
 
   /**
    * @param now the clock, in milliseconds
-   * @param minFactor the part of its even share that a controller keeps however much is refused, 0 to 1
+   * @param minFactor the part of its even share below which no refusal reduces the share, 0 to 1
    */
   constructor(
     now: number,
@@ -44,18 +53,21 @@
     this.updatedAt = now;
   }
 
-  /** The present share, in even shares. */
+  /** The present share, as a multiple of the even share. */
   get factor(): number {
     return this.currentFactor;
   }
 
-  /** Records a commit that ended at this time of the clock, in milliseconds; true where the factor has changed. */
+  /**
+   * Adapts the share to a commit that ended at `now`, a reading of the clock in milliseconds. Returns true if
+   * the factor has changed.
+   */
   recordCommit({ refused, waited }: PacedCommit, now: number): boolean {
     const elapsedS = Math.min(maxElapsedS, (now - this.updatedAt) / 1000);
-    const before = this.currentFactor;
+    const previousFactor = this.currentFactor;
     this.updatedAt = now;
     this.currentFactor = refused ? this.afterRefusal() : this.afterSuccess(waited, elapsedS);
-    return this.currentFactor !== before;
+    return this.currentFactor !== previousFactor;
   }
 
   private afterRefusal(): number {
--- a/src/store/change-watch.ts
+++ b/src/store/change-watch.ts
@@ -1,4 +1,4 @@
-/** The long poll by which the state service tells of changes. */
+/** Receives changes from the state service by long polling. */
 import { onAbort } from '../base/aborts.js';
 import type { Clock } from '../base/clock.js';
 import { type Answer, HttpPeer } from '../base/http.js';
@@ -6,29 +6,32 @@
 import { StoreConnectionError, StoreStatusError } from './errors.js';
 import type { StoreContact } from './store-contact.js';
 
-/** How long the service may hold a watch that has nothing to tell. */
+/** How long the service may hold a watch request open while there are no changes. */
 const watchHoldMs = 10_000;
 const watchTimeoutMs = watchHoldMs * 2;
 const compactedStatus = 410;
 
-/** Changes that a watch brought, in the order of their revisions. */
+/** The changes in the answer to one watch request, in the order of their revisions. */
 export interface ChangeBatch {
   changes: Change[];
-  /** The batch is complete up to this revision. */
+  /** The batch contains every change up to this revision. */
   revision: number;
 }
 
-/** What a watch needs. */
+/** What a watch requires from the rest of the client. */
 export interface ChangeWatchPorts {
   /** `host:port` of the state service. */
   address: string;
   clock: Clock;
-  /** Ends the open watch. */
+  /** Aborts the open watch request. */
   signal: AbortSignal;
   contact: Pick<StoreContact, 'recordRevision'>;
 }
 
-/** One watch at a time, on a connection of its own. It is neither paced nor proof of contact. */
+/**
+ * Sends one watch request at a time, on a connection of its own. Watch requests take no part in request
+ * pacing, and their answers do not count as proof of contact.
+ */
 export class ChangeWatch {
   private readonly peer: HttpPeer;
   private openWatch: AbortController | undefined;
@@ -38,11 +41,12 @@
   }
 
   /**
-   * Waits for changes after a revision; the batch is empty where none came within the time that the service holds a watch.
+   * Waits for changes after a revision. The batch is empty if there was no change while the service held the
+   * watch.
    *
-   * @returns undefined where the service no longer has these changes, and the keys must be read again
+   * @returns undefined if the service no longer has these changes and all keys must be read again
    * @throws {StoreConnectionError} when no answer arrives in time, or the watch was restarted
-   * @throws {StoreStatusError} for every other status
+   * @throws {StoreStatusError} when the answer has any other status than 200 and 410
    */
   async next(sinceRevision: number): Promise<ChangeBatch | undefined> {
     const { clock, contact } = this.ports;
@@ -54,7 +58,10 @@
     return parseChanges(answer.body);
   }
 
-  /** Gives the open watch up, since a network partition may have swallowed it; `next` then throws. */
+  /**
+   * Aborts the open watch request, since a network partition may have dropped it. The pending call of `next`
+   * then throws.
+   */
   restart(): void {
     this.openWatch?.abort();
   }
--- a/src/store/client.test.ts
+++ b/src/store/client.test.ts
@@ -9,20 +9,21 @@
 import { StoreClient } from './client.js';
 import { StoreConnectionError } from './errors.js';
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-// Guards against a controller that is back from a partition and for seconds does not learn that its block has a new owner.
+// Guards against a controller that regains contact after a network partition but for seconds receives no
+// changes, so that it does not see that its block has a new owner.
 test('a watch lost in a network partition is restarted once the store serves requests again', async () => {
   const statuses = [503, 200];
   const server = createServer((request, response) => {
-    // The watch is never answered.
+    // The server never answers the watch request.
     if (request.url?.startsWith('/changes')) return;
     reply(response, statuses.shift() ?? 404, { path: 'sk/lead', value: 1, stamp: 1 });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const settings = { ...testSettings(), stateAddress: `127.0.0.1:${port}` };
-  const client = new StoreClient(settings, steadyClock, never);
+  const client = new StoreClient(settings, steadyClock, neverAborted);
   const restarted = assert.rejects(client.watch(1), (error: unknown) => {
     assert.ok(error instanceof StoreConnectionError);
     assert.match(String(error.cause), /cancelled/);
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,4 +1,7 @@
-/** The state service as a controller uses it: reads, a watch, transactions and leases within the controller's share. */
+/**
+ * The state service client of a controller: reads, a watch, transactions and leases within the controller's
+ * share of the service's limits.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import {
@@ -20,13 +23,13 @@
 import { type ChangeCounts, type CommitOutcome, Transactions } from './transactions.js';
 
 const requestSockets = 6;
-/** One is open unless answers take longer than the pause between renewals. */
+/** Only one of these is in use unless answers take longer than the interval between renewals. */
 const renewalSockets = 4;
 const itemsPerPage = 500;
 
 /**
- * One controller's client of the state service. Its methods reject with a `StoreError` where the result is not known,
- * unless they say otherwise. Times are readings of the clock, in milliseconds.
+ * A controller's client of the state service. Unless stated otherwise, its methods reject with a `StoreError`
+ * if the result of a request is not known. Times are readings of the clock, in milliseconds.
  */
 export class StoreClient {
   private readonly contact: StoreContact;
@@ -39,11 +42,12 @@
   /**
    * @param settings the address and limits of the service
    * @param clock reads the time
-   * @param signal ends all that is under way
+   * @param signal aborts all pending requests and pauses
    */
   constructor(settings: Settings, clock: Clock, signal: AbortSignal) {
     const address = settings.stateAddress;
-    // Begins as out of contact for as long as any cancellation takes: nothing rests on contact before the first answer.
+    // The last contact is assumed to be one cancellation deadline ago: before the service has answered for
+    // the first time, no decision may rely on contact.
     this.contact = new StoreContact(clock, clock() - settings.cancelDeadlineMs, () => this.restartWatch());
     this.pacing = new RequestPacing(settings, clock);
     const { contact, pacing } = this;
@@ -54,49 +58,61 @@
     this.leases = new Leases(this.connection, new StoreConnection(ports, renewalSockets));
   }
 
-  /** Adapts this controller's share of the limits to what it does now. */
+  /** Adapts this controller's share of the limits to its present role. */
   setRole(role: ControllerRole): void {
     this.pacing.setRole(role);
   }
 
-  /** The pause between two watches, in milliseconds, that keeps the watches of all controllers within their share. */
+  /**
+   * The pause between two watch requests, in milliseconds, which keeps the watches of all controllers
+   * together within their share of the request limit.
+   */
   get watchGapMs(): number {
     return this.pacing.watchGapMs;
   }
 
-  /** How many milliseconds a commit of this class would wait for its turn; `writesAhead` go out before it. */
+  /**
+   * How many milliseconds the pacing would delay a commit of this class.
+   *
+   * @param trafficClass the class of the commit
+   * @param writesAhead writes that are sent before the commit; ignored for `duty`
+   */
   writeWaitMs(trafficClass: TrafficClass, writesAhead = 0): number {
     return this.pacing.writeWaitMs(trafficClass, writesAhead);
   }
 
-  /** A copy that has reached this revision holds every change committed before the returned time. */
+  /** A replica that has reached this revision contains every change committed before the returned time. */
   knownUntil(revision: number): number {
     return this.contact.knownUntil(revision);
   }
 
-  /** When the last request was sent whose answer named a revision of the store. */
+  /** The send time of the latest request whose answer contained a revision of the store. */
   get lastRevisionSeenAt(): number {
     return this.contact.lastRevisionSeenAt;
   }
 
-  /** When the last request that was served had been sent. It says nothing of what this controller knows. */
+  /**
+   * The send time of the latest request that the service served. It does not show how recent the replica is.
+   */
   get lastContactAt(): number {
     return this.contact.lastContactAt;
   }
 
-  /** How many milliseconds ago the last request that was served had been sent. */
+  /** How many milliseconds before `now` the latest request that the service served was sent. */
   contactAgeMs(now: number): number {
     return now - this.contact.lastContactAt;
   }
 
-  /** True once the store has turned a request away or left it unanswered, until it serves one again. */
+  /**
+   * True after the service has refused a request with 503 or left it unanswered, until it serves one again.
+   */
   get failing(): boolean {
     return this.contact.failing;
   }
 
-  /** The item under a key, or undefined where the key does not exist. */
+  /** The item under a key; undefined if the key does not exist. */
   async read(key: string, trafficClass: TrafficClass = 'duty'): Promise<Item | undefined> {
-    const answer = await this.connection.sendInTurn(trafficClass, {
+    const answer = await this.connection.sendPaced(trafficClass, {
       operation: 'read',
       method: 'GET',
       path: keyPath(key),
@@ -106,7 +122,10 @@
     return parseRead(answer.body);
   }
 
-  /** All items with a key prefix, page by page, and the revision of the first page: later changes may be missing. */
+  /**
+   * Reads all items with a key prefix, page by page. Returns them with the revision of the first page:
+   * changes after this revision may be missing.
+   */
   async list(prefix: string): Promise<{ items: Item[]; revision: number }> {
     const items: Item[] = [];
     let after = '';
@@ -121,14 +140,14 @@
     }
   }
 
-  /** One page of the items with a key prefix, in the order of their keys, beginning after a key. */
+  /** One page of the items with a key prefix, in the order of their keys, starting behind the key `after`. */
   async listPage(
     prefix: string,
     after: string,
     maxItems: number,
     trafficClass: TrafficClass = 'duty',
   ): Promise<ListPage> {
-    const answer = await this.connection.sendInTurn(trafficClass, {
+    const answer = await this.connection.sendPaced(trafficClass, {
       operation: 'list',
       method: 'GET',
       path: listPath(prefix, after, maxItems),
@@ -137,37 +156,48 @@
     return parseList(answer.body);
   }
 
-  /** Waits for changes after a revision; undefined where the service no longer has them and the keys must be read again. */
+  /**
+   * Waits for changes after a revision. Returns undefined if the service no longer has them and all keys must
+   * be read again.
+   */
   watch(sinceRevision: number): Promise<ChangeBatch | undefined> {
     return this.changeWatch.next(sinceRevision);
   }
 
-  /** Gives the open watch up, since a network partition may have swallowed it; the call that waits for it rejects. */
+  /**
+   * Aborts the open watch request, since a network partition may have dropped it. The pending call of `watch`
+   * then rejects.
+   */
   restartWatch(): void {
     this.changeWatch.restart();
   }
 
-  /** Executes the writes together if all conditions hold, once they have their turn. Never rejects. */
+  /**
+   * Executes the writes in one transaction if all conditions hold. The transaction is sent when the pacing
+   * admits it. Never rejects.
+   */
   commit(trafficClass: TrafficClass, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> {
     return this.transactions.commit(trafficClass, conditions, writes);
   }
 
-  /** What the writes of this controller were spent on since this was last called. */
+  /** Returns the counts of this controller's writes since the previous call, and resets them. */
   takeChangeCounts(): ChangeCounts {
     return this.transactions.takeCounts();
   }
 
-  /** Creates a lease that expires unless it is renewed within the time to live, and returns its id. */
+  /** Creates a lease that expires unless it is renewed within `ttlMs`, and returns its id. */
   createLease(ttlMs: number): Promise<number> {
     return this.leases.createLease(ttlMs);
   }
 
-  /** Renews a lease for its full time to live; false where it has expired or was revoked. Waits for no turn. */
+  /**
+   * Renews a lease for its full time to live; false if it has expired or was revoked. Not delayed by pacing.
+   */
   renewLease(leaseId: number): Promise<boolean> {
     return this.leases.renewLease(leaseId);
   }
 
-  /** Ends a lease and deletes the keys written under it at once. Waits for no turn. */
+  /** Revokes a lease, which deletes the keys written under it at once. Not delayed by pacing. */
   revokeLease(leaseId: number): Promise<void> {
     return this.leases.revokeLease(leaseId);
   }
--- a/src/store/commit-queue.test.ts
+++ b/src/store/commit-queue.test.ts
@@ -6,10 +6,10 @@
 import { CommitQueue } from './commit-queue.js';
 import type { CommitOutcome } from './transactions.js';
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-/** A queue whose transactions are answered by the test, and how many writes each one sent. */
-function queueWith(answer: (conditions: Condition[], writes: Write[]) => CommitOutcome): {
+/** A queue whose transactions are answered by `answer`, and the number of writes in each transaction sent. */
+function createQueue(answer: (conditions: Condition[], writes: Write[]) => CommitOutcome): {
   queue: CommitQueue;
   sent: number[];
 } {
@@ -20,20 +20,20 @@
       return new Promise((resolve) => setImmediate(() => resolve(answer(conditions, writes))));
     },
   };
-  return { queue: new CommitQueue(client, 'duty', testSettings(), never, 40), sent };
+  return { queue: new CommitQueue(client, 'duty', testSettings(), neverAborted, 40), sent };
 }
 
 const put = (key: string): [Condition[], Write[]] => [[{ key, version: 0 }], [{ put: key, value: 1 }]];
 
-test('operations queued during a transaction go out together in the next one', async () => {
-  const { queue, sent } = queueWith(() => ({ kind: 'applied', revision: 9 }));
+test('operations queued during a transaction are sent together in the next one', async () => {
+  const { queue, sent } = createQueue(() => ({ kind: 'applied', revision: 9 }));
   const outcomes = await Promise.all(['a', 'b', 'c', 'd'].map((key) => queue.commit(...put(key))));
   assert.deepEqual(sent, [1, 3]);
   assert.ok(outcomes.every(({ kind }) => kind === 'applied'));
 });
 
 test('a conflict of one operation does not fail the others in its transaction', async () => {
-  const { queue } = queueWith((conditions) =>
+  const { queue } = createQueue((conditions) =>
     conditions.some((c) => c.key === 'b')
       ? { kind: 'conflict', failed: ['b'], revision: 3 }
       : { kind: 'applied', revision: 4 },
@@ -45,21 +45,22 @@
   );
 });
 
-test('a transaction over the rate limits is retried, one refused in an outage is not', async () => {
+test('a transaction over the rate limits is retried, one refused during an outage is not', async () => {
   let refusalsLeft = 2;
-  const limited = queueWith(() =>
+  const rateLimited = createQueue(() =>
     refusalsLeft-- > 0 ? { kind: 'refused', rateLimited: true } : { kind: 'applied', revision: 1 },
   );
-  assert.equal((await limited.queue.commit(...put('a'))).kind, 'applied');
-  const down = queueWith(() => ({ kind: 'refused', rateLimited: false }));
-  assert.equal((await down.queue.commit(...put('a'))).kind, 'refused');
-  assert.equal(down.sent.length, 1);
+  assert.equal((await rateLimited.queue.commit(...put('a'))).kind, 'applied');
+  const outage = createQueue(() => ({ kind: 'refused', rateLimited: false }));
+  assert.equal((await outage.queue.commit(...put('a'))).kind, 'refused');
+  assert.equal(outage.sent.length, 1);
 });
 
-// The service calls a transaction malformed that names one key in several conditions, and the block would stand still.
+// Guards against a block that makes no progress: the service refuses a transaction as malformed if one key is
+// named in several conditions.
 test('a condition shared by several operations is sent once', async () => {
   const sent: string[][] = [];
-  const { queue } = queueWith((conditions) => {
+  const { queue } = createQueue((conditions) => {
     sent.push(conditions.map((c) => c.key));
     return { kind: 'applied', revision: 5 };
   });
@@ -75,7 +76,7 @@
 });
 
 test('a malformed operation does not fail the others in its transaction', async () => {
-  const { queue, sent } = queueWith((conditions) =>
+  const { queue, sent } = createQueue((conditions) =>
     conditions.some(({ key }) => key === 'b') ? { kind: 'malformed' } : { kind: 'applied', revision: 4 },
   );
   const outcomes = await Promise.all(['x', 'a', 'b', 'c'].map((key) => queue.commit(...put(key))));
@@ -86,7 +87,7 @@
   assert.deepEqual(sent, [1, 3, 1, 1, 1]);
 });
 
-test('once the process stops, what is queued is refused', async () => {
+test('operations still queued when the process stops are refused', async () => {
   const stop = new AbortController();
   const sent: Write[][] = [];
   const client = {
--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -1,4 +1,7 @@
-/** Group commit: operations that arrive while one transaction is under way go out together in the next. */
+/**
+ * Group commit: operations that are queued while a transaction is in progress are sent together in the next
+ * one.
+ */
 import { Writable } from 'node:stream';
 
 import { sleep } from '../base/clock.js';
@@ -10,27 +13,28 @@
 import { type BatchedOperation, takeBatch } from './transaction-batch.js';
 import type { CommitOutcome } from './transactions.js';
 
-/** One caller's conditions and writes, executed together or not at all. */
+/** The conditions and writes of one caller, which are executed together or not at all. */
 interface Operation extends BatchedOperation {
   settle: (outcome: CommitOutcome) => void;
 }
 
-/** Worst case of a key with its version, in the JSON form that limits are measured in. */
+/** Largest size of a key with its version in JSON, the form in which the service measures transactions. */
 const bytesPerKey = 64;
-/** How often a transaction over the limits is repeated. */
+/** How often a transaction that exceeds the rate limits is retried. */
 const maxRetries = 5;
 
 /**
- * A queue of operations with one transaction under way at a time. The stream's buffer is the queue's bound: who feeds a
- * queue that is `full` holds back by itself, since nothing is turned away.
+ * A queue of operations with one transaction in progress at a time. The high-water mark of the stream is the
+ * bound of the queue. The queue accepts operations beyond this bound, so callers must check `full` and hold
+ * back themselves.
  */
 export class CommitQueue extends Writable {
   /**
    * @param client sends the transactions
-   * @param trafficClass of all transactions
+   * @param trafficClass the traffic class of all transactions
    * @param settings the limits of a transaction
-   * @param signal once it fires, what is still queued is refused
-   * @param maxQueued operations that make the queue full
+   * @param signal when it fires, the operations still queued are settled as refused
+   * @param maxQueued the number of queued operations at which the queue is full
    */
   constructor(
     private readonly client: Pick<StoreClient, 'commit'>,
@@ -42,28 +46,29 @@
     super({ objectMode: true, highWaterMark: maxQueued });
   }
 
-  /** True while as many operations are queued as the bound allows. */
+  /** True while at least `maxQueued` operations are queued. */
   get full(): boolean {
     return this.writableLength >= this.writableHighWaterMark;
   }
 
   /**
-   * Executes the writes together if all conditions hold. An operation of another caller never makes this one fail.
+   * Executes the writes together if all conditions hold. An operation of another caller never makes this one
+   * fail.
    *
    * @param conditions versions that keys must have
-   * @param writes what to put or delete
-   * @param valueBytes the most that the values take in JSON, where that is known without measuring them
+   * @param writes keys to put or delete
+   * @param valueBytes an upper bound of the size of the values in JSON, if it is known without measuring them
    * @returns the operation's own outcome; never rejects
    */
   commit(conditions: Condition[], writes: Write[], valueBytes?: number): Promise<CommitOutcome> {
     return new Promise((settle) => {
-      const framing = bytesPerKey * (conditions.length + writes.length);
-      const bytes = framing + (valueBytes ?? (writes.length > 0 ? sizeOf(writes) : 0));
+      const keyBytes = bytesPerKey * (conditions.length + writes.length);
+      const bytes = keyBytes + (valueBytes ?? (writes.length > 0 ? sizeOf(writes) : 0));
       this.write({ conditions, writes, bytes, settle } satisfies Operation);
     });
   }
 
-  /** Called by the stream with all that was queued while the last transactions were under way. */
+  /** Called by the stream with all operations queued while the previous transactions were in progress. */
   override _writev(chunks: { chunk: Operation }[], done: (error?: Error | null) => void): void {
     this.flush(chunks.map(({ chunk }) => chunk)).then(
       () => done(),
@@ -72,14 +77,14 @@
   }
 
   private async flush(operations: Operation[]): Promise<void> {
-    let queue = operations;
+    let remaining = operations;
     let retries = 0;
-    while (queue.length > 0) {
+    while (remaining.length > 0) {
       if (this.signal.aborted) {
-        settleAll(queue, { kind: 'refused', rateLimited: false });
+        settleAll(remaining, { kind: 'refused', rateLimited: false });
         return;
       }
-      const { batch, rest } = takeBatch(queue, this.settings.state.txnOps);
+      const { batch, rest } = takeBatch(remaining, this.settings.state.txnOps);
       const outcome = await this.client.commit(
         this.trafficClass,
         distinctConditions(batch),
@@ -91,11 +96,12 @@
         continue;
       }
       retries = 0;
-      queue = rest;
+      remaining = rest;
       if (outcome.kind === 'conflict' && batch.length > 1) {
-        queue = [...settleConflicting(batch, outcome), ...rest];
+        remaining = [...settleConflicting(batch, outcome), ...rest];
       } else if (outcome.kind === 'malformed' && batch.length > 1) {
-        // One of them is at fault, and the service does not say which: the others must not fail with it.
+        // One of the operations is malformed, and the service does not report which one. The others must not
+        // fail with it, so each operation is sent in a transaction of its own.
         await this.flushOneByOne(batch);
       } else settleAll(batch, outcome);
     }
@@ -105,7 +111,9 @@
     for (const operation of batch) await this.flush([operation]);
   }
 
-  /** As long as the limits need to admit the batch, and longer with every retry. */
+  /**
+   * The time in ms after which the rate limits admit the batch again, multiplied by the number of the retry.
+   */
   private retryDelayMs(batch: Operation[], retries: number): number {
     const { writeRps, rps } = this.settings.state;
     const writes = batch.reduce((sum, operation) => sum + operation.writes.length, 0);
@@ -113,7 +121,10 @@
   }
 }
 
-/** The service counts every condition that it is sent, also one that several operations share. */
+/**
+ * The conditions of a batch, each key once. The service counts every condition of a transaction, including
+ * repetitions of a condition that several operations share.
+ */
 function distinctConditions(batch: Operation[]): Condition[] {
   return [
     ...new Map(
@@ -122,7 +133,10 @@
   ];
 }
 
-/** Settles the operations whose own conditions failed and returns the others, which go again without them. */
+/**
+ * Settles the operations whose own conditions failed, and returns the others, which are retried without
+ * these.
+ */
 function settleConflicting(
   batch: Operation[],
   outcome: Extract<CommitOutcome, { kind: 'conflict' }>,
@@ -132,7 +146,7 @@
     operation.conditions.some((condition) => failed.has(condition.key));
   const conflicting = batch.filter(hasFailed);
   if (conflicting.length === 0) {
-    // The answer names none of their keys, so it does not tell which of them could go again.
+    // The answer names no key of the batch, so it does not show which of the operations could be retried.
     settleAll(batch, { kind: 'unknown' });
     return [];
   }
--- a/src/store/freshness-bound.test.ts
+++ b/src/store/freshness-bound.test.ts
@@ -3,9 +3,10 @@
 
 import { FreshnessBound } from './freshness-bound.js';
 
-// Guards against taking any answer of the store for knowledge: the watch was swallowed, other requests were answered, and
-// a cancel that the copy lacked was no older than the last of them.
-test('the bound is when the last request was sent whose revision the copy has reached', () => {
+// Guards against taking any answer of the store as proof that the replica is up to date. A network partition
+// dropped the watch while other requests were answered, and a cancellation missing from the replica was no
+// older than the last of these requests.
+test('the bound is the send time of the latest request whose revision the replica has reached', () => {
   const freshness = new FreshnessBound();
   assert.equal(freshness.knownUntil(100), -Infinity);
   freshness.recordRevision(1000, 5);
@@ -13,13 +14,13 @@
   freshness.recordRevision(3000, 6);
   assert.equal(freshness.knownUntil(4), -Infinity);
   assert.equal(freshness.knownUntil(5), 1000);
-  // The copy has stopped while requests go on being answered.
+  // The replica no longer advances, while other requests are still answered.
   freshness.recordRevision(9000, 7);
   assert.deepEqual([freshness.knownUntil(6), freshness.lastRevisionSeenAt], [3000, 9000]);
   assert.equal(freshness.knownUntil(8), 9000);
 });
 
-test('a late answer counts from when its request was sent, and the bound never moves back', () => {
+test('a late answer counts from the send time of its request, and the bound never decreases', () => {
   const freshness = new FreshnessBound();
   freshness.recordRevision(5000, 7);
   assert.equal(freshness.knownUntil(7), 5000);
@@ -27,7 +28,7 @@
   assert.equal(freshness.knownUntil(7), 5000);
 });
 
-test('a copy that falls far behind takes bounded memory, and the bound is only understated', () => {
+test('a replica that lags far behind uses bounded memory, and its bound is never too late', () => {
   const freshness = new FreshnessBound();
   for (let i = 1; i <= 1000; i++) freshness.recordRevision(i * 10, i);
   const known = freshness.knownUntil(1000);
--- a/src/store/leases.ts
+++ b/src/store/leases.ts
@@ -1,4 +1,7 @@
-/** Leases of the state service: keys written under one are deleted when it expires or is revoked. */
+/**
+ * Leases of the state service: the service deletes the keys written under a lease when it expires or is
+ * revoked.
+ */
 import { createLeaseBody, leasePath, parseLeaseId } from '../wire/state.js';
 import { StoreStatusError } from './errors.js';
 import type { StoreConnection } from './store-connection.js';
@@ -6,22 +9,22 @@
 /** Creates, renews and revokes leases. */
 export class Leases {
   /**
-   * @param connection for creating and revoking
-   * @param renewalConnection renewals alone, so that they wait for no other request
+   * @param connection creates and revokes leases
+   * @param renewalConnection carries only renewals, so that they do not wait for other requests
    */
   constructor(
-    private readonly connection: Pick<StoreConnection, 'sendInTurn' | 'sendAhead'>,
-    private readonly renewalConnection: Pick<StoreConnection, 'sendAhead'>,
+    private readonly connection: Pick<StoreConnection, 'sendPaced' | 'sendImmediately'>,
+    private readonly renewalConnection: Pick<StoreConnection, 'sendImmediately'>,
   ) {}
 
   /**
-   * Creates a lease that expires unless it is renewed within the time to live.
+   * Creates a lease that expires unless it is renewed within `ttlMs` milliseconds.
    *
    * @returns the lease's id
-   * @throws {StoreError} when no lease is known to exist
+   * @throws {StoreError} when it is not known whether the lease was created
    */
   async createLease(ttlMs: number): Promise<number> {
-    const answer = await this.connection.sendInTurn('duty', {
+    const answer = await this.connection.sendPaced('duty', {
       operation: 'create-lease',
       method: 'POST',
       path: '/grants',
@@ -32,14 +35,14 @@
   }
 
   /**
-   * Renews a lease for its full time to live. Renewals wait neither for a turn nor for a connection: a leader busy with
-   * commits must not lose its lease over it.
+   * Renews a lease for its full time to live. Renewals wait neither for the pacing nor for a connection: a
+   * leader that sends many commits must not lose its lease because of them.
    *
-   * @returns false where the lease has expired or was revoked
-   * @throws {StoreError} when nothing is known
+   * @returns false if the lease has expired or was revoked
+   * @throws {StoreError} when it is not known whether the lease still exists
    */
   async renewLease(leaseId: number): Promise<boolean> {
-    const answer = await this.renewalConnection.sendAhead('duty', {
+    const answer = await this.renewalConnection.sendImmediately('duty', {
       operation: 'renew-lease',
       method: 'POST',
       path: `${leasePath(leaseId)}/touch`,
@@ -51,12 +54,12 @@
   }
 
   /**
-   * Ends a lease and deletes the keys written under it at once.
+   * Revokes a lease. The service deletes the keys written under it at once.
    *
-   * @throws {StoreConnectionError} when no answer arrives in time; the status of an answer is not looked at
+   * @throws {StoreConnectionError} when no answer arrives in time; the status of an answer is ignored
    */
   async revokeLease(leaseId: number): Promise<void> {
-    await this.connection.sendAhead('duty', {
+    await this.connection.sendImmediately('duty', {
       operation: 'revoke-lease',
       method: 'DELETE',
       path: leasePath(leaseId),
--- a/src/store/mirror.test.ts
+++ b/src/store/mirror.test.ts
@@ -5,7 +5,8 @@
 import { Mirror } from './mirror.js';
 
 test('listeners are notified once of an outcome that this controller has committed itself', async () => {
-  // The owner of a block that misses such an outcome lets a cancelled task run on.
+  // Guards against a block owner that is not notified of such an outcome and does not stop the cancelled
+  // task.
   const stop = new AbortController();
   const outcome: Change = {
     key: 'end/req-1',
@@ -27,8 +28,8 @@
   assert.equal(mirror.revision, 7);
 });
 
-// Guards against jobs that ended long ago and are taken for open for ever.
-test('a committed key is in the copy at once, unless the watch has brought its deletion by then', async () => {
+// Guards against jobs that ended long ago but are treated as open forever.
+test('a committed key is in the replica at once, unless the watch has delivered its deletion', async () => {
   const job = (version: number, deleted: boolean): Change => ({ key: 'job/a', value: 1, version, deleted });
   let watches = 0;
   const client = {
@@ -41,7 +42,7 @@
   };
   const mirror = new Mirror(client, 0);
   await mirror.follow(new AbortController().signal);
-  // A failed watch is repeated from the same revision: nothing is read anew.
+  // A failed watch request is retried from the same revision, and the keys are not read again.
   assert.deepEqual([watches, mirror.revision], [3, 9]);
   mirror.recordCommitted('job/a', { value: 1, version: 7 });
   assert.equal(mirror.version('job/a'), 0);
@@ -51,7 +52,7 @@
   assert.deepEqual([mirror.version('job/b'), mirror.revision, notified], [10, 9, ['job/b']]);
 });
 
-test('after all keys were read anew, listeners are notified of changed and of deleted keys', async () => {
+test('after all keys were read again, listeners are notified of changed and deleted keys', async () => {
   const stop = new AbortController();
   const lists = [
     [
@@ -78,14 +79,15 @@
   assert.deepEqual(notified, ['+job/b', '-job/a']);
 });
 
-// Guards against an accepted job that is taken for ended: the owner of its block gave it up, and it never ran.
-test('a key that this controller commits while the keys are read anew is not taken for deleted', async () => {
+// Guards against an accepted job that is treated as ended: the owner of its block dropped the job, and the
+// job never ran.
+test('a key that is committed while the keys are read again is not treated as deleted', async () => {
   const listed = { revision: 9, items: [{ key: 'job/a', value: 1, version: 3 }] };
-  let onLedgerListed: () => void = () => undefined;
+  let beforeLedgerIsListed: () => void = () => undefined;
   const client = {
     list: (prefix: string) => {
       // The jobs are listed before the ledger.
-      if (prefix === 'run/') onLedgerListed();
+      if (prefix === 'run/') beforeLedgerIsListed();
       return Promise.resolve(prefix === 'job/' ? listed : { revision: 9, items: [] });
     },
     watch: () => Promise.resolve(undefined),
@@ -96,7 +98,7 @@
   mirror.listen((changes) =>
     notified.push(...changes.map(({ key, deleted }) => `${deleted ? '-' : '+'}${key}`)),
   );
-  onLedgerListed = () => mirror.recordCommitted('job/b', { value: 2, version: 11 });
+  beforeLedgerIsListed = () => mirror.recordCommitted('job/b', { value: 2, version: 11 });
   await mirror.follow(new AbortController().signal);
   assert.deepEqual(notified, ['+job/b']);
   assert.deepEqual([mirror.version('job/a'), mirror.version('job/b')], [3, 11]);
--- a/src/store/mirror.ts
+++ b/src/store/mirror.ts
@@ -1,4 +1,4 @@
-/** A copy of the state service's keys in memory, kept up to date by a watch. */
+/** Keeps an in-memory replica of the state service's keys up to date by a watch. */
 import { Readable, Writable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 
@@ -10,17 +10,23 @@
 import type { StoreClient } from './client.js';
 import { StoredEntries, type StoredEntry } from './stored-entries.js';
 
-/** Called with changes of the copy, each time after all of them have been applied. */
+/** Called with a list of changes after all of them have been applied to the replica. */
 export type ChangeListener = (changes: Change[]) => void;
 
-/** Listed at the start. Outcomes are not: there is one for every job that ever was, so they are read on demand. */
+/**
+ * Key prefixes that are listed at the start. Outcomes are not listed but read on demand, since there is one
+ * outcome for every job that ever ended.
+ */
 const listedPrefixes = ['lead', 'alive/', 'formats/', 'block/', 'machines/', 'ladder/', 'job/', 'run/'];
 const maxCachedOutcomes = 20_000;
 
-/** A copy of the store's keys that lags a little behind it. Nothing that a user is told rests on it alone. */
+/**
+ * A replica of the store's keys, which lags a little behind the store. No answer to a user relies on it
+ * alone.
+ */
 export class Mirror {
   private entries = new StoredEntries();
-  /** The latest outcomes of jobs, the oldest first. */
+  /** The most recently recorded outcomes of jobs, in the order in which they were recorded. */
   private readonly outcomes = new Map<string, StoredValue>();
   private appliedRevision = 0;
   private firstLoadedRevision: number | undefined;
@@ -28,8 +34,8 @@
 
   /**
    * @param client reads and watches the keys
-   * @param watchGapMs the pause between two watches
-   * @param retryMs the pause after a watch that failed
+   * @param watchGapMs the pause between two watch requests
+   * @param retryMs the pause after a failed watch request
    */
   constructor(
     private readonly client: Pick<StoreClient, 'list' | 'watch'>,
@@ -37,81 +43,92 @@
     private readonly retryMs = watchGapMs,
   ) {}
 
-  /** True once all keys have been read. */
+  /** True after all listed keys have been read for the first time. */
   get ready(): boolean {
     return this.firstLoadedRevision !== undefined;
   }
 
-  /** Everything committed up to this revision was in the store before this process first read it. */
+  /**
+   * Every change committed up to this revision was in the store before this process first read the keys;
+   * undefined until then.
+   */
   get initialRevision(): number | undefined {
     return this.firstLoadedRevision;
   }
 
-  /** All changes up to this revision are in the copy. */
+  /** The replica contains all changes up to this revision. */
   get revision(): number {
     return this.appliedRevision;
   }
 
-  /** Keys in the copy, outcomes not counted. */
+  /** The number of keys in the replica, without outcomes. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The value and version under a key; of outcomes, only those recorded lately. */
+  /** The value and version under a key. Of the outcomes, only recently recorded ones are available. */
   get(key: string): StoredValue | undefined {
     return isOutcomeKey(key) ? this.outcomes.get(key) : this.entries.get(key);
   }
 
-  /** The outcome of a job, where this copy knows it. */
+  /** The outcome of a job; undefined if it is not among the recently recorded ones. */
   outcomeOf(jobId: string): OutcomeRecord | undefined {
     return parseOutcome(this.get(outcomeKey(jobId))?.value);
   }
 
-  /** The version of a key for conditions; 0 where the key does not exist. */
+  /** The version of a key, for use in conditions; 0 if the key does not exist. */
   version(key: string): number {
     return this.get(key)?.version ?? 0;
   }
 
-  /** All keys, outcomes excepted, that begin with a prefix. It has to hold the keys' first part up to the `/` whole. */
+  /**
+   * All keys that begin with a prefix, except outcomes. The prefix must contain the complete first segment of
+   * the keys, up to the `/`.
+   */
   entriesWithPrefix(prefix: string): Iterable<StoredEntry> {
     return this.entries.withPrefix(prefix);
   }
 
   /**
-   * Records an outcome that was learned other than by the watch; outcomes never change. Listeners are notified at once:
-   * the watch may not come again for as long as an outage lasts, and a user may have been told by then.
+   * Records an outcome that was received by other means than the watch. Outcomes never change. Listeners are
+   * notified at once: during an outage the watch delivers nothing, and a user may receive the outcome in the
+   * meantime.
    */
   recordOutcome(key: string, { value, version }: StoredValue): void {
     this.recordOutcomes([{ key, value, version }]);
   }
 
-  /** Records several outcomes, as `recordOutcome` does; listeners are notified of those that were unknown. */
+  /**
+   * Records several outcomes, like `recordOutcome`. Listeners are notified of those that were not recorded
+   * before.
+   */
   recordOutcomes(items: Item[]): void {
-    const unknown = items.filter(({ key }) => !this.outcomes.has(key));
-    for (const { key, value, version } of unknown) this.cacheOutcome(key, { value, version });
-    this.notify(unknown.map((item) => ({ ...item, deleted: false })));
+    const unrecorded = items.filter(({ key }) => !this.outcomes.has(key));
+    for (const { key, value, version } of unrecorded) this.cacheOutcome(key, { value, version });
+    this.notify(unrecorded.map((item) => ({ ...item, deleted: false })));
   }
 
   /**
-   * Records what this controller has just committed, ahead of the watch. It is left out where the copy has reached that
-   * revision: the watch was quicker, and may have brought the key's deletion, too.
+   * Records an entry that this controller has just committed, before the watch delivers it. The entry is
+   * ignored if the replica has already reached its revision: then the watch has delivered the entry, and
+   * possibly also the deletion of its key.
    */
   recordCommitted(key: string, entry: StoredValue): void {
     if (this.ready && entry.version > this.appliedRevision)
       this.apply([{ key, ...entry, deleted: false }], this.appliedRevision);
   }
 
-  /** Calls the listener with all changes from now on, until the returned function is called. */
+  /** Calls the listener with all further changes, until the returned function is called. */
   listen(listener: ChangeListener): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
   }
 
   /**
-   * Reads everything once, then follows the changes. Returns when the service no longer has the changes that come next,
-   * and is to be called again then.
+   * Reads all listed keys once, then applies changes from the watch. Returns when the service no longer has
+   * the changes that follow the revision of the replica; the caller must then call it again.
    *
-   * @throws {StoreError} when the keys cannot be read; a watch that fails is repeated instead
+   * @throws {StoreError} when the keys cannot be read; a failed watch request is retried instead
    */
   async follow(signal: AbortSignal): Promise<void> {
     await this.load();
@@ -136,16 +153,17 @@
       for (const { key, value, version } of items) listed.set(key, { value, version });
     }
     for (const [prefix, revision] of revisions) this.retainNewer(listed, prefix, revision);
-    const before = this.entries;
+    const previousEntries = this.entries;
     this.entries = listed;
     this.appliedRevision = Math.min(...revisions.values());
     this.firstLoadedRevision ??= this.appliedRevision;
-    this.notify(listed.changesSince(before));
+    this.notify(listed.changesSince(previousEntries));
   }
 
   /**
-   * What this controller committed after the keys were listed is missing from the list without being deleted: it stays.
-   * Had it been deleted since, the watch, which goes on from the lists' revision, would say so.
+   * Keeps entries that this controller committed after the keys were listed. They are missing from the list
+   * although they were not deleted. If such a key has been deleted since, the watch will deliver the
+   * deletion, because it continues from the revision of the lists.
    */
   private retainNewer(listed: StoredEntries, prefix: string, listedRevision: number): void {
     for (const [key, entry] of this.entries.withPrefix(prefix)) {
@@ -160,20 +178,22 @@
       try {
         batch = await this.client.watch(this.appliedRevision);
       } catch {
-        // Whatever was missed can still be asked for. Reading all keys anew is the last thing that a slow service needs,
-        // and takes longer than it gives an answer.
+        // The missed changes can still be requested from the same revision. Reading all keys again would add
+        // load to a slow service, and takes longer than such a service keeps answering.
         await sleep(this.retryMs, signal);
         continue;
       }
       if (!batch) return;
       yield batch;
-      // Under constant change every watch returns at once: the gap keeps it from eating our share of requests.
+      // While keys change constantly, every watch request returns at once. The pause prevents the watch from
+      // using up this controller's share of the requests.
       await sleep(this.watchGapMs, signal);
     }
   }
 
   private apply(changes: Change[], revision: number): void {
-    // An outcome may be known before the watch brings it; the listeners have been notified then.
+    // An outcome may have been recorded before the watch delivers it. The listeners have then already been
+    // notified of it.
     const newer = changes.filter((change) => change.version > this.version(change.key));
     for (const change of newer) this.applyChange(change);
     this.appliedRevision = Math.max(this.appliedRevision, revision);
--- a/src/store/request-pacing.test.ts
+++ b/src/store/request-pacing.test.ts
@@ -4,24 +4,24 @@
 import { testSettings } from '../testing/settings.js';
 import { RequestPacing } from './request-pacing.js';
 
-/** Writes a second that a traffic class is paced to, once its burst has been spent. */
+/** The write rate to which a traffic class is paced after its burst has been used, in writes per second. */
 function writesPerSecond(pacing: RequestPacing, trafficClass: 'intake' | 'duty'): number {
   const writes = 100;
-  const before = pacing.writeWaitMs(trafficClass);
+  const initialWaitMs = pacing.writeWaitMs(trafficClass);
   pacing.reserveWrites(trafficClass, writes);
-  return (writes * 1000) / (pacing.writeWaitMs(trafficClass) - before);
+  return (writes * 1000) / (pacing.writeWaitMs(trafficClass) - initialWaitMs);
 }
 
-/** Spends every burst, so that all further waits follow from the rates alone. */
-function spentPacing(): RequestPacing {
+/** A pacing whose bursts have all been used, so that further waits depend on the rates alone. */
+function createPacingWithoutBurst(): RequestPacing {
   const pacing = new RequestPacing(testSettings(), () => 0);
   pacing.reserveWrites('intake', 100);
   return pacing;
 }
 
-test('the write rate follows the number of controllers, the share of the machines and the lead', () => {
+test('the write rate depends on the number of controllers, the share of the machines and leadership', () => {
   const { writeRps } = testSettings().state;
-  const pacing = spentPacing();
+  const pacing = createPacingWithoutBurst();
   const rateOf = (isLeader: boolean, aliveControllers: number, machineShare: number): string => {
     pacing.setRole({ isLeader, aliveControllers, machineShare });
     return (writesPerSecond(pacing, 'duty') / writeRps).toFixed(4);
@@ -30,26 +30,26 @@
   assert.equal(rateOf(false, 3, 1 / 3), ((0.37 + 0.43) / 3).toFixed(4));
   assert.equal(rateOf(true, 3, 1 / 3), ((0.37 + 0.43) / 3 + 0.14).toFixed(4));
   assert.equal(rateOf(true, 1, 1), (0.37 + 0.43 + 0.14).toFixed(4));
-  // No more controllers share the limit than the settings name.
+  // If more controllers are alive than the settings list, the limit is divided by the number in the settings.
   assert.equal(rateOf(false, 9, 0), (0.37 / 3).toFixed(4));
 });
 
 test('submissions take at most half of the write rate', () => {
   const rateOf = (trafficClass: 'intake' | 'duty'): number => {
-    const pacing = spentPacing();
+    const pacing = createPacingWithoutBurst();
     pacing.setRole({ isLeader: true, aliveControllers: 1, machineShare: 1 });
     return writesPerSecond(pacing, trafficClass);
   };
   assert.equal((rateOf('intake') / rateOf('duty')).toFixed(4), '0.5000');
 });
 
-test('submissions wait for writes that other work has spent ahead', () => {
+test('submissions wait until the write debt of other work has been paid off', () => {
   const pacing = new RequestPacing(testSettings(), () => 0);
   pacing.reserveWrites('duty', 100);
   assert.ok(pacing.writeWaitMs('intake') > 0);
 });
 
-test('other work leaves half of a burst to submissions', () => {
+test('duty work leaves half of a burst to submissions', () => {
   const pacing = new RequestPacing(testSettings(), () => 0);
   const burst = testSettings().state.writeRps * 0.5;
   assert.equal(pacing.writeWaitMs('duty'), 0);
@@ -59,7 +59,7 @@
   assert.ok(pacing.writeWaitMs('intake', Math.ceil(burst / 2)) > 0);
 });
 
-test('requests of one traffic class do not make another one wait', () => {
+test('requests of one traffic class do not delay those of another', () => {
   const pacing = new RequestPacing(testSettings(), () => 0);
   for (let i = 0; i < 200; i++) pacing.reserveRequest('intake');
   assert.ok(pacing.reserveRequest('intake') > 0);
@@ -67,7 +67,7 @@
   assert.equal(pacing.reserveRequest('duty'), 0);
 });
 
-test('the pause between watches grows with the controllers that share the request limit', () => {
+test('the pause between watches grows with the number of controllers that share the request limit', () => {
   const { heartbeatIntervalMs } = testSettings();
   assert.equal(new RequestPacing(testSettings(), () => 0).watchGapMs, heartbeatIntervalMs * 0.1);
   const manyControllers = { ...testSettings(), controllers: 30 };
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -5,39 +5,61 @@
 import { AdaptiveShare } from './adaptive-share.js';
 
 /**
- * `intake` carries users' submissions and cancellations, `confirm` what confirms the answers to their status queries, `duty`
- * the controller's own work. Requests of each class are paced by themselves: a burst in one makes none of another late.
+ * `intake`: submissions and cancellations of users. `confirm`: requests that confirm the answers to status
+ * queries of users. `duty`: the controller's own work. The requests of each class are paced separately, so
+ * that a burst in one class does not delay another.
  */
 export type TrafficClass = 'intake' | 'confirm' | 'duty';
 
-/** What a controller's share of the limits depends on. */
+/** The state of a controller that determines its share of the limits. */
 export interface ControllerRole {
   isLeader: boolean;
-  /** Controllers to share with, this one included. */
+  /** The number of controllers that share the limits, including this one. */
   aliveControllers: number;
-  /** The part of all machines that this controller has, 0 to 1. */
+  /** The part of all machines that belongs to this controller, 0 to 1. */
   machineShare: number;
 }
 
-/** Shares of the limits, which hold for all controllers together; the whole stays below them. */
+/**
+ * Parts of the request limit, which applies to all controllers together. The parts of each limit add up to
+ * less than 1, so that all controllers together stay below the limit.
+ */
 const requestShares = { intake: 0.12, confirm: 0.23, leader: 0.08, duty: 0.32 };
-/** All traffic classes share the writes: what users submit goes first, and never takes more than its part. */
+/**
+ * Parts of the write limit, which all traffic classes share. Writes of `intake` have precedence, but never
+ * take more than their part.
+ */
 const writeShares = { leader: 0.14, even: 0.37, byMachines: 0.43, maxForIntake: 0.5 };
-/** The part of the `duty` requests that all controllers get evenly; the rest goes by the machines that each has. */
+/**
+ * The part of the `duty` requests that is divided evenly among the controllers. The rest is divided in
+ * proportion to their machines.
+ */
 const evenRequestShare = 0.3;
-/** The part of a burst that `duty` leaves, so that submissions that come together need not wait for each other. */
+/**
+ * The part of a burst that `duty` leaves unused, so that submissions that arrive together need not wait for
+ * each other.
+ */
 const intakeBurstShare = 0.5;
-/** The part of the requests that watches take: each one that returns with changes is followed by another. */
+/**
+ * The part of the request limit that is reserved for watches. Each watch request that returns with changes is
+ * followed by another.
+ */
 const watchRequestShare = 0.2;
-/** A burst, in seconds of the limit. */
+/** The size of a burst, as the number of seconds in which the limit admits it. */
 const burstS = 0.5;
 const minRequestBurst = 2;
 const minWriteBurst = 4;
 const minWatchGapMs = 200;
-/** Watches need not be closer than this part of a heartbeat interval: starts and heartbeats wait for none. */
+/**
+ * The pause between watches is at least this part of a heartbeat interval. A shorter pause has no benefit, as
+ * neither task starts nor heartbeats wait for a watch.
+ */
 const watchGapHeartbeats = 0.1;
 
-/** Token buckets for the requests of each traffic class and for all writes. Units: requests and written keys. */
+/**
+ * Token buckets for the requests of each traffic class and for the writes of all classes together. The units
+ * are requests and written keys.
+ */
 export class RequestPacing {
   private readonly requests: Record<TrafficClass, Pacer>;
   private readonly writes: Pacer;
@@ -46,7 +68,7 @@
   private readonly adaptiveShare: AdaptiveShare;
   private role: ControllerRole;
 
-  /** Begins with an even share. */
+  /** Starts with an even share of the limits. */
   constructor(
     private readonly settings: Pick<Settings, 'state' | 'controllers' | 'heartbeatIntervalMs'>,
     private readonly clock: Clock,
@@ -59,36 +81,39 @@
     };
     this.adaptiveShare = new AdaptiveShare(clock(), state.nextRateShare);
     this.writeBurst = Math.max(minWriteBurst, state.writeRps * burstS);
-    // All controllers may start at once: none begins with more than `duty` can use.
+    // All controllers may start at the same time, so none starts with a larger burst than `duty` can use.
     this.writes = new Pacer(1, this.intakeReserve, clock);
     this.intakeWrites = new Pacer(1, this.intakeReserve, clock);
     this.role = { isLeader: false, aliveControllers: controllers, machineShare: 1 / controllers };
     this.applyRates();
   }
 
-  /** The pause between two watches, in milliseconds, that keeps the watches of all controllers within their share. */
+  /**
+   * The pause between two watch requests, in milliseconds, which keeps the watches of all controllers
+   * together within their share of the request limit.
+   */
   get watchGapMs(): number {
     const { state, controllers, heartbeatIntervalMs } = this.settings;
     const sharedGapMs = (controllers * 1000) / (state.rps * watchRequestShare);
     return Math.max(minWatchGapMs, heartbeatIntervalMs * watchGapHeartbeats, sharedGapMs);
   }
 
-  /** Adapts the rates to what this controller does now. */
+  /** Adapts the rates to the present role of this controller. */
   setRole(role: ControllerRole): void {
     this.role = role;
     this.applyRates();
   }
 
-  /** Takes one request from the share and returns how many milliseconds to wait before it is sent. */
+  /** Reserves one request of this class and returns how many milliseconds to wait before it is sent. */
   reserveRequest(trafficClass: TrafficClass): number {
     return this.requests[trafficClass].reserve(1);
   }
 
   /**
-   * How many milliseconds a commit of this class would wait for its turn now.
+   * How many milliseconds a commit of this class would have to wait at present.
    *
    * @param trafficClass the class of the commit
-   * @param writesAhead writes that go out before it; `duty` takes no account of them
+   * @param writesAhead writes that are sent before the commit; ignored for `duty`
    */
   writeWaitMs(trafficClass: TrafficClass, writesAhead = 0): number {
     if (trafficClass === 'duty') return this.writes.msUntilAvailable(this.intakeReserve);
@@ -98,44 +123,48 @@
     );
   }
 
-  /** Takes the writes of a commit from the share, in debt if need be. */
+  /** Takes the writes of a commit from the token buckets, which may go into debt. */
   reserveWrites(trafficClass: TrafficClass, count: number): void {
     this.writes.reserve(count);
     if (trafficClass === 'intake') this.intakeWrites.reserve(count);
   }
 
-  /** Adapts the share of the writes to the result of a commit that wrote. `waited`: a user waited for its turn. */
+  /**
+   * Adapts the share of the write limit to the result of a commit with writes. `waited` means that a user had
+   * to wait until the commit was sent.
+   */
   recordCommit(result: { refused: boolean; waited: boolean }): void {
     if (this.adaptiveShare.recordCommit(result, this.clock())) this.applyRates();
   }
 
-  /** Writes that `duty` leaves to submissions. */
+  /** The number of writes of a burst that `duty` leaves to submissions. */
   private get intakeReserve(): number {
     return this.writeBurst * intakeBurstShare;
   }
 
   private applyRates(): void {
-    const sharing = Math.min(this.settings.controllers, Math.max(1, this.role.aliveControllers));
-    this.applyRequestRates(sharing);
-    this.applyWriteRates(sharing);
+    const sharingControllers = Math.min(this.settings.controllers, Math.max(1, this.role.aliveControllers));
+    this.applyRequestRates(sharingControllers);
+    this.applyWriteRates(sharingControllers);
   }
 
-  private applyRequestRates(sharing: number): void {
+  private applyRequestRates(sharingControllers: number): void {
     const { rps } = this.settings.state;
     const { isLeader, machineShare } = this.role;
-    // Bursts seldom meet; where they do, the service refuses one of them, and it is repeated.
+    // Bursts of several controllers seldom coincide. If they do, the service refuses requests of one of them,
+    // which are then retried.
     const burst = Math.max(minRequestBurst, rps * burstS);
-    const dutyWeight = evenRequestShare / sharing + (1 - evenRequestShare) * machineShare;
+    const dutyWeight = evenRequestShare / sharingControllers + (1 - evenRequestShare) * machineShare;
     const leaderShare = isLeader ? requestShares.leader : 0;
-    this.requests.intake.setRate((rps * requestShares.intake) / sharing, burst);
-    this.requests.confirm.setRate((rps * requestShares.confirm) / sharing, burst);
+    this.requests.intake.setRate((rps * requestShares.intake) / sharingControllers, burst);
+    this.requests.confirm.setRate((rps * requestShares.confirm) / sharingControllers, burst);
     this.requests.duty.setRate(rps * (requestShares.duty * dutyWeight + leaderShare), burst);
   }
 
-  private applyWriteRates(sharing: number): void {
+  private applyWriteRates(sharingControllers: number): void {
     const { isLeader, machineShare } = this.role;
     const leaderShare = isLeader ? writeShares.leader : 0;
-    const share = writeShares.even / sharing + writeShares.byMachines * machineShare + leaderShare;
+    const share = writeShares.even / sharingControllers + writeShares.byMachines * machineShare + leaderShare;
     const rate = this.settings.state.writeRps * Math.min(1, share * this.adaptiveShare.factor);
     this.writes.setRate(rate, this.writeBurst);
     this.intakeWrites.setRate(rate * writeShares.maxForIntake, this.writeBurst);
--- a/src/store/store-connection.ts
+++ b/src/store/store-connection.ts
@@ -1,4 +1,7 @@
-/** Requests to the state service: each is paced, bounded in time, and recorded as proof of contact or of its loss. */
+/**
+ * Sends requests to the state service. Each request is paced, has a time-out, and is recorded as evidence of
+ * contact or of its loss.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import { type Answer, HttpPeer } from '../base/http.js';
 import { StoreConnectionError, type StoreOperation } from './errors.js';
@@ -15,24 +18,24 @@
   body?: unknown;
 }
 
-/** What a connection needs. */
+/** What a connection requires from the rest of the client. */
 export interface StoreConnectionPorts {
   /** `host:port` of the state service. */
   address: string;
   clock: Clock;
-  /** Ends pauses and requests under way. */
+  /** Aborts pauses and pending requests. */
   signal: AbortSignal;
   pacing: Pick<RequestPacing, 'reserveRequest'>;
   contact: Pick<StoreContact, 'recordAnswer' | 'recordNoAnswer'>;
 }
 
-/** Kept-alive connections to the state service. */
+/** A pool of persistent connections to the state service. */
 export class StoreConnection {
   private readonly peer: HttpPeer;
 
   /**
-   * @param ports what the connection uses
-   * @param sockets how many requests may be under way at a time; further ones wait for one of these
+   * @param ports the dependencies of the connection
+   * @param sockets the largest number of concurrent requests; further requests wait until one has ended
    */
   constructor(
     private readonly ports: StoreConnectionPorts,
@@ -42,22 +45,23 @@
   }
 
   /**
-   * Sends the request once its traffic class has its turn.
+   * Sends the request when the pacing of its traffic class admits it.
    *
    * @throws {StoreConnectionError} when no answer arrives in time
    */
-  async sendInTurn(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
+  async sendPaced(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
     const { pacing, signal } = this.ports;
     await sleep(pacing.reserveRequest(trafficClass), signal);
     return this.send(request);
   }
 
   /**
-   * Sends the request at once and takes its turn from those that come later.
+   * Sends the request without waiting for the pacing. It still counts towards the pacing and delays later
+   * requests.
    *
    * @throws {StoreConnectionError} when no answer arrives in time
    */
-  sendAhead(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
+  sendImmediately(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
     this.ports.pacing.reserveRequest(trafficClass);
     return this.send(request);
   }
--- a/src/store/store-contact.test.ts
+++ b/src/store/store-contact.test.ts
@@ -6,7 +6,9 @@
 const served = { status: 200, body: { logline: 7 } };
 const outage = { status: 503, body: undefined };
 
-/** A contact whose clock the test sets, and how often it has recovered. */
+/**
+ * A contact, and the state of the test: the present time of its clock and the number of recoveries so far.
+ */
 function createContact(): { contact: StoreContact; state: { now: number; recoveries: number } } {
   const state = { now: 0, recoveries: 0 };
   const contact = new StoreContact(
@@ -17,15 +19,16 @@
   return { contact, state };
 }
 
-/** Whether the contact is failing now; a call, so that each assertion reads it anew. */
+/** Whether the contact is failing now. A function, so that each assertion reads the value again. */
 const isFailing = (contact: StoreContact): boolean => contact.failing;
 
-test('the store is failing from an outage answer until a request sent later is served', () => {
+test('the store counts as failing from a 503 answer until a request sent later is served', () => {
   const { contact, state } = createContact();
   state.now = 100;
   contact.recordAnswer(50, outage);
   assert.equal(isFailing(contact), true);
-  // Sent before the outage answer came: it does not tell that the outage is over.
+  // This request was sent before the 503 answer arrived, so its answer does not prove that the outage is
+  // over.
   contact.recordAnswer(60, served);
   assert.deepEqual([isFailing(contact), state.recoveries], [true, 0]);
   contact.recordAnswer(110, served);
@@ -34,7 +37,7 @@
   assert.equal(state.recoveries, 1);
 });
 
-test('a request without an answer counts only where none sent later has been served', () => {
+test('a request without an answer counts as a failure only if no request sent later has been served', () => {
   const { contact, state } = createContact();
   state.now = 200;
   contact.recordAnswer(150, served);
@@ -44,14 +47,14 @@
   assert.equal(isFailing(contact), true);
 });
 
-test('an answer over the limits proves contact and says nothing of revisions', () => {
+test('an answer with status 429 proves contact, and its revision is ignored', () => {
   const { contact, state } = createContact();
   state.now = 100;
   contact.recordAnswer(90, { status: 429, body: { logline: 9 } });
   assert.deepEqual([contact.lastContactAt, contact.lastRevisionSeenAt], [90, -Infinity]);
 });
 
-test('the revision of an answer proves freshness, and that of a watch proves no contact', () => {
+test('the revision of an answer proves freshness, and the answer to a watch does not prove contact', () => {
   const { contact } = createContact();
   contact.recordRevision(40, served);
   assert.deepEqual([contact.knownUntil(7), contact.lastContactAt], [40, -1000]);
--- a/src/store/store-contact.ts
+++ b/src/store/store-contact.ts
@@ -1,16 +1,23 @@
-/** Tracks whether the state service serves this controller, and which of its changes the controller can know. */
+/**
+ * Tracks whether the state service serves this controller, and up to which time the replica contains its
+ * changes.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Answer } from '../base/http.js';
 import { revisionOf } from '../wire/state.js';
 import { FreshnessBound } from './freshness-bound.js';
 
 const outageStatus = 503;
-/** Statuses of requests that were executed, or turned down for what they found: their answers name a revision. */
+/**
+ * Statuses of requests that were executed, or that failed because of the stored data (no such key, conflict).
+ * Answers with these statuses contain a revision.
+ */
 const statusesWithRevision: ReadonlySet<number> = new Set([200, 404, 409]);
 
 /**
- * Contact and freshness are separate matters: any served request proves contact, while only an answer that names a
- * revision says how recent the local copy is. All times are readings of the clock, in milliseconds.
+ * Tracks contact and freshness separately: any served request proves contact, while only an answer that
+ * contains a revision shows how recent the local replica is. All times are readings of the clock, in
+ * milliseconds.
  */
 export class StoreContact {
   private readonly freshness = new FreshnessBound();
@@ -19,8 +26,8 @@
 
   /**
    * @param clock reads the time
-   * @param assumedContactAt when contact is taken to have been last, until the first request is served
-   * @param onRecovered called each time the service serves again after it was failing
+   * @param assumedContactAt the assumed time of the last contact until the first request is served
+   * @param onRecovered called each time the service serves requests again after it was failing
    */
   constructor(
     private readonly clock: Clock,
@@ -30,27 +37,29 @@
     this.lastServedAt = assumedContactAt;
   }
 
-  /** When the last request that was served had been sent. */
+  /** The send time of the latest request that the service served. */
   get lastContactAt(): number {
     return this.lastServedAt;
   }
 
-  /** True once the service has turned a request away or left it unanswered, until it serves one again. */
+  /**
+   * True after the service has refused a request with 503 or left it unanswered, until it serves one again.
+   */
   get failing(): boolean {
     return this.lastFailureAt > this.lastServedAt;
   }
 
-  /** When the last request was sent whose answer named a revision of the store. */
+  /** The send time of the latest request whose answer contained a revision of the store. */
   get lastRevisionSeenAt(): number {
     return this.freshness.lastRevisionSeenAt;
   }
 
-  /** A copy that has reached this revision holds every change committed before the returned time. */
+  /** A replica that has reached this revision contains every change committed before the returned time. */
   knownUntil(revision: number): number {
     return this.freshness.knownUntil(revision);
   }
 
-  /** Records the answer to a request that was sent at this time. */
+  /** Records the answer to a request that was sent at `sentAt`. */
   recordAnswer(sentAt: number, answer: Answer): void {
     if (answer.status === outageStatus) {
       this.lastFailureAt = this.clock();
@@ -62,12 +71,18 @@
     this.recordRevision(sentAt, answer);
   }
 
-  /** Records that a request got no answer. It says nothing where one that was sent later has been served. */
+  /**
+   * Records that a request that was sent at `sentAt` got no answer. Has no effect if a request sent later has
+   * been served.
+   */
   recordNoAnswer(sentAt: number): void {
     if (this.lastServedAt <= sentAt) this.lastFailureAt = this.clock();
   }
 
-  /** Records only the revision of an answer, for requests that wait too long to prove contact. */
+  /**
+   * Records only the revision of an answer. Used for requests that the service holds open for too long to
+   * prove contact.
+   */
   recordRevision(sentAt: number, { status, body }: Answer): void {
     const revision = statusesWithRevision.has(status) ? revisionOf(body) : undefined;
     if (revision !== undefined) this.freshness.recordRevision(sentAt, revision);
--- a/src/store/stored-entries.ts
+++ b/src/store/stored-entries.ts
@@ -1,45 +1,54 @@
-/** An in-memory copy of the state service's keys. */
+/** An in-memory collection of keys of the state service with their values and versions. */
 import type { StoredValue } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
 
 /** A key with its value and version. */
 export type StoredEntry = [key: string, entry: StoredValue];
 
-/** Keys by their first part, up to the first `/`: a reader of one kind of key does not walk all the others. */
+/**
+ * Entries grouped by the first segment of their keys, up to the first `/`, so that reading the keys of one
+ * kind does not iterate over all others.
+ */
 export class StoredEntries {
-  private readonly byRoot = new Map<string, Map<string, StoredValue>>();
+  private readonly entriesByFirstSegment = new Map<string, Map<string, StoredValue>>();
 
-  /** How many keys there are. */
+  /** The number of keys. */
   get size(): number {
     let size = 0;
-    for (const entries of this.byRoot.values()) size += entries.size;
+    for (const entries of this.entriesByFirstSegment.values()) size += entries.size;
     return size;
   }
 
-  /** The value and version under a key. */
+  /** The value and version under a key; undefined if the key does not exist. */
   get(key: string): StoredValue | undefined {
-    return this.byRoot.get(rootOf(key))?.get(key);
+    return this.entriesByFirstSegment.get(firstSegmentOf(key))?.get(key);
   }
 
   /** Sets the value and version under a key. */
   set(key: string, entry: StoredValue): void {
-    const root = rootOf(key);
-    const entries = this.byRoot.get(root);
+    const firstSegment = firstSegmentOf(key);
+    const entries = this.entriesByFirstSegment.get(firstSegment);
     if (entries) entries.set(key, entry);
-    else this.byRoot.set(root, new Map([[key, entry]]));
+    else this.entriesByFirstSegment.set(firstSegment, new Map([[key, entry]]));
   }
 
   /** Removes a key. */
   delete(key: string): void {
-    this.byRoot.get(rootOf(key))?.delete(key);
+    this.entriesByFirstSegment.get(firstSegmentOf(key))?.delete(key);
   }
 
-  /** All keys that begin with a prefix, which has to hold the first part of the keys whole. */
+  /**
+   * All entries whose keys begin with a prefix. The prefix must contain the complete first segment of the
+   * keys.
+   */
   *withPrefix(prefix: string): Iterable<StoredEntry> {
-    for (const pair of this.byRoot.get(rootOf(prefix)) ?? []) if (pair[0].startsWith(prefix)) yield pair;
+    for (const pair of this.entriesByFirstSegment.get(firstSegmentOf(prefix)) ?? [])
+      if (pair[0].startsWith(prefix)) yield pair;
   }
 
-  /** The changes that lead from an earlier copy to this one: what was set, then what was deleted. */
+  /**
+   * The changes from an earlier collection to this one: first the keys that were set, then the deleted keys.
+   */
   changesSince(earlier: StoredEntries): Change[] {
     const changes: Change[] = [];
     for (const [key, entry] of this.all()) {
@@ -52,11 +61,11 @@
   }
 
   private *all(): Iterable<StoredEntry> {
-    for (const entries of this.byRoot.values()) yield* entries;
+    for (const entries of this.entriesByFirstSegment.values()) yield* entries;
   }
 }
 
-function rootOf(key: string): string {
+function firstSegmentOf(key: string): string {
   const slash = key.indexOf('/');
   return slash < 0 ? key : key.slice(0, slash);
 }
--- a/src/store/transaction-batch.ts
+++ b/src/store/transaction-batch.ts
@@ -1,23 +1,26 @@
 /** Packs operations into one transaction within the limits of the state service. */
 import { type Condition, maxTransactionBytes, type Write, writtenKey } from '../wire/state.js';
 
-/** An operation as far as packing looks at it. */
+/** The parts of an operation that determine whether it fits into a transaction. */
 export interface BatchedOperation {
   conditions: Condition[];
   writes: Write[];
-  /** What it takes of a transaction, in the JSON form that limits are measured in. */
+  /**
+   * The size in bytes that the operation adds to a transaction, in JSON, the form in which the limit is
+   * measured.
+   */
   bytes: number;
 }
 
-/** The service admits this many conditions for each write that a transaction may hold. */
+/** The service admits this many conditions for each write that a transaction may contain. */
 const conditionsPerWrite = 4;
 
 /**
- * The longest run of operations from the head of the queue that one transaction can hold. An operation too large for any
- * transaction goes out alone, and the service refuses it.
+ * Takes as many operations from the head of the queue as fit into one transaction, in order and without gaps.
+ * An operation that is too large for any transaction is sent alone, and the service refuses it.
  *
  * @param queue operations in the order of their arrival
- * @param maxWrites writes that one transaction may hold
+ * @param maxWrites the largest number of writes in one transaction
  */
 export function takeBatch<O extends BatchedOperation>(
   queue: O[],
@@ -33,9 +36,12 @@
   return { batch: queue.slice(0, count), rest: queue.slice(count) };
 }
 
-/** What a transaction holds so far: each key once in its conditions, and once in its writes. */
+/**
+ * The contents of a transaction so far. Each key is at most once in the conditions and at most once in the
+ * writes.
+ */
 class TransactionContents {
-  /** By key, the version that it is conditioned on. */
+  /** The version that the conditions require, by key. */
   private readonly versions = new Map<string, number>();
   private readonly writtenKeys = new Set<string>();
   private writes = 0;
@@ -54,7 +60,10 @@
     this.bytes += bytes;
   }
 
-  /** Operations in one transaction see the same state: none may rest on what another one writes. */
+  /**
+   * All operations in a transaction are executed on the same state, so no operation may depend on a key that
+   * another operation writes.
+   */
   private overlaps({ conditions, writes }: BatchedOperation): boolean {
     const { versions, writtenKeys } = this;
     return (
--- a/src/store/transactions.test.ts
+++ b/src/store/transactions.test.ts
@@ -13,7 +13,10 @@
   commits: { refused: boolean; waited: boolean }[];
 }
 
-/** Transactions whose requests are answered by the test; each look at the pacing takes the next wait, in milliseconds. */
+/**
+ * Transactions whose requests are answered by `answer`. Each query of the pacing returns the next entry of
+ * `waitsMs`, in milliseconds, and 0 after the last.
+ */
 function createTransactions(
   answer: () => Promise<Answer>,
   waitsMs: number[] = [],
@@ -25,10 +28,10 @@
     reserveWrites: (_trafficClass, count) => void recorded.reserved.push(count),
     recordCommit: (result) => void recorded.commits.push(result),
   };
-  return { transactions: new Transactions({ signal, connection: { sendInTurn: answer }, pacing }), recorded };
+  return { transactions: new Transactions({ signal, connection: { sendPaced: answer }, pacing }), recorded };
 }
 
-test('each status of the service is one outcome', async () => {
+test('each status of an answer is mapped to one outcome', async () => {
   const conflict = { logline: 9, failed: ['sk/block/0'] };
   const cases = [
     [200, { logline: 8 }, { kind: 'applied', revision: 8 }],
@@ -44,7 +47,7 @@
   }
 });
 
-test('a transaction without an answer is of unknown outcome and is not counted', async () => {
+test('a transaction without an answer has an unknown outcome and is not counted', async () => {
   const { transactions, recorded } = createTransactions(() =>
     Promise.reject(new StoreConnectionError('commit', new Error('no answer in time'))),
   );
@@ -53,7 +56,7 @@
   assert.deepEqual(recorded, { reserved: [1], commits: [] });
 });
 
-test('writes are counted by the kind of key, with refusals and conflicts, until they are taken', async () => {
+test('writes by kind of key, refusals and conflicts are counted until the counts are taken', async () => {
   const statuses = [200, 429, 409];
   const { transactions } = createTransactions(() =>
     Promise.resolve({ status: statuses.shift() ?? 500, body: {} }),
@@ -63,7 +66,7 @@
   assert.deepEqual(transactions.takeCounts(), { changes: {}, refused: 0, conflicts: 0 });
 });
 
-test('a commit waits until its writes have their turn; a wait of a submission is reported to the pacing', async () => {
+test('a commit waits until the pacing admits it, and waiting of a submission is reported', async () => {
   const applied = (): Promise<Answer> => Promise.resolve({ status: 200, body: {} });
   const intake = createTransactions(applied, [1, 1]);
   await intake.transactions.commit('intake', [], [write]);
@@ -73,7 +76,7 @@
   assert.deepEqual(duty.recorded.commits, [{ refused: false, waited: false }]);
 });
 
-test('a transaction that only compares is not paced as a write', async () => {
+test('a transaction with conditions but no writes is not paced as a write', async () => {
   const { transactions, recorded } = createTransactions(
     () => Promise.resolve({ status: 200, body: {} }),
     [60_000],
@@ -82,7 +85,7 @@
   assert.deepEqual(recorded, { reserved: [], commits: [] });
 });
 
-test('a commit that waits for its turn is refused once the process stops', async () => {
+test('a commit that waits for the pacing is refused when the process stops', async () => {
   const stop = new AbortController();
   let requests = 0;
   const { transactions } = createTransactions(
--- a/src/store/transactions.ts
+++ b/src/store/transactions.ts
@@ -1,4 +1,4 @@
-/** Transactions of the state service: writes that are carried out together if all conditions hold. */
+/** Sends transactions to the state service: writes that are executed together if all conditions hold. */
 import { sleep } from '../base/clock.js';
 import type { Answer } from '../base/http.js';
 import { commitBody, type Condition, parseCommit, type Write, writtenKey } from '../wire/state.js';
@@ -6,33 +6,40 @@
 import type { StoreConnection } from './store-connection.js';
 
 /**
- * The result of a transaction. `refused`: certainly not executed. `unknown`: may have been executed, or may yet be, at any
- * later time; whoever repeats it relies on its conditions.
+ * The result of a transaction. `refused`: the transaction was certainly not executed. `unknown`: the
+ * transaction may have been executed, or may still be executed at any later time. A caller that repeats it
+ * must rely on its conditions.
  */
 export type CommitOutcome =
   | { kind: 'applied'; revision: number }
   /** `failed`: the keys whose conditions did not hold. */
   | { kind: 'conflict'; failed: string[]; revision: number }
-  /** Refused for its form or size, or for a lease that has ended: repeating it as it is helps nothing. */
+  /**
+   * The service refused the transaction because of its form or size, or because a lease named in it has
+   * ended. A retry without changes cannot succeed.
+   */
   | { kind: 'malformed' }
-  /** `rateLimited`: over the limits, so worth a repetition in a moment. */
+  /** `rateLimited`: a rate limit was exceeded, so the transaction can be retried after a short time. */
   | { kind: 'refused'; rateLimited: boolean }
   | { kind: 'unknown' };
 
-/** What the writes of this controller were spent on. */
+/** Counts of the writes that this controller has sent. */
 export interface ChangeCounts {
-  /** Writes asked for, by the first part of the key. */
+  /** The number of writes in answered transactions, by the first segment of the key. */
   changes: Record<string, number>;
-  /** Transactions refused for the limits. */
+  /** The number of transactions refused because a rate limit was exceeded. */
   refused: number;
-  /** Writes of transactions whose conditions did not hold: they count towards the limits as well. */
+  /**
+   * The number of writes in transactions whose conditions did not hold. They count towards the limits as
+   * well.
+   */
   conflicts: number;
 }
 
-/** What transactions need. */
+/** What transactions require from the rest of the client. */
 export interface TransactionPorts {
   signal: AbortSignal;
-  connection: Pick<StoreConnection, 'sendInTurn'>;
+  connection: Pick<StoreConnection, 'sendPaced'>;
   pacing: Pick<RequestPacing, 'writeWaitMs' | 'reserveWrites' | 'recordCommit'>;
 }
 
@@ -43,15 +50,17 @@
   constructor(private readonly ports: TransactionPorts) {}
 
   /**
-   * Executes the writes together if all conditions hold, once the writes have their turn. Never rejects: a request
-   * without an answer is `unknown`, and one that never went out as the process stops is `refused`.
+   * Executes the writes together if all conditions hold. The transaction is sent when the pacing admits its
+   * writes. Never rejects: the outcome is `unknown` if the request gets no answer, and `refused` if the
+   * process stops while the transaction waits for the pacing.
    */
   async commit(trafficClass: TrafficClass, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> {
     const { signal, connection, pacing } = this.ports;
     let waited = false;
     if (writes.length > 0) {
-      // Waits for what was spent before and spends ahead: a commit that waited for its own writes to be earned would
-      // be out of date by the time it went. Nothing is awaited between the last look and the reservation.
+      // The commit waits until the pacing has paid off the writes of earlier commits, then takes its own
+      // writes as a debt. If it waited until the pacing covered its own writes, it would be out of date when
+      // it is sent. There is no `await` between the last check and the reservation.
       for (
         let waitMs = pacing.writeWaitMs(trafficClass);
         waitMs > 0;
@@ -65,7 +74,7 @@
     }
     let answer: Answer;
     try {
-      answer = await connection.sendInTurn(trafficClass, {
+      answer = await connection.sendPaced(trafficClass, {
         operation: 'commit',
         method: 'POST',
         path: '/commit',
@@ -79,7 +88,7 @@
     return outcomeOf(answer);
   }
 
-  /** The counts since this was last called. */
+  /** Returns the counts since the previous call, and resets them. */
   takeCounts(): ChangeCounts {
     const { counts } = this;
     this.counts = emptyCounts();
@@ -91,8 +100,8 @@
     if (status === 429) counts.refused++;
     if (status === 409) counts.conflicts += writes.length;
     for (const write of writes) {
-      const root = writtenKey(write).split('/', 1)[0] ?? '';
-      counts.changes[root] = (counts.changes[root] ?? 0) + 1;
+      const firstSegment = writtenKey(write).split('/', 1)[0] ?? '';
+      counts.changes[firstSegment] = (counts.changes[firstSegment] ?? 0) + 1;
     }
   }
 }
