--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -122,7 +122,7 @@
    * Label of the controller to which the machine must send its heartbeats; undefined if the machine is in no
    * block.
    */
-  ownerOf(machine: string): string | undefined {
+  ownerOfMachine(machine: string): string | undefined {
     return this.ownersById().get(machine)?.owner;
   }
 
--- a/src/blocks/quota-share-allocator.ts
+++ b/src/blocks/quota-share-allocator.ts
@@ -1,7 +1,7 @@
 /** Decides when the leader reallocates the teams' limits among the blocks, and computes the demand for it. */
 import type { Clock } from '../base/clock.js';
 import type { JobIndex } from '../placement/job-index.js';
-import { needOf } from '../placement/ledger-index.js';
+import { taskResourcesOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRecord, QuotaShares } from '../wire/block-records.js';
@@ -68,7 +68,7 @@
     for (const job of jobIndex.inQueueOrder(order, wallClock())) {
       for (const { block, count } of jobIndex.waitingByBlock(job)) {
         if (block !== undefined && count > 0)
-          demandOf(block, job.spec.team).waiting.push({ need: needOf(job.spec), count });
+          demandOf(block, job.spec.team).waiting.push({ need: taskResourcesOf(job.spec), count });
       }
     }
     return demandOf;
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../base/clock.js';
 import { isZoneConstrained } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
-import { needOf } from '../placement/ledger-index.js';
+import { taskResourcesOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import { TeamUsage } from '../placement/team-usage.js';
 import type { Settings } from '../settings/settings.js';
@@ -80,7 +80,7 @@
     const round: RecallRound = { now, capacity, stuckSince: new Map(), recalls: [] };
     const usage = this.teamUsage();
     for (const job of jobIndex.inQueueOrder(order, wallClock())) {
-      if (usage.admits(settings.teams.get(job.spec.team), needOf(job.spec)))
+      if (usage.admits(settings.teams.get(job.spec.team), taskResourcesOf(job.spec)))
         this.recallStuckTasks(job, round);
     }
     this.stuckSince = round.stuckSince;
@@ -89,7 +89,7 @@
 
   private teamUsage(): TeamUsage {
     const usage = new TeamUsage();
-    for (const { entry } of this.ports.jobIndex.activeTasks()) usage.add(entry.team, needOf(entry));
+    for (const { entry } of this.ports.jobIndex.activeTasks()) usage.add(entry.team, taskResourcesOf(entry));
     return usage;
   }
 
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -17,7 +17,7 @@
   settings: Settings;
   intake: Pick<Intake, 'routes' | 'health'>;
   ownedBlocks: Pick<OwnedBlocks, 'findMachine'>;
-  registry: Pick<BlockRegistry, 'ownerOf'>;
+  registry: Pick<BlockRegistry, 'ownerOfMachine'>;
   /** The label of the leader as far as it is known. */
   leader: () => string | undefined;
   mayStartTasks: () => boolean;
@@ -72,7 +72,7 @@
       log: ports.log,
       label,
       findMachine: (id) => ports.ownedBlocks.findMachine(id),
-      ownerOf: (machine) => ports.registry.ownerOf(machine),
+      ownerOf: (machine) => ports.registry.ownerOfMachine(machine),
       leader: ports.leader,
       mayStartTasks: ports.mayStartTasks,
       mayAnswerHeartbeats: ports.mayAnswerHeartbeats,
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -16,10 +16,10 @@
 import type { Mirror } from '../store/mirror.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { countDemand } from './demand.js';
+import { DrainedMachineReleaser } from './drained-machine-releaser.js';
 import { FailureObserver } from './failure-observer.js';
 import { MachineInventory } from './machine-inventory.js';
 import { MachineListPoller } from './machine-list-poller.js';
-import { MachineReleaser } from './machine-releaser.js';
 import { PoolLadders } from './pool-ladders.js';
 import { PoolLog } from './pool-log.js';
 import { buildPools, type Pool, poolKey } from './pools.js';
@@ -93,7 +93,7 @@
     const listIntervalMs = this.evaluationIntervalMs * evaluationsPerList;
     const releaseIntervalMs = this.evaluationIntervalMs / releaseChecksPerEvaluation;
     const poller = new MachineListPoller(this.ports, this.inventory, listIntervalMs);
-    const releaser = new MachineReleaser(this.ports, this.inventory, releaseIntervalMs);
+    const releaser = new DrainedMachineReleaser(this.ports, this.inventory, releaseIntervalMs);
     await Promise.all([
       runRoutine('machine-list', term.signal, log, () => poller.run()),
       runRoutine('autoscaling', term.signal, log, () => this.evaluateRepeatedly()),
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,7 +1,7 @@
 /** Demand counting: how many slots of running and waiting tasks count for each pool. */
 import { type JobSpec, type Resources, taskKind, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
-import { needOf } from '../placement/ledger-index.js';
+import { taskResourcesOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import { TeamUsage } from '../placement/team-usage.js';
 import type { Team } from '../settings/settings.js';
@@ -54,7 +54,7 @@
     return eligible;
   };
   for (const job of jobsToCount(inputs)) {
-    const need = needOf(job.spec);
+    const need = taskResourcesOf(job.spec);
     let remaining = admittedTasks(job, inputs, usage);
     usage.add(job.spec.team, need, remaining);
     const eligible = poolsFor(job.spec);
--- a/src/ladder/machine-releaser.test.ts
+++ b/src/ladder/drained-machine-releaser.test.ts
@@ -5,8 +5,8 @@
 import { Term } from '../leadership/term.js';
 import type { Resources } from '../model/types.js';
 import { testSettings } from '../testing/settings.js';
+import { DrainedMachineReleaser } from './drained-machine-releaser.js';
 import { MachineInventory } from './machine-inventory.js';
-import { MachineReleaser } from './machine-releaser.js';
 
 /** Runs a releaser for `checks` release checks and returns the batches that it asked the cloud to release. */
 async function runReleaser(
@@ -19,7 +19,7 @@
   const countCheck = (): void => {
     if (--remainingChecks === 0) term.end({ kind: 'shutdown' });
   };
-  const releaser = new MachineReleaser(
+  const releaser = new DrainedMachineReleaser(
     {
       cloud: {
         release: (machines) => {
--- a/src/ladder/machine-releaser.ts
+++ b/src/ladder/drained-machine-releaser.ts
@@ -7,7 +7,7 @@
 import type { MachineInventory } from './machine-inventory.js';
 
 /** The parts of the controller that the releaser uses. */
-export interface MachineReleaserPorts {
+export interface DrainedMachineReleaserPorts {
   cloud: Pick<CloudClient, 'release'>;
   jobIndex: Pick<JobIndex, 'machineLoads'>;
   log: Log;
@@ -20,9 +20,9 @@
  * Releases draining machines once they have no tasks. A successful release also proves that nothing runs on
  * them any more.
  */
-export class MachineReleaser {
+export class DrainedMachineReleaser {
   constructor(
-    private readonly ports: MachineReleaserPorts,
+    private readonly ports: DrainedMachineReleaserPorts,
     private readonly inventory: MachineInventory,
     private readonly intervalMs: number,
   ) {}
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -71,7 +71,7 @@
   readonly jobs = new Map<string, JobState>();
   readonly ledger: Ledger;
   /** Initial back-off in ms after a task of a job has failed. */
-  readonly firstRetryPauseMs: number;
+  readonly initialRetryBackoffMs: number;
   private readonly blockMachines: BlockMachines;
   private readonly quotas: TeamQuotas;
   private readonly queue: WaitingQueue;
@@ -83,7 +83,7 @@
   constructor(private readonly options: BlockStateOptions) {
     const { block, clock, heartbeatIntervalMs, layout, teams } = options;
     this.layout = layout;
-    this.firstRetryPauseMs = heartbeatIntervalMs;
+    this.initialRetryBackoffMs = heartbeatIntervalMs;
     this.ledger = new Ledger(layout.pageBytes);
     this.owningBlock = { block, createRecorder: (job) => new JobRecorder(job, this.ledger, this.layout) };
     this.blockMachines = new BlockMachines(clock, heartbeatIntervalMs * terminatedRetentionHeartbeats);
@@ -159,7 +159,7 @@
   }
 
   /** Records that all tasks of the job in this block are done. */
-  noteCompleted(job: JobState): void {
+  markJobCompleted(job: JobState): void {
     this.completedJobs.add(job);
   }
 
--- a/src/placement/heartbeat-findings.ts
+++ b/src/placement/heartbeat-findings.ts
@@ -10,9 +10,9 @@
   /** Returns the machine to which the task is assigned, if the block has this machine. */
   machineOf(task: Task): MachineState | undefined;
   /** Called when all tasks of the job that belong to this block are done. */
-  noteCompleted(job: JobState): void;
+  markJobCompleted(job: JobState): void;
   /** Initial retry back-off of a job in ms, after the first failure of one of its tasks. */
-  readonly firstRetryPauseMs: number;
+  readonly initialRetryBackoffMs: number;
 }
 
 /** Causes that are failures of the machine or the job, and not results of a controller's command. */
@@ -61,7 +61,7 @@
   // If the leader has recalled the task in the meantime, the task remains assigned to its machine until this
   // block has the task again.
   if (!job.finishTask(index, now)) return;
-  if (job.isComplete) target.noteCompleted(job);
+  if (job.isComplete) target.markJobCompleted(job);
   if (task) target.machineOf(task)?.tasks.delete(keyOfTask(task));
 }
 
@@ -74,6 +74,6 @@
 ): void {
   if (job.outcome) return;
   const isFailure = failureCauses.has(cause);
-  if (isFailure) machine.noteFailedJob(job.id);
-  if (isFailure || cause === unknownTaskCause) job.noteFailure(now, target.firstRetryPauseMs);
+  if (isFailure) machine.recordFailedJob(job.id);
+  if (isFailure || cause === unknownTaskCause) job.recordTaskFailure(now, target.initialRetryBackoffMs);
 }
--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { createBlockStage, emptyReport, machineToken } from '../testing/block-stage.js';
+import { createBlockStage, emptyHeartbeat, machineToken } from '../testing/block-stage.js';
 import type { MachineState } from './machine-state.js';
 
 const twoTasks = { cpus: 4, accelerators: 0 };
@@ -84,7 +84,11 @@
     if (commits++ === 0) {
       blockState.removeTerminated('m1');
       const secondMachine = blockState.machines.get('m2') as MachineState;
-      blockState.applyHeartbeat(secondMachine, { ...emptyReport('m2', 1), fencingToken: machineToken }, true);
+      blockState.applyHeartbeat(
+        secondMachine,
+        { ...emptyHeartbeat('m2', 1), fencingToken: machineToken },
+        true,
+      );
       scheduler.placeOn(secondMachine);
       assert.deepEqual([stage.task()?.machine, stage.task()?.phase], ['m2', 'placing']);
       return { kind: 'applied', revision: 8 };
--- a/src/placement/job-completion.test.ts
+++ b/src/placement/job-completion.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { createBlockStage, emptyReport, machineToken } from '../testing/block-stage.js';
+import { createBlockStage, emptyHeartbeat, machineToken } from '../testing/block-stage.js';
 import type { MachineState } from './machine-state.js';
 
 // Guards against outcome commits that are conditioned on the block's record. The record changes while the
@@ -19,7 +19,7 @@
   const machine = stage.blockState.machines.get('m1') as MachineState;
   stage.blockState.applyHeartbeat(
     machine,
-    { ...emptyReport('m1', machine.sequence + 1), fencingToken: machineToken, tasks: [done] },
+    { ...emptyHeartbeat('m1', machine.sequence + 1), fencingToken: machineToken, tasks: [done] },
     true,
   );
   void stage.scheduler.run();
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -288,7 +288,7 @@
    * Records the failure of a task. Further starts of the job are delayed, with an exponential back-off from
    * `initialBackoffMs`, so that the job does not delay other jobs.
    */
-  noteFailure(now: number, initialBackoffMs: number): void {
+  recordTaskFailure(now: number, initialBackoffMs: number): void {
     const doublings = Math.min(this.failureCount, maxRetryBackoffDoublings);
     this.failureCount++;
     this.retryAt = now + Math.min(maxRetryBackoffMs, initialBackoffMs * 2 ** doublings);
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -98,7 +98,7 @@
     const loads = new Map<string, Resources>();
     for (const { entry, machine } of this.activeTasks()) {
       const load = loads.get(machine);
-      if (!load) loads.set(machine, needOf(entry));
+      if (!load) loads.set(machine, taskResourcesOf(entry));
       else {
         load.cpus += entry.cpus;
         load.accelerators += entry.accelerators;
@@ -131,7 +131,7 @@
 }
 
 /** Returns the resources that one task of the job uses on its machine. */
-export function needOf(from: Pick<JobSpec, 'cpus' | 'accelerators' | 'memoryGb'>): Resources {
+export function taskResourcesOf(from: Pick<JobSpec, 'cpus' | 'accelerators' | 'memoryGb'>): Resources {
   const { cpus, accelerators, memoryGb } = from;
   return { cpus, accelerators, memoryGb };
 }
--- a/src/placement/machine-state.test.ts
+++ b/src/placement/machine-state.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import { taskKey } from '../model/types.js';
-import { emptyReport, jobSpec, machineToken } from '../testing/block-stage.js';
+import { emptyHeartbeat, jobSpec, machineToken } from '../testing/block-stage.js';
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import type { Verdict } from './reconciliation.js';
 
@@ -23,7 +23,7 @@
       state,
       cause: '',
     }));
-    const heartbeat = { ...emptyReport('m1', sequence), fencingToken, tasks };
+    const heartbeat = { ...emptyHeartbeat('m1', sequence), fencingToken, tasks };
     return blockState.applyHeartbeat(machine, heartbeat, true).verdict;
   };
   // The machine's heartbeat does not carry the fencing token of this owner.
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -134,7 +134,7 @@
   }
 
   /** Records that a task of the job has failed on the machine. */
-  noteFailedJob(job: string): void {
+  recordFailedJob(job: string): void {
     this.failedJobs.add(job);
     if (this.failedJobs.size >= faultyAfterFailedJobs) this.faulty = true;
   }
@@ -143,7 +143,7 @@
    * Excludes `graceMs`, a time during which the controller itself was delayed: it counts neither as missed
    * heartbeats nor as commands that the machine did not execute.
    */
-  addGrace(graceMs: number): void {
+  excludeControllerDelay(graceMs: number): void {
     this.lastHeartbeatAt += graceMs;
     if (this.fencingTokenOfferedAt !== undefined) this.fencingTokenOfferedAt += graceMs;
     for (const task of this.tasks.values()) if (task.startSentAt !== undefined) task.startSentAt += graceMs;
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -58,7 +58,7 @@
 }
 
 /** A report of a machine without tasks. */
-export function emptyReport(machine: string, seq: number): Omit<Heartbeat, 'fencingToken'> {
+export function emptyHeartbeat(machine: string, seq: number): Omit<Heartbeat, 'fencingToken'> {
   const place = { address: 'x', type: 'c8', zone: 'a', spot: false, preemptionNoticeS: null };
   return { machine, ...place, agentEpoch: 1, sequence: seq, tasks: [] };
 }
@@ -134,7 +134,7 @@
       const machine = blockState.machines.get(id) as MachineState;
       blockState.applyHeartbeat(
         machine,
-        { ...emptyReport(id, machine.sequence + 1), fencingToken: machineToken },
+        { ...emptyHeartbeat(id, machine.sequence + 1), fencingToken: machineToken },
         true,
       );
       scheduler.placeOn(machine);
--- a/src/testing/heartbeat-stage.ts
+++ b/src/testing/heartbeat-fixture.ts
@@ -17,7 +17,7 @@
 }
 
 /** A block with a handler for the heartbeats of its machines m1 and m2. */
-export interface HeartbeatStage extends BlockStage {
+export interface HeartbeatFixture extends BlockStage {
   handler: HeartbeatHandler;
   /** All replies so far, in their order. */
   replies: Reply[];
@@ -26,14 +26,18 @@
 }
 
 /** What a test may set of the stage. */
-export interface HeartbeatStageOptions extends Partial<HeartbeatHandlerPorts> {
+export interface HeartbeatFixtureOptions extends Partial<HeartbeatHandlerPorts> {
   /** Tasks of the job. */
   tasks: number;
   commit?: () => CommitOutcome;
 }
 
 /** Unless the options say otherwise, the handler owns m1 and m2 and may start tasks, and every commit is applied. */
-export function createHeartbeatStage({ tasks, commit, ...ports }: HeartbeatStageOptions): HeartbeatStage {
+export function createHeartbeatFixture({
+  tasks,
+  commit,
+  ...ports
+}: HeartbeatFixtureOptions): HeartbeatFixture {
   const stage = createBlockStage(commit ?? (() => ({ kind: 'applied', revision: 9 })), { tasks });
   const { blockState, scheduler } = stage;
   const findMachine = (id: string): OwnedMachine | undefined => {
--- a/src/workers/failure-detection.test.ts
+++ b/src/workers/failure-detection.test.ts
@@ -56,7 +56,7 @@
   state.tasks.set('req-1/0', task);
   const checkAt = (at: number): [silent: number, partitionedSince: number | undefined] => {
     now = at;
-    state.addGrace(processPause.measureDelayMs());
+    state.excludeControllerDelay(processPause.measureDelayMs());
     return [silentMachines([state], now, times, 3).length, state.oneWayPartitionSince()];
   };
   assert.deepEqual(checkAt(1000), [0, 0]);
@@ -79,7 +79,7 @@
     state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
     state.hasSentHeartbeat = true;
     for (let now = 500; now < 60_000; now += 500) {
-      state.addGrace(
+      state.excludeControllerDelay(
         ownDelayGraceMs({ passedMs: 500, pausedMs: 0, saturated: saturation.measureSaturated() }),
       );
       if (silentMachines([state], now, times, 3).length > 0) return now;
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -71,7 +71,7 @@
 
   private addGrace(graceMs: number): void {
     if (graceMs === 0) return;
-    for (const machine of this.ports.blockState.machines.values()) machine.addGrace(graceMs);
+    for (const machine of this.ports.blockState.machines.values()) machine.excludeControllerDelay(graceMs);
   }
 
   /**
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -7,7 +7,7 @@
 
 import { nextTurn } from '../base/turns.js';
 import { type AsyncCosts, countAsyncCosts } from '../testing/async-costs.js';
-import { createHeartbeatStage, sendHeldResponses } from '../testing/heartbeat-stage.js';
+import { createHeartbeatFixture, sendHeldResponses } from '../testing/heartbeat-fixture.js';
 
 const noCosts: AsyncCosts = { promises: 0, timers: 0, turns: 0 };
 const heartbeatCount = 50;
@@ -25,7 +25,7 @@
 
 describe('asynchronous costs of a heartbeat', () => {
   test('a machine without free resources is answered immediately, without a promise or a timer', async () => {
-    const stage = createHeartbeatStage({ tasks: 4 });
+    const stage = createHeartbeatFixture({ tasks: 4 });
     stage.heartbeat('m1');
     await waitForTurns();
     const running = [0, 1, 2, 3].map((index) => ({ index, status: 'running' }));
@@ -39,7 +39,7 @@
   });
 
   test('a worker is redirected without a promise or a timer', async () => {
-    const stage = createHeartbeatStage({ tasks: 1, findMachine: () => undefined, ownerOf: () => 'keel-1' });
+    const stage = createHeartbeatFixture({ tasks: 1, findMachine: () => undefined, ownerOf: () => 'keel-1' });
     const costs = await countAsyncCosts(() => {
       for (let i = 0; i < heartbeatCount; i++) stage.heartbeat('m1');
     }, waitForTurns);
@@ -48,7 +48,7 @@
   });
 
   test('all held responses share one timer', async () => {
-    const stage = createHeartbeatStage({ tasks: 0 });
+    const stage = createHeartbeatFixture({ tasks: 0 });
     const first = await countAsyncCosts(() => stage.heartbeat('m1'), waitForTurns);
     const more = await countAsyncCosts(() => {
       for (let i = 0; i < heartbeatCount; i++) stage.heartbeat(i % 2 === 0 ? 'm2' : 'm1');
@@ -62,7 +62,7 @@
   });
 
   test('a heartbeat whose response waits for a commit stays within the measured costs', async () => {
-    const stage = createHeartbeatStage({ tasks: 4 });
+    const stage = createHeartbeatFixture({ tasks: 4 });
     const costs = await countAsyncCosts(() => stage.heartbeat('m1'), waitForTurns);
     assert.equal(stage.blockState.machines.get('m1')?.tasks.size, 4);
     assert.equal(stage.replies.length, 1);
--- a/src/workers/heartbeat-handler.test.ts
+++ b/src/workers/heartbeat-handler.test.ts
@@ -6,7 +6,11 @@
 import { nextTurn } from '../base/turns.js';
 import type { MachineState } from '../placement/machine-state.js';
 import { machineToken } from '../testing/block-stage.js';
-import { createHeartbeatStage, type HeartbeatStage, sendHeldResponses } from '../testing/heartbeat-stage.js';
+import {
+  createHeartbeatFixture,
+  type HeartbeatFixture,
+  sendHeldResponses,
+} from '../testing/heartbeat-fixture.js';
 
 const unknownOwnerReply: Reply = { status: 421, body: {} };
 const noOwnerReply: Reply = { status: 503, body: {} };
@@ -15,7 +19,7 @@
   return (reply?.body as { orders: unknown }).orders;
 }
 
-function machineOf(stage: HeartbeatStage, id: string): MachineState {
+function machineOf(stage: HeartbeatFixture, id: string): MachineState {
   const machine = stage.blockState.machines.get(id);
   assert.ok(machine);
   return machine;
@@ -23,22 +27,22 @@
 
 describe('accepting, redirecting and rejecting heartbeats', () => {
   test('a body that is not a heartbeat is rejected', () => {
-    const stage = createHeartbeatStage({ tasks: 0 });
+    const stage = createHeartbeatFixture({ tasks: 0 });
     stage.handler.handle({ host: 'm1' }, (reply) => void stage.replies.push(reply));
     assert.deepEqual(stage.replies, [{ status: 400, body: { error: 'not a report' } }]);
   });
 
   test('a worker whose machine this controller does not own is redirected to the owner, or else to the leader', () => {
     const findMachine = (): undefined => undefined;
-    const ownedByPeer = createHeartbeatStage({
+    const ownedByPeer = createHeartbeatFixture({
       tasks: 0,
       findMachine,
       ownerOf: () => 'keel-1',
       leader: () => 'keel-2',
     });
-    const redirectedToLeader = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-2' });
-    const handlerIsLeader = createHeartbeatStage({ tasks: 0, findMachine, leader: () => 'keel-0' });
-    const withoutLeader = createHeartbeatStage({ tasks: 0, findMachine });
+    const redirectedToLeader = createHeartbeatFixture({ tasks: 0, findMachine, leader: () => 'keel-2' });
+    const handlerIsLeader = createHeartbeatFixture({ tasks: 0, findMachine, leader: () => 'keel-0' });
+    const withoutLeader = createHeartbeatFixture({ tasks: 0, findMachine });
     const stages = [ownedByPeer, redirectedToLeader, handlerIsLeader, withoutLeader];
     for (const stage of stages) stage.heartbeat('m1');
     assert.deepEqual(
@@ -53,21 +57,21 @@
   });
 
   test('no heartbeat is applied while cancellations may be unknown', () => {
-    const stage = createHeartbeatStage({ tasks: 0, mayAnswerHeartbeats: () => false });
+    const stage = createHeartbeatFixture({ tasks: 0, mayAnswerHeartbeats: () => false });
     stage.heartbeat('m1');
     assert.deepEqual(stage.replies, [unknownOwnerReply]);
     assert.equal(machineOf(stage, 'm1').sequence, -1);
   });
 
   test('a worker that has seen a higher fencing token is answered that another controller owns its machine', () => {
-    const stage = createHeartbeatStage({ tasks: 0 });
+    const stage = createHeartbeatFixture({ tasks: 0 });
     stage.heartbeat('m1', [], machineToken + 1);
     assert.deepEqual(stage.replies, [unknownOwnerReply]);
   });
 
   test('a worker first receives the fencing token without commands, and the time of the first offer is recorded', () => {
     let now = 100;
-    const stage = createHeartbeatStage({ tasks: 1, clock: () => now, areConnectionsScarce: () => true });
+    const stage = createHeartbeatFixture({ tasks: 1, clock: () => now, areConnectionsScarce: () => true });
     stage.heartbeat('m1', [], 0);
     now = 200;
     stage.heartbeat('m1', [], 0);
@@ -86,10 +90,10 @@
    * returns the commands in the response.
    */
   async function commandsSentAfter(
-    change: (stage: HeartbeatStage, clock: { now: number; mayStart: boolean }) => void,
+    change: (stage: HeartbeatFixture, clock: { now: number; mayStart: boolean }) => void,
   ): Promise<unknown> {
     const clock = { now: 0, mayStart: true };
-    const stage = createHeartbeatStage({
+    const stage = createHeartbeatFixture({
       tasks: 1,
       clock: () => clock.now,
       mayStartTasks: () => clock.mayStart,
@@ -108,14 +112,14 @@
   });
 
   test('nothing after a change of the fencing token, a later heartbeat, or the decision to release the machine', async () => {
-    const setToken = (stage: HeartbeatStage): void =>
+    const setToken = (stage: HeartbeatFixture): void =>
       machineOf(stage, 'm1').setFencingToken(machineToken + 1);
     assert.deepEqual(await commandsSentAfter(setToken), []);
-    const acceptLaterHeartbeat = (stage: HeartbeatStage): void => {
+    const acceptLaterHeartbeat = (stage: HeartbeatFixture): void => {
       machineOf(stage, 'm1').sequence++;
     };
     assert.deepEqual(await commandsSentAfter(acceptLaterHeartbeat), []);
-    const decideRelease = (stage: HeartbeatStage): void => {
+    const decideRelease = (stage: HeartbeatFixture): void => {
       machineOf(stage, 'm1').releaseReason = 'silent';
     };
     assert.deepEqual(await commandsSentAfter(decideRelease), []);
@@ -130,7 +134,7 @@
 
 describe('held responses', () => {
   test('are sent immediately with a command to stop when the job of a task on the machine ends', async () => {
-    const stage = createHeartbeatStage({ tasks: 1 });
+    const stage = createHeartbeatFixture({ tasks: 1 });
     stage.heartbeat('m1');
     for (let turn = 0; turn < 5; turn++) await nextTurn();
     stage.heartbeat('m1', [{ index: 0, status: 'running' }]);
@@ -150,7 +154,7 @@
       if (isFailing) throw new Error('broken');
       return true;
     };
-    const stage = createHeartbeatStage({ tasks: 0, log, mayStartTasks });
+    const stage = createHeartbeatFixture({ tasks: 0, log, mayStartTasks });
     stage.heartbeat('m1');
     assert.equal(stage.replies.length, 0);
     isFailing = true;
@@ -168,7 +172,7 @@
 // heartbeat after each change of its tasks.
 test('commands to forget wait for other commands to be sent with, for two heartbeat intervals at most', () => {
   let now = 10_000;
-  const stage = createHeartbeatStage({ tasks: 0, clock: () => now, areConnectionsScarce: () => true });
+  const stage = createHeartbeatFixture({ tasks: 0, clock: () => now, areConnectionsScarce: () => true });
   const commandsForReport = (index: number, status: string): unknown => {
     stage.heartbeat('m1', [{ index, status, cause: 'stopped' }]);
     return commandsOf(stage.replies.at(-1));
--- a/src/workers/straggler-detection.test.ts
+++ b/src/workers/straggler-detection.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import type { TaskState, WorkerCommand } from '../model/types.js';
-import { emptyReport, jobSpec, machineToken } from '../testing/block-stage.js';
+import { emptyHeartbeat, jobSpec, machineToken } from '../testing/block-stage.js';
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import { findStragglers } from './straggler-detection.js';
 
@@ -20,7 +20,7 @@
       state,
       cause: state === 'ended' ? 'done' : '',
     }));
-    const heartbeat = { ...emptyReport('m1', sequence), fencingToken: machineToken, tasks };
+    const heartbeat = { ...emptyHeartbeat('m1', sequence), fencingToken: machineToken, tasks };
     return blockState.applyHeartbeat(machine, heartbeat, true).commands;
   };
   applyHeartbeat(1, ['running', 'running', 'running', 'running']);
