--- a/src/controller/block-ownership.ts
+++ b/src/controller/block-ownership.ts
@@ -1,4 +1,7 @@
-/** Composes what keeps the blocks that are leased to this controller: their scheduling, and the health of their machines. */
+/**
+ * Composes the modules that schedule the blocks leased to this controller and monitor the health of their
+ * machines.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { MonitoredBlock } from '../blocks/owned-block.js';
@@ -12,15 +15,15 @@
 import type { MachineTypeCatalog } from './machine-type-catalog.js';
 import type { StateAccess } from './state-access.js';
 
-/** What the owner of blocks needs of the rest of the controller. */
+/** Dependencies of the owned blocks on the rest of the controller. */
 export interface BlockOwnershipPorts {
   clock: Clock;
   log: Log;
   settings: Settings;
   operator: OperatorSettings;
-  /** Tells one life of this process from the next. */
+  /** Identifies this run of the controller process; every restart has a new one. */
   incarnation: string;
-  /** All blocks are let go when it fires. */
+  /** When the signal fires, the routines of all owned blocks stop. */
   signal: AbortSignal;
   state: StateAccess;
   cloud: CloudClient;
@@ -29,7 +32,7 @@
   membership: Pick<Membership, 'resign'>;
 }
 
-/** Makes the keeper of this controller's blocks. */
+/** Creates the object that manages this controller's owned blocks, with their scheduling and health monitors. */
 export function createOwnedBlocks(ports: BlockOwnershipPorts): OwnedBlocks {
   const { state, settings } = ports;
   return new OwnedBlocks({
@@ -61,7 +64,9 @@
     cloud: ports.cloud,
     machineTypes: () => ports.machineTypes.types,
     isStoreReachable: () => state.knowledge.isStoreReachable(),
-    // Only others can keep the workers' tasks then: they are leased our blocks as soon as our lease is gone.
+    // If no worker reaches this controller, only another controller can keep the tasks of the workers
+    // running. The leader leases the blocks of this controller to others as soon as this controller's lease
+    // has ended.
     onNoHeartbeats: () => ports.membership.resign(settings.cancelDeadlineMs),
   });
 }
--- a/src/controller/commit-queues.ts
+++ b/src/controller/commit-queues.ts
@@ -1,41 +1,49 @@
-/** The queues in which this controller's commits wait for their turn. */
+/** The queues in which commits of this controller wait until they are sent to the store. */
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import { CommitQueue } from '../store/commit-queue.js';
 import type { TrafficClass } from '../store/request-pacing.js';
 
-/** One queue for each kind of work, so that none waits behind a burst of another. */
+/**
+ * One queue for each kind of work, so that commits of one kind do not wait behind a burst of another kind.
+ */
 export interface CommitQueues {
-  /** Ledgers, blocks of our own, membership. */
+  /** Commits of ledgers, of the blocks that this controller owns, and of its membership. */
   duty: CommitQueue;
-  /** What only the leader commits: all blocks wait for it, so it does not queue behind the ledger pages of one. */
+  /**
+   * Commits that only the leader makes. All blocks wait for these commits, so they do not queue behind the
+   * ledger pages of a single block.
+   */
   leader: CommitQueue;
-  /** What users submit and cancel. */
+  /** Submissions and cancellations by users. */
   intake: CommitQueue;
-  /** Comparisons that confirm what users are told. */
+  /**
+   * Transactions without writes: each confirms a job status by comparison before the status is returned to a
+   * user.
+   */
   confirm: CommitQueue;
 }
 
-/** Capacity of the queues, as multiples of the operations that one transaction can hold. */
+/** Capacity of each queue, as a multiple of the maximum number of operations in one transaction. */
 const capacityTransactions = { duty: 4, leader: 4, intake: 4, confirm: 8 };
 
-/** Makes the queues of one controller; they drop what waits when the signal fires. */
+/** Creates the queues of one controller. When the signal fires, the queues drop all waiting commits. */
 export function createCommitQueues(
   store: Pick<StoreClient, 'commit'>,
   settings: Settings,
   signal: AbortSignal,
 ): CommitQueues {
-  const queue = (traffic: TrafficClass, transactions: number): CommitQueue =>
+  const createQueue = (traffic: TrafficClass, transactions: number): CommitQueue =>
     new CommitQueue(store, traffic, settings, signal, transactions * settings.state.txnOps);
   return {
-    duty: queue('duty', capacityTransactions.duty),
-    leader: queue('duty', capacityTransactions.leader),
-    intake: queue('intake', capacityTransactions.intake),
-    confirm: queue('confirm', capacityTransactions.confirm),
+    duty: createQueue('duty', capacityTransactions.duty),
+    leader: createQueue('duty', capacityTransactions.leader),
+    intake: createQueue('intake', capacityTransactions.intake),
+    confirm: createQueue('confirm', capacityTransactions.confirm),
   };
 }
 
-/** How many operations wait in each queue. */
+/** Number of operations that wait in each queue. */
 export function queueLengths(
   queues: Record<keyof CommitQueues, Pick<CommitQueue, 'writableLength'>>,
 ): Record<keyof CommitQueues, number> {
--- a/src/controller/controller.test.ts
+++ b/src/controller/controller.test.ts
@@ -3,40 +3,44 @@
 
 import { Cluster, submission } from '../testing/cluster.js';
 
-// The whole service against stand-ins: what a user sees, and what must hold when parts of it fail.
+// The whole service against stand-ins of the store, the cloud and the workers: responses to users, and the
+// guarantees that must hold when parts of the service fail.
 describe('three controllers', () => {
   const cluster = new Cluster({ port: 21_000, taskMs: 600 });
   before(() => cluster.start());
   after(() => cluster.stop());
 
-  test('a job is accepted, runs to its end and stays done on every controller', async () => {
-    const first = await cluster.user(0, 'POST', '/v2/runs', submission('req-000001', 5));
-    assert.deepEqual([first.status, first.body], [201, { id: 'req-000001', status: 'pending' }]);
-    // Another controller knows the job at once, and contents of a repetition do not matter.
-    const again = await cluster.user(1, 'POST', '/v2/runs', submission('req-000001', 9));
-    assert.equal(again.status, 200);
+  test('a job is accepted, runs to completion and has status done on every controller', async () => {
+    const accepted = await cluster.user(0, 'POST', '/v2/runs', submission('req-000001', 5));
+    assert.deepEqual([accepted.status, accepted.body], [201, { id: 'req-000001', status: 'pending' }]);
+    // Other controllers return the job at once. The content of a repeated submission is ignored.
+    const repeated = await cluster.user(1, 'POST', '/v2/runs', submission('req-000001', 9));
+    assert.equal(repeated.status, 200);
     assert.notEqual(await cluster.status(2, 'req-000001'), '404');
     await cluster.until('the job is done', async () => (await cluster.status(1, 'req-000001')) === 'done');
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000001'), 'done');
-    const late = await cluster.user(2, 'POST', '/v2/runs', submission('req-000001', 5));
-    assert.deepEqual([late.status, late.body], [200, { id: 'req-000001', status: 'done' }]);
+    const afterCompletion = await cluster.user(2, 'POST', '/v2/runs', submission('req-000001', 5));
+    assert.deepEqual(
+      [afterCompletion.status, afterCompletion.body],
+      [200, { id: 'req-000001', status: 'done' }],
+    );
   });
 
-  test('a cancelled job is gone from its machines and stays cancelled', async () => {
+  test('the tasks of a cancelled job end on their machines, and the job stays cancelled', async () => {
     await cluster.user(0, 'POST', '/v2/runs', submission('req-000002', 4));
-    const runs = (): boolean =>
+    const isRunning = (): boolean =>
       [...cluster.workers.values()].some((w) => w.running.some((p) => p.startsWith('req-000002/')));
-    await cluster.until('a task runs', runs);
+    await cluster.until('a task runs', isRunning);
     const answer = await cluster.user(2, 'POST', '/v2/runs/req-000002/cancel', {});
     assert.deepEqual([answer.status, answer.body], [200, { id: 'req-000002', status: 'cancelled' }]);
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000002'), 'cancelled');
-    await cluster.until('its tasks are gone', () => !runs(), 2000);
-    const again = await cluster.user(1, 'POST', '/v2/runs/req-000002/cancel', {});
-    assert.deepEqual(again.body, { id: 'req-000002', status: 'cancelled' });
+    await cluster.until('no task of the job runs any more', () => !isRunning(), 2000);
+    const repeated = await cluster.user(1, 'POST', '/v2/runs/req-000002/cancel', {});
+    assert.deepEqual(repeated.body, { id: 'req-000002', status: 'cancelled' });
   });
 
-  test('bad input has its status and ends nothing', async () => {
-    const wrong: [unknown, number][] = [
+  test('each kind of invalid request gets its HTTP status, and the service keeps running', async () => {
+    const invalidSubmissions: [unknown, number][] = [
       ['text', 400],
       [[1, 2], 400],
       [{}, 400],
@@ -52,7 +56,7 @@
       [submission('req-000003', 1, { hulls: ['z9'] }), 422],
       [submission('req-000003', 1, { jobclass: 'x'.repeat(70_000) }), 413],
     ];
-    for (const [body, status] of wrong) {
+    for (const [body, status] of invalidSubmissions) {
       const answer = await cluster.user(0, 'POST', '/v2/runs', body);
       assert.equal(answer.status, status, JSON.stringify(body).slice(0, 300));
     }
@@ -64,84 +68,89 @@
     assert.equal((await cluster.user(0, 'GET', '/up')).status, 200);
   });
 
-  test('100,000 tasks are accepted and within the limits of a value', async () => {
+  test('a job of 100,000 tasks is accepted, and its stored values stay within the size limit of a value', async () => {
     const job = submission('req-000004', 100_000, { owner: 'blue', cpus: 8 });
     assert.equal((await cluster.user(0, 'POST', '/v2/runs', job)).status, 201);
-    await cluster.until('it runs', async () => (await cluster.status(1, 'req-000004')) === 'running');
+    await cluster.until(
+      'the job is running',
+      async () => (await cluster.status(1, 'req-000004')) === 'running',
+    );
     assert.equal((await cluster.user(1, 'POST', '/v2/runs/req-000004/cancel', {})).status, 200);
   });
 
-  test('an answer of the store that is lost loses no job', async () => {
+  test('no job is lost when responses of the store to commits are lost', async () => {
     cluster.store.losesAnswers = 3;
-    await cluster.until('it is accepted', async () => {
+    await cluster.until('the job is accepted', async () => {
       const answer = await cluster.user(0, 'POST', '/v2/runs', submission('req-000005', 3));
       return answer.status === 200 || answer.status === 201;
     });
-    await cluster.until('it is done', async () => (await cluster.status(0, 'req-000005')) === 'done');
+    await cluster.until('the job is done', async () => (await cluster.status(0, 'req-000005')) === 'done');
   });
 
-  test('without the store users are turned away at once, and work resumes after it', async () => {
+  test('while the store is down, submissions are refused with 503 at once; jobs continue after the outage', async () => {
     await cluster.user(0, 'POST', '/v2/runs', submission('req-000006', 3));
     cluster.store.down = true;
-    await cluster.until('the outage is noticed', async () => {
-      const began = Date.now();
+    await cluster.until('a submission is refused with 503 within 500 ms', async () => {
+      const sentAt = Date.now();
       const answer = await cluster.user(1, 'POST', '/v2/runs', submission('req-000007', 1));
-      return answer.status === 503 && Date.now() - began < 500;
+      return answer.status === 503 && Date.now() - sentAt < 500;
     });
     cluster.store.down = false;
-    await cluster.until('it is done', async () => (await cluster.status(2, 'req-000006')) === 'done');
+    await cluster.until('the job is done', async () => (await cluster.status(2, 'req-000006')) === 'done');
   });
 
-  test('the end of the leader loses nothing: its block is leased anew', async () => {
+  test('no job is lost when the leader stops: its block is leased anew', async () => {
     const leader = await cluster.leading();
-    const node = ['keel-0', 'keel-1', 'keel-2'].indexOf(leader);
-    const other = (node + 1) % 3;
-    await cluster.user(other, 'POST', '/v2/runs', submission('req-000008', 12));
+    const leaderNode = ['keel-0', 'keel-1', 'keel-2'].indexOf(leader);
+    const otherNode = (leaderNode + 1) % 3;
+    await cluster.user(otherNode, 'POST', '/v2/runs', submission('req-000008', 12));
     cluster.stopController(leader);
     await cluster.leading(leader);
     await cluster.until(
-      'it is done',
-      async () => (await cluster.status(other, 'req-000008')) === 'done',
+      'the job is done',
+      async () => (await cluster.status(otherNode, 'req-000008')) === 'done',
       20_000,
     );
     cluster.startController(leader);
     await cluster.until(
-      'the old leader answers again',
-      async () => (await cluster.status(node, 'req-000008')) === 'done',
+      'the restarted former leader returns the status of the job',
+      async () => (await cluster.status(leaderNode, 'req-000008')) === 'done',
     );
   });
 
-  // Guards against jobs that stay unanswered once all troubles are over, and against two lives of one controller that lead.
-  test('after an outage in which all controllers restart at once, every accepted job is known everywhere and runs', async () => {
+  // Guards against two failures after all controllers restart during an outage of the store: jobs whose
+  // status requests are never answered once the outage is over, and two incarnations of one controller that
+  // both lead.
+  test('after all controllers restart during an outage, each returns every accepted job, and all jobs complete', async () => {
     const ids = [0, 1, 2].map((i) => `req-00001${i}`);
     for (const [i, id] of ids.entries()) await cluster.user(i, 'POST', '/v2/runs', submission(id, 4));
-    const before = cluster.store.value('lead');
+    const leaderBefore = cluster.store.value('lead');
     cluster.store.down = true;
     for (const label of ['keel-0', 'keel-1', 'keel-2']) {
       cluster.stopController(label);
-      // Back within a fraction of a second, while the key of the life before still stands.
+      // The restart takes a fraction of a second: the key of the previous incarnation is still in the store.
       await new Promise((resolve) => setTimeout(resolve, 150));
       cluster.startController(label);
     }
     cluster.store.down = false;
-    await cluster.until('every question is answered by every controller', async () => {
-      const asked = [0, 1, 2].flatMap((node) => ids.map((id) => cluster.status(node, id)));
-      return (await Promise.all(asked)).every((status) => !/^[45]/.test(status));
+    await cluster.until('every controller returns the status of every job', async () => {
+      const statuses = [0, 1, 2].flatMap((node) => ids.map((id) => cluster.status(node, id)));
+      return (await Promise.all(statuses)).every((status) => !/^[45]/.test(status));
     });
     await cluster.until(
-      'all of them are done',
+      'all jobs are done',
       async () => {
-        const asked = ids.map((id, node) => cluster.status(node, id));
-        return (await Promise.all(asked)).every((status) => status === 'done');
+        const statuses = ids.map((id, node) => cluster.status(node, id));
+        return (await Promise.all(statuses)).every((status) => status === 'done');
       },
       20_000,
     );
-    assert.notDeepEqual(cluster.store.value('lead'), before);
+    assert.notDeepEqual(cluster.store.value('lead'), leaderBefore);
   });
 
-  test('through all of this no task was started twice at a time', () => {
-    const twice = cluster.violations().filter((violation) => violation.startsWith('ran_twice'));
-    assert.deepEqual(twice, []);
+  test('in all tests above, no task ran twice at the same time', () => {
+    const doubleStarts = cluster.violations().filter((violation) => violation.startsWith('ran_twice'));
+    assert.deepEqual(doubleStarts, []);
     assert.ok(cluster.history.happenings.some(({ kind }) => kind === 'started'));
     assert.equal(cluster.store.refusals, 0);
   });
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller of the cluster: composes its modules and runs them. */
+/** One controller of the cluster: creates its modules, connects them and runs them. */
 import { randomUUID } from 'node:crypto';
 import { setMaxListeners } from 'node:events';
 
@@ -34,12 +34,17 @@
 
 const machineTypesRetryMs = 1000;
 /**
- * An objective shorter than so many heartbeat intervals orders nothing: what has just come would always go before what has
- * waited for a moment, and in a burst nearly everything would wait for its end.
+ * Objectives that leave less than this number of heartbeat intervals to start a job are ignored in the queue
+ * order, where the job has a longer one. Otherwise new jobs would always start before jobs that have already
+ * waited for a moment, and during a burst of submissions nearly all jobs would wait until the end of the
+ * burst.
  */
 const minObjectiveHeartbeats = 4;
 
-/** Composes one controller. Each constructor call names what its module uses; modules meet nowhere else. */
+/**
+ * Composes one controller. The constructor call of each module lists all dependencies of that module; modules
+ * are connected nowhere else.
+ */
 export class Controller {
   private readonly clock = steadyClock;
   private readonly incarnation = randomUUID();
@@ -58,16 +63,16 @@
   private readonly peerLinks: PeerLinks;
   private readonly intake: Intake;
   private readonly httpService: HttpService;
-  private readonly storeContact: StoreContactMonitor;
+  private readonly storeContactMonitor: StoreContactMonitor;
 
-  /** The controller stops when the signal fires. */
+  /** `signal`: when it fires, the controller stops. */
   constructor(
     private readonly settings: Settings,
     private readonly operator: OperatorSettings,
     private readonly log: Log,
     private readonly signal: AbortSignal,
   ) {
-    // Every request in flight listens on it, and there may be many.
+    // Every request in flight adds a listener to the signal, so Node.js must not warn about their number.
     setMaxListeners(0, signal);
     const { clock } = this;
     this.leaseTtlMs = controllerLeaseTtlMs(settings, operator);
@@ -85,19 +90,23 @@
     this.peerLinks = this.createPeerLinks();
     this.intake = this.createIntake();
     this.httpService = this.createHttpService();
-    this.storeContact = this.createStoreContact();
+    this.storeContactMonitor = this.createStoreContactMonitor();
     this.listenToReplica();
   }
 
-  /** Runs all modules until the signal fires; a module that fails is logged and started again. */
+  /** Runs all modules until the signal fires. A module that fails is logged and restarted. */
   async run(): Promise<void> {
     const { settings, log, incarnation } = this;
-    log.info({ event: 'start', incarnation, zone: settings.zone }, 'starting');
+    log.info({ event: 'start', incarnation, zone: settings.zone }, 'controller is starting');
     await Promise.all([
       this.keepRunning('web', (signal) => this.httpService.run(signal)),
       this.keepRunning('mirror', (signal) => this.state.mirror.follow(signal), storeProbeIntervalMs),
       this.keepRunning('machine-types', (signal) => this.machineTypes.run(signal), machineTypesRetryMs),
-      this.keepRunning('store-contact', (signal) => this.storeContact.run(signal), storeProbeIntervalMs),
+      this.keepRunning(
+        'store-contact',
+        (signal) => this.storeContactMonitor.run(signal),
+        storeProbeIntervalMs,
+      ),
       this.keepRunning('membership', (signal) => this.membership.run(signal), storeProbeIntervalMs),
       this.keepRunning('election', (signal) => this.election.run(signal)),
       this.keepRunning('cascade', (signal) => this.cascade.run(signal), storeProbeIntervalMs),
@@ -264,7 +273,7 @@
     });
   }
 
-  private createStoreContact(): StoreContactMonitor {
+  private createStoreContactMonitor(): StoreContactMonitor {
     const housekeeping = this.createHousekeeping();
     return new StoreContactMonitor({
       clock: this.clock,
--- a/src/controller/housekeeping.ts
+++ b/src/controller/housekeeping.ts
@@ -1,14 +1,17 @@
-/** What follows from the passing of time alone, done after each look at the store. */
+/**
+ * Periodic updates that are due even if nothing has changed; they run after each check of the contact with
+ * the store.
+ */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { StoreClient } from '../store/client.js';
 import type { LeaderDuties } from './leader-duties.js';
 import type { MachineEvents } from './machine-events.js';
-import { storeRole } from './store-share.js';
+import { storeRole } from './store-role.js';
 import type { UsageLog } from './usage-log.js';
 
-/** What is kept up to date. */
+/** The modules that are updated, and the modules that the updates read. */
 export interface HousekeepingPorts {
   label: string;
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
@@ -21,22 +24,25 @@
   usageLog: Pick<UsageLog, 'logIfDue'>;
 }
 
-/** The periodic updates of one controller. */
+/** Runs the periodic updates of one controller. */
 export class Housekeeping {
   constructor(private readonly ports: HousekeepingPorts) {}
 
-  /** One round. It sends no request itself. */
+  /** Runs all updates once. This method sends no request itself. */
   runOnce(): void {
     const { ownedBlocks, registry, store, label, isLeading, usageLog } = this.ports;
-    // The renewal of a block's lease that failed is tried again though nothing has changed.
+    // An empty batch of changes retries the renewals of block leases that have failed.
     ownedBlocks.applyChanges([]);
-    this.noteOwnMachines();
+    this.recordOwnMachineEvents();
     store.setRole(storeRole(registry, label, isLeading()));
     usageLog.logIfDue();
   }
 
-  /** Our own leader hears what the peers are told. */
-  private noteOwnMachines(): void {
+  /**
+   * Passes the machine events of this controller's own blocks to its own modules; the peers receive them in
+   * the status.
+   */
+  private recordOwnMachineEvents(): void {
     const { machineEvents, bootedMachines, leaderDuties } = this.ports;
     bootedMachines.markBooted(machineEvents.booted());
     leaderDuties.markTerminated(machineEvents.terminated());
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -1,4 +1,7 @@
-/** The HTTP service of a controller: workers' heartbeats, users' requests and health checks on one port. */
+/**
+ * The HTTP service of a controller: serves heartbeats of workers, requests of users and health checks on one
+ * port.
+ */
 import type { Clock } from '../base/clock.js';
 import { ConnectionLoad } from '../base/connection-load.js';
 import { type RequestHandler, serveHttp } from '../base/http-server.js';
@@ -10,7 +13,10 @@
 import type { Settings } from '../settings/settings.js';
 import { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
-/** Who answers what comes in, and under which conditions. */
+/**
+ * The modules that handle the requests, and the conditions under which heartbeats are answered and tasks
+ * started.
+ */
 export interface HttpServicePorts {
   clock: Clock;
   log: Log;
@@ -18,22 +24,31 @@
   intake: Pick<Intake, 'routes' | 'health'>;
   ownedBlocks: Pick<OwnedBlocks, 'findMachine'>;
   registry: Pick<BlockRegistry, 'ownerOf'>;
-  /** The label of the leader as far as it is known. */
+  /** Label of the leader according to the replica of the store; undefined if there is none. */
   leader: () => string | undefined;
   mayStartTasks: () => boolean;
   mayAnswerHeartbeats: () => boolean;
 }
 
-/** Connections that are accepted, as a part of all sockets that the process may have. */
+/** Maximum number of accepted connections, as a fraction of the maximum number of sockets of the process. */
 const requestSocketsRatio = 0.8;
-/** One turn of the event loop serves heartbeats for this part of a heartbeat interval, before other sockets get their turn. */
+/**
+ * One turn of the event loop serves heartbeats for at most this fraction of a heartbeat interval, then other
+ * sockets are served.
+ */
 const turnBudgetHeartbeats = 1 / 80;
-/** A connection is closed after so many worker leases without a request: workers and users make several in one. */
+/**
+ * A connection without a request for this many worker leases is closed. Workers and users send several
+ * requests within one worker lease.
+ */
 const idleTimeoutLeases = 2;
-/** The response to a heartbeat waits for this part of a heartbeat interval, at most, for the commit of what it starts. */
+/**
+ * The response to a heartbeat waits for the commits of the tasks that it starts, for at most this fraction of
+ * a heartbeat interval.
+ */
 const maxCommitWaitHeartbeats = 1 / 4;
 
-/** Composes the handlers of all requests. */
+/** Composes the handlers of all requests and serves them. */
 export class HttpService {
   private readonly load: ConnectionLoad;
   private readonly heartbeatHandler: HeartbeatHandler;
@@ -43,7 +58,7 @@
     this.heartbeatHandler = this.createHeartbeatHandler();
   }
 
-  /** Serves until the signal fires. Throws where the port cannot be listened on. */
+  /** Serves requests until the signal fires. Throws if the process cannot listen on the port. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, log, settings, intake } = this.ports;
     const fastPathRoutes = [this.heartbeatHandler.route, intake.health];
--- a/src/controller/leader-duties.test.ts
+++ b/src/controller/leader-duties.test.ts
@@ -4,8 +4,9 @@
 import { Term } from '../leadership/term.js';
 import { LeaderDuties, type LeaderDutiesPorts } from './leader-duties.js';
 
-// Guards against a leader that builds on a replica which lacks what earlier leaders have committed.
-test('nothing is begun before the replica has reached the commit that won the election', async () => {
+// Guards against a new leader that acts on a replica which does not yet contain all commits of earlier
+// leaders.
+test('no duty starts before the replica has reached the revision of the commit that won the election', async () => {
   let blocksRead = 0;
   const ports = {
     mirror: { revision: 6 },
--- a/src/controller/leader-duties.ts
+++ b/src/controller/leader-duties.ts
@@ -1,4 +1,4 @@
-/** What only the leader does: it scales the fleet of machines and assigns machines and jobs to blocks. */
+/** The leader's duties: scaling the fleet of machines, and assigning machines and jobs to blocks. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
@@ -17,7 +17,7 @@
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { Mirror } from '../store/mirror.js';
 
-/** What the leader's duties need of the rest of the controller. */
+/** Dependencies of the leader's duties on the rest of the controller. */
 export interface LeaderDutiesPorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -25,11 +25,11 @@
   log: Log;
   settings: Settings;
   operator: OperatorSettings;
-  /** Tells one life of this process from the next. */
+  /** Identifies this run of the controller process; every restart has a new one. */
   incarnation: string;
   store: StoreClient;
   mirror: Mirror;
-  /** The leader's own queue. */
+  /** The queue for commits that only the leader makes. */
   commits: CommitQueue;
   cloud: CloudClient;
   registry: BlockRegistry;
@@ -37,19 +37,22 @@
   order: QueueOrder;
   bootedMachines: Pick<BootedMachines, 'isBooted'>;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** The store has served us within the time to live of a lease. */
+  /** Whether the store has served this controller within the time to live of the controller's lease. */
   isStoreReachable: () => boolean;
 }
 
 const replicaPollMs = 20;
 
-/** Runs the duties of one term after another; there is none while another controller leads. */
+/** Runs the duties during each term of this controller; between terms there are none. */
 export class LeaderDuties {
   private autoscaler: Autoscaler | undefined;
 
   constructor(private readonly ports: LeaderDutiesPorts) {}
 
-  /** Runs the duties until the term ends. They begin once the replica holds all that earlier leaders have committed. */
+  /**
+   * Runs the duties until the term ends. The duties start once the replica contains all commits of earlier
+   * leaders: it must have reached the revision of the commit that won the election.
+   */
   async run(term: Term): Promise<void> {
     const { log, mirror } = this.ports;
     while (!term.signal.aborted && mirror.revision < term.fencingToken) {
@@ -69,7 +72,7 @@
     }
   }
 
-  /** Machines that are proven terminated; without effect while this controller does not lead. */
+  /** Marks machines that are proven to be terminated. Has no effect while this controller does not lead. */
   markTerminated(machines: Iterable<string>): void {
     this.autoscaler?.inventory.markTerminated(machines);
   }
@@ -120,7 +123,7 @@
   }
 }
 
-/** The autoscaler's view of rented machines, as the block allocator takes it. */
+/** The autoscaler's inventory of rented machines, in the form that the block allocator expects. */
 function rentedMachinesOf(autoscaler: Autoscaler): RentedMachines {
   const { unassigned, terminated, toDrain, presumedTerminated } = autoscaler.inventory;
   return {
--- a/src/controller/machine-events.test.ts
+++ b/src/controller/machine-events.test.ts
@@ -3,17 +3,17 @@
 
 import { MachineEvents } from './machine-events.js';
 
-test('the news are those of all own blocks within the last 20 seconds', () => {
-  const asked: number[] = [];
+test('returns the machine events of all own blocks within the last 20 seconds', () => {
+  const requestedTimes: number[] = [];
   const blockState = (
     machine: string,
   ): ReturnType<ConstructorParameters<typeof MachineEvents>[1]>[number] => ({
     machinesTerminatedSince: (time) => {
-      asked.push(time);
+      requestedTimes.push(time);
       return [`terminated-${machine}`];
     },
     machinesUpSince: (time) => {
-      asked.push(time);
+      requestedTimes.push(time);
       return [`booted-${machine}`];
     },
   });
@@ -23,5 +23,5 @@
   );
   assert.deepEqual(events.terminated(), ['terminated-a', 'terminated-b']);
   assert.deepEqual(events.booted(), ['booted-a', 'booted-b']);
-  assert.deepEqual(asked, [30_000, 30_000, 30_000, 30_000]);
+  assert.deepEqual(requestedTimes, [30_000, 30_000, 30_000, 30_000]);
 });
--- a/src/controller/machine-events.ts
+++ b/src/controller/machine-events.ts
@@ -1,27 +1,33 @@
-/** Machines of this controller's blocks that have lately booted or been terminated: news for the leader and the peers. */
+/**
+ * Machines of this controller's blocks that have booted or been terminated recently, for the leader and the
+ * peers.
+ */
 import type { Clock } from '../base/clock.js';
 import type { BlockState } from '../placement/block-state.js';
 
-/** For how long a machine stays news, so that a status that was lost or overtaken is made up for by later ones. */
-const newsMs = 20_000;
+/**
+ * For this long, in ms, a machine is listed after its event, so that later statuses to a peer repeat the
+ * event if a status was lost or overtaken by a later one.
+ */
+const eventRetentionMs = 20_000;
 
-/** Collects the news of all blocks that this controller owns. */
+/** Collects the machine events of all blocks that this controller owns. */
 export class MachineEvents {
-  /** `blockStates`: of the blocks that this controller owns now. */
+  /** `blockStates`: returns the states of the blocks that this controller owns at the time of the call. */
   constructor(
     private readonly clock: Clock,
     private readonly blockStates: () => Pick<BlockState, 'machinesTerminatedSince' | 'machinesUpSince'>[],
   ) {}
 
-  /** Machines that have lately been proven terminated. */
+  /** Machines that have recently been proven to be terminated. */
   terminated(): string[] {
-    const since = this.clock() - newsMs;
+    const since = this.clock() - eventRetentionMs;
     return this.blockStates().flatMap((blockState) => blockState.machinesTerminatedSince(since));
   }
 
-  /** Machines whose first heartbeat has lately been received. */
+  /** Machines whose first heartbeat has been received recently. */
   booted(): string[] {
-    const since = this.clock() - newsMs;
+    const since = this.clock() - eventRetentionMs;
     return this.blockStates().flatMap((blockState) => blockState.machinesUpSince(since));
   }
 }
--- a/src/controller/machine-type-catalog.test.ts
+++ b/src/controller/machine-type-catalog.test.ts
@@ -5,14 +5,14 @@
 import { parseMachineTypes } from '../wire/cloud.js';
 import { MachineTypeCatalog } from './machine-type-catalog.js';
 
-test('types that the cloud names are known by name, also after a request that fails', async () => {
+test('machine types listed by the cloud are available by name, and remain so after a request fails', async () => {
   const types = parseMachineTypes({ hulls: [machineType] });
-  const answers = [() => Promise.resolve(types), () => Promise.reject(new Error('no answer'))];
+  const responses = [() => Promise.resolve(types), () => Promise.reject(new Error('no answer'))];
   const stop = new AbortController();
   const catalog = new MachineTypeCatalog({
     machineTypes: () => {
       stop.abort();
-      return answers.shift()?.() ?? Promise.resolve([]);
+      return responses.shift()?.() ?? Promise.resolve([]);
     },
   });
   assert.equal(catalog.types.size, 0);
--- a/src/controller/peer-status-handler.test.ts
+++ b/src/controller/peer-status-handler.test.ts
@@ -21,7 +21,7 @@
   cancelled: [['req-000001', 35]],
 };
 
-/** Applies the status in a term with this fencing token and records what comes of it. */
+/** Applies the status during a term with this fencing token and records the resulting calls. */
 function apply(fencingToken: number): { calls: unknown[]; term: Term } {
   const calls: unknown[] = [];
   const term = new Term(fencingToken, 0);
@@ -35,7 +35,7 @@
   return { calls, term };
 }
 
-test('machines and cancellations that a peer tells of are taken over', () => {
+test('machine events and cancellations in the status of a peer are recorded', () => {
   const value = outcomeRecord({ outcome: 'cancelled', tasks: 0 });
   assert.deepEqual(apply(8).calls, [
     ['booted', 'vm-2'],
@@ -44,7 +44,7 @@
   ]);
 });
 
-test('a peer that leads with a higher fencing token ends our term', () => {
+test('a status of a peer that leads with a higher fencing token ends the own term', () => {
   assert.deepEqual(apply(6).term.endReason, { kind: 'superseded', by: 'k1' });
   assert.equal(apply(7).term.endReason, undefined);
 });
--- a/src/controller/peer-status-handler.ts
+++ b/src/controller/peer-status-handler.ts
@@ -1,4 +1,4 @@
-/** What this controller does with the status of a peer. */
+/** Handling of the statuses that peers send. */
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import type { Term } from '../leadership/term.js';
 import type { Mirror } from '../store/mirror.js';
@@ -7,11 +7,11 @@
 import type { PeerStatus } from '../wire/peer-status.js';
 import type { LeaderDuties } from './leader-duties.js';
 
-/** Where the contents of a status go. */
+/** The modules that receive the contents of a status. */
 export interface PeerStatusHandlerPorts {
   bootedMachines: Pick<BootedMachines, 'markBooted'>;
   leaderDuties: Pick<LeaderDuties, 'markTerminated'>;
-  /** The term of this controller while it leads. */
+  /** The term of this controller; undefined while it does not lead. */
   term: () => Pick<Term, 'fencingToken' | 'end'> | undefined;
   mirror: Pick<Mirror, 'recordOutcome'>;
 }
@@ -20,7 +20,10 @@
 export class PeerStatusHandler {
   constructor(private readonly ports: PeerStatusHandlerPorts) {}
 
-  /** Takes over the peer's news of machines and cancellations; a peer that leads with a higher token ends our term. */
+  /**
+   * Records the machine events and cancellations that the peer lists. If the peer leads with a higher fencing
+   * token than this controller, the term of this controller ends.
+   */
   apply(status: PeerStatus): void {
     const { bootedMachines, leaderDuties, mirror } = this.ports;
     bootedMachines.markBooted(status.bootedMachines);
--- a/src/controller/replica-change-handler.test.ts
+++ b/src/controller/replica-change-handler.test.ts
@@ -11,7 +11,7 @@
   return { key: `end/${id}`, value, version, deleted: false };
 }
 
-test('cancellations are learned before the index and then the blocks hear of the changes', () => {
+test('changes are applied to the cancellations first, then to the job index, then to the owned blocks', () => {
   const calls: unknown[][] = [];
   const mirror = new Mirror(
     { list: () => Promise.reject(new Error()), watch: () => Promise.reject(new Error()) },
--- a/src/controller/replica-change-handler.ts
+++ b/src/controller/replica-change-handler.ts
@@ -1,4 +1,7 @@
-/** Hands the changes of the replica on to those who keep state that is derived from it, in a fixed order. */
+/**
+ * Passes the changes of the replica, in a fixed order, to the modules whose state is derived from the
+ * replica.
+ */
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { Cancellations } from '../intake/cancellations.js';
 import type { JobIndex } from '../placement/job-index.js';
@@ -7,7 +10,7 @@
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
 
-/** Who hears of changes. */
+/** The modules that receive the changes. */
 export interface ReplicaChangeHandlerPorts {
   mirror: Mirror;
   cancellations: Pick<Cancellations, 'record'>;
@@ -15,13 +18,16 @@
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
 }
 
-/** Called with each batch of changes. */
+/** Applies each batch of changes of the replica to the modules derived from it. */
 export class ReplicaChangeHandler {
   private isIndexLoaded = false;
 
   constructor(private readonly ports: ReplicaChangeHandlerPorts) {}
 
-  /** Cancellations first, then the job index, then the blocks, which read the index. */
+  /**
+   * Applies a batch of changes: to the cancellations first, then to the job index, then to the owned blocks,
+   * which read the job index.
+   */
   apply(changes: Change[]): void {
     this.recordCancellations(changes);
     this.indexJobs(changes);
@@ -36,7 +42,10 @@
     }
   }
 
-  /** The first changes are those of the replica's first load, which the index reads as a whole. */
+  /**
+   * The first batch is the initial load of the replica: the job index then loads the whole replica instead of
+   * the batch.
+   */
   private indexJobs(changes: Change[]): void {
     const { jobIndex, mirror } = this.ports;
     if (this.isIndexLoaded) jobIndex.applyChanges(changes);
--- a/src/controller/service-health.test.ts
+++ b/src/controller/service-health.test.ts
@@ -3,21 +3,24 @@
 
 import { ServiceHealth } from './service-health.js';
 
-interface Situation {
+interface HealthInputs {
   ready?: boolean;
   hasMachineTypes?: boolean;
   contactAgeMs?: number;
-  /** How long each peer says that it has been without the store; undefined where it was never heard. */
+  /**
+   * Time since the last contact with the store, as each peer reports; undefined: no status of the peer was
+   * received.
+   */
   peerContactAgesMs?: (number | undefined)[];
 }
 
-/** Health with a lease of 6 s, so a controller counts as cut off from the store after 2 s. */
+/** Health with a lease of 6 s: a controller without contact counts as cut off from the store after 2 s. */
 function isServing({
   ready = true,
   hasMachineTypes = true,
   contactAgeMs = 0,
   peerContactAgesMs = [0, 0],
-}: Situation): boolean {
+}: HealthInputs): boolean {
   const health = new ServiceHealth({
     clock: () => 0,
     store: { contactAgeMs: () => contactAgeMs },
@@ -34,19 +37,19 @@
   return health.isServing();
 }
 
-test('users are served once the replica is loaded and the types of machines are known', () => {
+test('users are served once the replica is loaded and the machine types are known', () => {
   assert.equal(isServing({}), true);
   assert.equal(isServing({ ready: false }), false);
   assert.equal(isServing({ hasMachineTypes: false }), false);
 });
 
-test('a controller that alone has lost the store sends users to its peers', () => {
+test('a controller that is cut off from the store is unhealthy while a peer still has contact', () => {
   assert.equal(isServing({ contactAgeMs: 1999 }), true);
   assert.equal(isServing({ contactAgeMs: 2000 }), false);
   assert.equal(isServing({ contactAgeMs: 2000, peerContactAgesMs: [2000, 1999] }), false);
 });
 
-test('where all controllers have lost the store, or are silent, users stay', () => {
+test('a controller stays healthy if all peers are cut off from the store too, or have sent no status', () => {
   assert.equal(isServing({ contactAgeMs: 60_000, peerContactAgesMs: [2000, 60_000] }), true);
   assert.equal(isServing({ contactAgeMs: 60_000, peerContactAgesMs: [undefined, 2000] }), true);
 });
--- a/src/controller/service-health.ts
+++ b/src/controller/service-health.ts
@@ -1,33 +1,38 @@
-/** Whether users are served here: the answer to the load balancer's health check. */
+/** Decides the response to the health check of load balancers: whether this controller serves users. */
 import type { Clock } from '../base/clock.js';
 import type { LastPeerStatus } from '../peers/peer-links.js';
 import type { StoreClient } from '../store/client.js';
 import type { Mirror } from '../store/mirror.js';
 
-/** What health is judged by. */
+/** The facts on which the health depends. */
 export interface ServiceHealthPorts {
   clock: Clock;
   store: Pick<StoreClient, 'contactAgeMs'>;
   mirror: Pick<Mirror, 'ready'>;
-  /** The types of machines are known; without them no submission can be checked. */
+  /** Whether the machine types are known; without them no submission can be validated. */
   hasMachineTypes: () => boolean;
   /** Labels of the other controllers. */
   peers: readonly string[];
+  /** The last status of the peer with this label; undefined if none was received. */
   lastPeerStatus: (label: string) => LastPeerStatus | undefined;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
 }
 
-/** A controller that the store has not served for this part of the time to live of its lease sends users to its peers. */
+/**
+ * A controller that has had no contact with the store for this fraction of the time to live of its lease
+ * counts as cut off from the store.
+ */
 const maxContactAgeRatio = 1 / 3;
 
-/** The health of this controller as users' load balancers are told. */
+/** The health of this controller, as reported to the load balancers of the users. */
 export class ServiceHealth {
   constructor(private readonly ports: ServiceHealthPorts) {}
 
   /**
-   * True once the controller has loaded what it needs, unless it alone has lost the store. Where all have lost it there is no
-   * better place for users, and turning unhealthy together would cost them their connections.
+   * Whether this controller serves users: true once the replica and the machine types are loaded, unless this
+   * controller is cut off from the store while a peer is not. If all controllers are cut off, no peer could
+   * serve users better, and becoming unhealthy together would close the connections of the users.
    */
   isServing(): boolean {
     const { clock, store, mirror, hasMachineTypes, peers, lastPeerStatus, leaseTtlMs } = this.ports;
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -1,4 +1,7 @@
-/** All that connects a controller to the store: the client, the replica, and what is derived from the replica. */
+/**
+ * Composes a controller's access to the store: the client, the replica, and the state that is derived from
+ * the replica.
+ */
 import type { Clock } from '../base/clock.js';
 import { BlockRegistry } from '../blocks/block-registry.js';
 import { Cancellations } from '../intake/cancellations.js';
@@ -11,11 +14,11 @@
 import { storeProbeIntervalMs } from './store-contact-monitor.js';
 import { StoreKnowledge } from './store-knowledge.js';
 
-/** What the connection to the store is made of. */
+/** What the access to the store is created from. */
 export interface StateAccessOptions {
   clock: Clock;
   settings: Settings;
-  /** Requests and queues end with it. */
+  /** When the signal fires, requests to the store and commit queues stop. */
   signal: AbortSignal;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
--- a/src/controller/store-contact-monitor.test.ts
+++ b/src/controller/store-contact-monitor.test.ts
@@ -3,7 +3,7 @@
 
 import { StoreContactMonitor } from './store-contact-monitor.js';
 
-/** A monitor whose looks follow each other at the times that the test gives; a heartbeat interval is 1000 ms. */
+/** A monitor that checks the store at the times that the test sets; a heartbeat interval is 1000 ms. */
 class MonitorUnderTest {
   probes = 0;
   watchRestarts = 0;
@@ -37,15 +37,15 @@
     this.running = monitor.run(this.stop.signal);
   }
 
-  /** A monitor that has looked for the first time, at time 0. */
+  /** Returns a monitor that has completed its first check, at time 0. */
   static async start(): Promise<MonitorUnderTest> {
     const monitor = new MonitorUnderTest();
-    await monitor.lookAt(0);
+    await monitor.checkAt(0);
     return monitor;
   }
 
-  /** Settles after the next look, at this time. */
-  async lookAt(now: number): Promise<void> {
+  /** Sets the clock to this time, in ms, and resolves after the next check. */
+  async checkAt(now: number): Promise<void> {
     this.now = now;
     await new Promise<void>((resolve) => (this.onNextCheck = resolve));
   }
@@ -56,35 +56,35 @@
   }
 }
 
-test('the store is probed when it fails, or no answer has named its revision for two probe intervals', async () => {
+test('the store is probed while it is failing, or when no response has shown its revision for two probe intervals', async () => {
   const monitor = await MonitorUnderTest.start();
-  await monitor.lookAt(800);
+  await monitor.checkAt(800);
   assert.equal(monitor.probes, 0);
-  await monitor.lookAt(801);
+  await monitor.checkAt(801);
   assert.equal(monitor.probes, 1);
   monitor.store.lastRevisionSeenAt = 801;
-  await monitor.lookAt(900);
+  await monitor.checkAt(900);
   assert.equal(monitor.probes, 1);
   monitor.store.failing = true;
-  await monitor.lookAt(901);
+  await monitor.checkAt(901);
   assert.equal(monitor.probes, 2);
   await monitor.end();
 });
 
-test('a watch that brings nothing of what other answers have seen is restarted, with a pause between two restarts', async () => {
+test('a watch that lags behind the revisions in other responses is restarted, with a minimum time between restarts', async () => {
   const monitor = await MonitorUnderTest.start();
-  const lookWith = async (now: number, knownUntil: number): Promise<number> => {
+  const checkWith = async (now: number, knownUntil: number): Promise<number> => {
     monitor.store.lastRevisionSeenAt = now;
     monitor.changesKnownUntil = knownUntil;
-    await monitor.lookAt(now);
+    await monitor.checkAt(now);
     return monitor.watchRestarts;
   };
-  assert.equal(await lookWith(2000, 500), 0);
-  assert.equal(await lookWith(2001, 500), 1);
-  assert.equal(await lookWith(3501, 500), 1);
+  assert.equal(await checkWith(2000, 500), 0);
+  assert.equal(await checkWith(2001, 500), 1);
+  assert.equal(await checkWith(3501, 500), 1);
   monitor.mirror.ready = false;
-  assert.equal(await lookWith(3502, 500), 1);
+  assert.equal(await checkWith(3502, 500), 1);
   monitor.mirror.ready = true;
-  assert.equal(await lookWith(3503, 500), 2);
+  assert.equal(await checkWith(3503, 500), 2);
   await monitor.end();
 });
--- a/src/controller/store-contact-monitor.ts
+++ b/src/controller/store-contact-monitor.ts
@@ -1,41 +1,48 @@
-/** Keeps in contact with the store, so that its silence is noticed and the replica's age is known. */
+/**
+ * Probes the store regularly, so that a loss of contact is detected and the age of the replica stays known.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import type { StoreClient } from '../store/client.js';
 import type { Mirror } from '../store/mirror.js';
 import { leaderKey } from '../wire/keys.js';
 
-/** What the monitor watches and acts on. */
+/** The modules that the monitor checks and acts on. */
 export interface StoreContactMonitorPorts {
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'lastRevisionSeenAt' | 'commit' | 'restartWatch'>;
   mirror: Pick<Mirror, 'ready' | 'version'>;
-  /** Every change of the store before this moment is in the replica. */
+  /** The replica contains every change of the store before this time, in ms of the steady clock. */
   changesKnownUntil: () => number;
   heartbeatIntervalMs: number;
-  /** Called after each look at the store. */
+  /** Called after each check of the contact with the store. */
   onChecked: () => void;
 }
 
-/** Between two looks at the store. */
+/** Time between two checks of the contact with the store. */
 export const storeProbeIntervalMs = 400;
-/** The store is asked where no answer has named its revision for so many probe intervals. */
-const maxQuietProbes = 2;
+/** The store is probed if no response has shown its revision for more than this number of probe intervals. */
+const maxRevisionAgeProbes = 2;
 /**
- * A watch that has brought nothing for so many heartbeat intervals, while other answers name newer revisions, is lost; a slow
- * one takes less.
+ * A watch is considered lost if it has delivered no change for more than this number of heartbeat intervals
+ * while other responses show newer revisions. A slow watch lags behind less than that.
  */
 const maxWatchLagHeartbeats = 1.5;
 
-/** Probes the store when nothing else has lately, and restarts a watch that has been lost. */
+/**
+ * Probes the store if no other response has recently shown its revision, and restarts a watch that is lost.
+ */
 export class StoreContactMonitor {
   constructor(private readonly ports: StoreContactMonitorPorts) {}
 
-  /** Runs until the signal fires. Throws what a malformed answer or `onChecked` throws. */
+  /**
+   * Runs until the signal fires. Throws on a malformed response of the store, and any error that `onChecked`
+   * throws.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, onChecked } = this.ports;
     let watchRestartedAt = clock();
     while (!signal.aborted) {
-      await this.probeIfQuiet();
+      await this.probeIfRevisionStale();
       if (this.isWatchLost(watchRestartedAt)) {
         watchRestartedAt = clock();
         this.ports.store.restartWatch();
@@ -45,15 +52,21 @@
     }
   }
 
-  /** A comparison is cheap, and its answer names the store's revision whether or not anything has changed. */
-  private async probeIfQuiet(): Promise<void> {
+  /**
+   * The probe is a transaction that only compares the version of one key. It is cheap, and its response shows
+   * the store's revision whether or not anything has changed.
+   */
+  private async probeIfRevisionStale(): Promise<void> {
     const { clock, store, mirror } = this.ports;
-    const isQuiet = clock() - store.lastRevisionSeenAt > storeProbeIntervalMs * maxQuietProbes;
-    if (!store.failing && !isQuiet) return;
+    const isRevisionStale = clock() - store.lastRevisionSeenAt > storeProbeIntervalMs * maxRevisionAgeProbes;
+    if (!store.failing && !isRevisionStale) return;
     await store.commit('duty', [{ key: leaderKey, version: mirror.version(leaderKey) }], []);
   }
 
-  /** Other requests are answered and the watch brings nothing: it is lost, or still waits as it did during an outage. */
+  /**
+   * Whether other requests are answered while the watch delivers no changes: the watch is lost, or its
+   * request still waits as it did during an outage.
+   */
   private isWatchLost(watchRestartedAt: number): boolean {
     const { clock, store, mirror, changesKnownUntil, heartbeatIntervalMs } = this.ports;
     const maxLagMs = heartbeatIntervalMs * maxWatchLagHeartbeats;
--- a/src/controller/store-knowledge.test.ts
+++ b/src/controller/store-knowledge.test.ts
@@ -3,15 +3,18 @@
 
 import { StoreKnowledge } from './store-knowledge.js';
 
-interface Situation {
+interface KnowledgeInputs {
   now: number;
-  /** When the store last served us, by the steady clock. */
+  /** When the store last served this controller, in ms of the steady clock. */
   contactAt?: number;
   failing?: boolean;
 }
 
-/** Knowledge of a replica at revision 40, which holds all changes before 10,000 ms; a heartbeat interval is 2500 ms. */
-function knowledgeIn({ now, contactAt = now, failing = false }: Situation): StoreKnowledge {
+/**
+ * Knowledge of the store through a replica at revision 40 that contains all changes before 10,000 ms; a
+ * heartbeat interval is 2500 ms.
+ */
+function createKnowledge({ now, contactAt = now, failing = false }: KnowledgeInputs): StoreKnowledge {
   return new StoreKnowledge({
     clock: () => now,
     store: {
@@ -25,23 +28,23 @@
   });
 }
 
-test('the replica holds all changes up to the moment for its revision', () => {
-  assert.equal(knowledgeIn({ now: 20_000 }).changesKnownUntil, 10_000);
+test('the time up to which changes are known follows from the revision of the replica', () => {
+  assert.equal(createKnowledge({ now: 20_000 }).changesKnownUntil, 10_000);
 });
 
-test('tasks are started on knowledge younger than two heartbeat intervals, of a store that serves us', () => {
-  assert.equal(knowledgeIn({ now: 14_999 }).mayStartTasks(), true);
-  assert.equal(knowledgeIn({ now: 15_000 }).mayStartTasks(), false);
-  assert.equal(knowledgeIn({ now: 14_999, failing: true }).mayStartTasks(), false);
+test('tasks may start while the replica is less than two heartbeat intervals old and the store is not failing', () => {
+  assert.equal(createKnowledge({ now: 14_999 }).mayStartTasks(), true);
+  assert.equal(createKnowledge({ now: 15_000 }).mayStartTasks(), false);
+  assert.equal(createKnowledge({ now: 14_999, failing: true }).mayStartTasks(), false);
 });
 
-test('cancellations count as known on knowledge younger than a quarter of their deadline', () => {
-  assert.equal(knowledgeIn({ now: 18_499, failing: true }).knowsCancellations(), true);
-  assert.equal(knowledgeIn({ now: 18_500 }).knowsCancellations(), false);
+test('cancellations are known while the replica is younger than a quarter of the cancellation deadline', () => {
+  assert.equal(createKnowledge({ now: 18_499, failing: true }).knowsCancellations(), true);
+  assert.equal(createKnowledge({ now: 18_500 }).knowsCancellations(), false);
 });
 
-test('the store is reachable while it serves us within the time to live of a lease', () => {
-  assert.equal(knowledgeIn({ now: 50_000, contactAt: 44_001 }).isStoreReachable(), true);
-  assert.equal(knowledgeIn({ now: 50_000, contactAt: 44_000 }).isStoreReachable(), false);
-  assert.equal(knowledgeIn({ now: 50_000, failing: true }).isStoreReachable(), false);
+test('the store is reachable if it is not failing and its last contact is within the time to live of the lease', () => {
+  assert.equal(createKnowledge({ now: 50_000, contactAt: 44_001 }).isStoreReachable(), true);
+  assert.equal(createKnowledge({ now: 50_000, contactAt: 44_000 }).isStoreReachable(), false);
+  assert.equal(createKnowledge({ now: 50_000, failing: true }).isStoreReachable(), false);
 });
--- a/src/controller/store-knowledge.ts
+++ b/src/controller/store-knowledge.ts
@@ -1,10 +1,13 @@
-/** How recent this controller's knowledge of the store is, and what may be done on knowledge of that age. */
+/**
+ * How far the replica of the store may be out of date, and which actions are allowed at that age of the
+ * replica.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { Mirror } from '../store/mirror.js';
 
-/** What the knowledge is measured by. */
+/** The facts from which the age of the replica is computed. */
 export interface StoreKnowledgePorts {
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'knownUntil' | 'contactAgeMs'>;
@@ -15,38 +18,54 @@
   leaseTtlMs: number;
 }
 
-/** On knowledge older than so many heartbeat intervals no task is started. */
+/** Tasks are started only while the replica is younger than this number of heartbeat intervals. */
 const maxStartAgeHeartbeats = 2;
-/** Users are told that a job waits for others only on knowledge younger than this part of the deadline of a cancellation. */
+/**
+ * A job is reported to users as waiting for its dependencies only while the replica is younger than this
+ * fraction of the cancellation deadline.
+ */
 const maxCancellationAgeRatio = 1 / 4;
 
-/** Judges the replica by the clock: it lags behind the store, and without the store it falls behind for good. */
+/**
+ * Computes the age of the replica from the clock. The replica lags behind the store, and without contact to
+ * the store its age keeps growing.
+ */
 export class StoreKnowledge {
   constructor(private readonly ports: StoreKnowledgePorts) {}
 
-  /** Every change of the store before this moment of the steady clock, in ms, is in the replica. */
+  /** The replica contains every change of the store before this time, in ms of the steady clock. */
   get changesKnownUntil(): number {
     const { store, mirror } = this.ports;
     return store.knownUntil(mirror.revision);
   }
 
-  /** The store has served us within the time to live of a lease, so what was leased to us may still be ours. */
+  /**
+   * Whether the store has served this controller within the time to live of its lease. If so, the controller
+   * may still hold the lease and the blocks that are leased to it.
+   */
   isStoreReachable(): boolean {
     const { store, clock, leaseTtlMs } = this.ports;
     return !store.failing && store.contactAgeMs(clock()) < leaseTtlMs;
   }
 
-  /** Whether tasks may be started: on older knowledge their job may have ended. Called with every heartbeat. */
+  /**
+   * Whether tasks may start: with an older replica, their job may have ended already. Called with every
+   * heartbeat.
+   */
   mayStartTasks(): boolean {
     const { store, settings } = this.ports;
     return !store.failing && this.ageMs < settings.heartbeatIntervalMs * maxStartAgeHeartbeats;
   }
 
-  /** Whether every cancellation is known that was confirmed so long ago that its dependents must be cancelled by now. */
+  /**
+   * Whether the replica contains every cancellation that was confirmed so long ago that the dependent jobs
+   * must be cancelled by now.
+   */
   knowsCancellations(): boolean {
     return this.ageMs < this.ports.settings.cancelDeadlineMs * maxCancellationAgeRatio;
   }
 
+  /** Time since the replica is known to have contained all changes of the store. */
   private get ageMs(): number {
     return this.ports.clock() - this.changesKnownUntil;
   }
--- a/src/controller/store-share.test.ts
+++ b/src/controller/store-role.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import type { BlockRecord } from '../wire/block-records.js';
-import { storeRole } from './store-share.js';
+import { storeRole } from './store-role.js';
 
 function registry(labels: string[], machines: Record<string, number>): Parameters<typeof storeRole>[0] {
   const blocks = Object.entries(machines).map(
@@ -18,12 +18,12 @@
   };
 }
 
-test('the share goes by the machines in blocks of our own', () => {
+test('the share is the fraction of all machines that are in own blocks', () => {
   const role = storeRole(registry(['k0', 'k1'], { k0: 1, k1: 3 }), 'k0', true);
   assert.deepEqual(role, { isLeader: true, aliveControllers: 2, machineShare: 0.25 });
 });
 
-test('before there are machines they count as evenly spread, also where nobody is known to be alive', () => {
+test('without machines the share is even among live controllers, and 1 if none is known to be alive', () => {
   assert.deepEqual(storeRole(registry(['k0', 'k1'], { k0: 0 }), 'k0', false), {
     isLeader: false,
     aliveControllers: 2,
--- a/src/controller/store-share.ts
+++ b/src/controller/store-role.ts
@@ -1,13 +1,14 @@
-/** This controller's share of the limits that the store sets for all controllers together. */
+/** Computes the share of this controller in the limits that the store sets for all controllers together. */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { StoreClient } from '../store/client.js';
 
-/** What the share is derived from; see `StoreClient.setRole`. */
+/** The facts from which the share is derived; see `StoreClient.setRole`. */
 export type StoreRole = Parameters<StoreClient['setRole']>[0];
 
 /**
- * The role of the controller with this label: how many controllers share the limits, and which part of all machines is in
- * blocks of its own. Before there are any machines, they count as evenly spread.
+ * Returns the role of the controller with this label: whether it leads, how many live controllers share the
+ * limits, and which fraction of all machines is in the blocks that it owns. If there are no machines, the
+ * fraction is the same for all live controllers.
  */
 export function storeRole(
   registry: Pick<BlockRegistry, 'liveMembers' | 'blocks'>,
--- a/src/controller/usage-log.test.ts
+++ b/src/controller/usage-log.test.ts
@@ -4,7 +4,7 @@
 import { createLog } from '../base/log.js';
 import { UsageLog } from './usage-log.js';
 
-test('changes of the store, memory and queues are logged once a period', () => {
+test('store changes, heap memory and queue lengths are logged once per period', () => {
   const lines: Record<string, unknown>[] = [];
   const log = createLog('k0', 'info', {
     write: (line) => void lines.push(JSON.parse(line) as Record<string, unknown>),
--- a/src/controller/usage-log.ts
+++ b/src/controller/usage-log.ts
@@ -1,37 +1,43 @@
-/** Periodic log lines for the people on call: what the store's limits are spent on, memory, and queues. */
+/** Periodic log lines for operators: what uses up the limits of the store, heap memory, and queue lengths. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { StoreClient } from '../store/client.js';
 
-/** What the log lines tell of. */
+/** The sources of the logged values. */
 export interface UsageLogPorts {
   clock: Clock;
   log: Log;
   store: Pick<StoreClient, 'takeChangeCounts'>;
-  /** Commits that wait in each queue. */
+  /** Number of operations that wait in each queue. */
   queueLengths: () => Record<string, number>;
-  /** Jobs that have not ended and wait for no other. */
+  /** Number of jobs that have not ended and do not wait for other jobs. */
   openJobs: () => number;
-  /** Between two lines of a kind. */
+  /** Time between two log lines with the same event. */
   periodMs: number;
 }
 
 const bytesPerMb = 2 ** 20;
 
-/** Logs the usage once a period. */
+/** Logs the usage once per period. */
 export class UsageLog {
   private loggedAt = -Infinity;
 
   constructor(private readonly ports: UsageLogPorts) {}
 
-  /** Logs unless a period has not passed since the last time. */
+  /** Logs the usage if at least one period has passed since it was last logged. */
   logIfDue(): void {
     const { clock, log, store, queueLengths, openJobs, periodMs } = this.ports;
     const now = clock();
     if (now - this.loggedAt < periodMs) return;
     this.loggedAt = now;
-    log.info({ event: 'store', ...store.takeChangeCounts() }, 'changes of the state service');
+    log.info(
+      { event: 'store', ...store.takeChangeCounts() },
+      'writes to the state service since the previous such line',
+    );
     const heapMb = Math.round(process.memoryUsage().heapUsed / bytesPerMb);
-    log.info({ event: 'load', heapMb, queued: queueLengths(), open: openJobs() }, 'memory and queues');
+    log.info(
+      { event: 'load', heapMb, queued: queueLengths(), open: openJobs() },
+      'heap memory, queue lengths and open jobs',
+    );
   }
 }
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -1,4 +1,7 @@
-/** Composes what serves users: submissions, questions, cancels, and the health check of their load balancers. */
+/**
+ * Composes the modules that serve users: submissions, status requests, cancellations, and health checks of
+ * load balancers.
+ */
 import type { Clock } from '../base/clock.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import { InitialDispatcher } from '../blocks/initial-dispatcher.js';
@@ -12,7 +15,7 @@
 import { ServiceHealth } from './service-health.js';
 import type { StateAccess } from './state-access.js';
 
-/** What the users' side needs of the rest of the controller. */
+/** Dependencies of the user service on the rest of the controller. */
 export interface UserServicePorts {
   clock: Clock;
   settings: Settings;
@@ -27,7 +30,7 @@
   leaseTtlMs: number;
 }
 
-/** Makes the handlers of the users' requests. */
+/** Creates the handlers of the users' requests. */
 export function createIntake(ports: UserServicePorts): Intake {
   const { state } = ports;
   const initialDispatcher = createInitialDispatcher(ports);
--- a/src/leadership/election.test.ts
+++ b/src/leadership/election.test.ts
@@ -12,13 +12,15 @@
 
 const ownRecord = { label: 'k0', incarnation: 'mine', candidacy: 1 };
 
-/** An election among stand-ins; `outcome` is the store's answer to each candidacy. */
+/**
+ * An election of controller k0 against stand-ins; `outcome` is the result of the commit of each candidacy.
+ */
 class ElectionUnderTest {
   readonly commits: { conditions: Condition[]; writes: Write[] }[] = [];
   readonly terms: Term[] = [];
-  /** What the store has under the leader's key. */
-  item: Item | undefined;
-  /** What the replica has under it. */
+  /** The item that the store returns for the leader key. */
+  storedItem: Item | undefined;
+  /** The value of the leader key in the replica. */
   replica: StoredValue | undefined;
   outcome: CommitOutcome = { kind: 'applied', revision: 7 };
   private listener: ChangeListener = () => undefined;
@@ -26,14 +28,14 @@
   private readonly running: Promise<void>;
 
   constructor(options: { leaseId?: number; onElected?: (term: Term) => Promise<void> } = {}) {
-    const untilEnd = (term: Term): Promise<void> =>
+    const holdUntilTermEnds = (term: Term): Promise<void> =>
       new Promise((resolve) => {
         term.signal.addEventListener('abort', () => resolve());
       });
     const election = new Election({
       clock: () => 0,
       log: silentLog,
-      store: { failing: false, read: () => Promise.resolve(this.item) },
+      store: { failing: false, read: () => Promise.resolve(this.storedItem) },
       commits: {
         commit: (conditions, writes) => {
           this.commits.push({ conditions, writes });
@@ -57,19 +59,19 @@
       onElected: async (term) => {
         this.terms.push(term);
         this.replica = { value: leaderRecord(ownRecord), version: term.fencingToken };
-        await (options.onElected ?? untilEnd)(term);
+        await (options.onElected ?? holdUntilTermEnds)(term);
         this.replica = { value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 200 };
       },
     });
     this.running = election.run(this.stop.signal);
   }
 
-  change(replica: StoredValue | undefined): void {
+  changeReplica(replica: StoredValue | undefined): void {
     this.replica = replica;
     this.listener([]);
   }
 
-  async until(condition: () => boolean): Promise<void> {
+  async waitUntil(condition: () => boolean): Promise<void> {
     while (!condition()) await new Promise((resolve) => setTimeout(resolve, 10));
   }
 
@@ -79,21 +81,22 @@
   }
 }
 
-test('a record of an earlier incarnation of the same controller does not keep it from campaigning', () => {
+test('a controller may campaign while the leader record is of an earlier incarnation of the same controller', () => {
   assert.equal(mayCampaign(undefined, 'k0'), true);
   assert.equal(mayCampaign({ label: 'k0', incarnation: 'b1', candidacy: 1 }, 'k0'), true);
   assert.equal(mayCampaign({ label: 'k1', incarnation: 'b1', candidacy: 1 }, 'k0'), false);
 });
 
-// Guards against a cluster without a leader for ever: a candidacy that got no answer was carried out seconds later, when its
-// candidate had long given it up, and the key was bound to a lease that its living candidate kept renewing.
-test('a candidacy that was carried out after it was given up does not keep its own candidate from leading', () => {
+// Guards against a cluster that never gets a leader: the commit of a candidacy got no response and was
+// applied seconds later, when the candidate had already given the candidacy up. The leader key was then bound
+// to a lease that the candidate, still alive, kept renewing.
+test('a candidacy that was applied after the candidate had given it up does not stop the candidate from campaigning', () => {
   assert.equal(mayCampaign({ label: 'k0', incarnation: 'b2', candidacy: 1 }, 'k0'), true);
 });
 
-test('the fencing token is the revision of the commit, which is bound to the lease and conditioned on the key', async () => {
+test('the fencing token is the revision of the commit, which binds the key to the lease and is conditioned on the key', async () => {
   const election = new ElectionUnderTest();
-  await election.until(() => election.terms.length > 0);
+  await election.waitUntil(() => election.terms.length > 0);
   const [term] = election.terms;
   assert.ok(term);
   assert.equal(term.fencingToken, 7);
@@ -107,40 +110,44 @@
 
 test('a term ends as soon as the replica shows another version of the leader key', async () => {
   const election = new ElectionUnderTest();
-  await election.until(() => election.terms.length > 0);
+  await election.waitUntil(() => election.terms.length > 0);
   const [term] = election.terms;
   assert.ok(term);
-  election.change({ value: leaderRecord(ownRecord), version: 7 });
+  election.changeReplica({ value: leaderRecord(ownRecord), version: 7 });
   assert.equal(term.endReason, undefined);
-  election.change({ value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 8 });
+  election.changeReplica({ value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 8 });
   assert.deepEqual(term.endReason, { kind: 'leader-key-changed' });
   await election.end();
 });
 
-test('a term ends with the duties of the leader', async () => {
+test('a term ends when the duties of the leader have returned', async () => {
   const election = new ElectionUnderTest({ onElected: () => Promise.resolve() });
-  await election.until(() => election.terms[0]?.endReason !== undefined);
+  await election.waitUntil(() => election.terms[0]?.endReason !== undefined);
   assert.deepEqual(election.terms[0]?.endReason, { kind: 'duties-ended' });
   await election.end();
 });
 
-test('after a lost response the store tells whether the candidacy was carried out', async () => {
+test('after a lost response, a read of the leader key decides whether the candidacy was applied', async () => {
   const won = new ElectionUnderTest();
   won.outcome = { kind: 'unknown' };
-  won.item = { key: 'lead', value: leaderRecord(ownRecord), version: 12 };
-  await won.until(() => won.terms.length > 0);
+  won.storedItem = { key: 'lead', value: leaderRecord(ownRecord), version: 12 };
+  await won.waitUntil(() => won.terms.length > 0);
   assert.equal(won.terms[0]?.fencingToken, 12);
   await won.end();
 
   const lost = new ElectionUnderTest();
   lost.outcome = { kind: 'unknown' };
-  lost.item = { key: 'lead', value: leaderRecord({ ...ownRecord, incarnation: 'theirs' }), version: 12 };
-  await lost.until(() => lost.commits.length > 0);
+  lost.storedItem = {
+    key: 'lead',
+    value: leaderRecord({ ...ownRecord, incarnation: 'theirs' }),
+    version: 12,
+  };
+  await lost.waitUntil(() => lost.commits.length > 0);
   await lost.end();
   assert.equal(lost.terms.length, 0);
 });
 
-test('nobody campaigns without a lease, or while another leads', async () => {
+test('a controller does not campaign without a lease, or while another controller leads', async () => {
   const withoutLease = new ElectionUnderTest({ leaseId: undefined });
   const follower = new ElectionUnderTest();
   follower.replica = { value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 5 };
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,6 +1,6 @@
 /**
- * Leader election by compare-and-swap of one key of the store. The key is bound to the lease of its controller, so a
- * leader that fails is gone from the store once its lease has expired.
+ * Leader election by compare-and-swap of one key of the store. The key is bound to the lease of the leader,
+ * so the store deletes the key of a failed leader when its lease expires.
  */
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
@@ -14,7 +14,7 @@
 import type { Membership } from './membership.js';
 import { Term } from './term.js';
 
-/** What an election needs of the rest of the controller. */
+/** Dependencies of the election on the rest of the controller. */
 export interface ElectionPorts {
   clock: Clock;
   log: Log;
@@ -22,33 +22,43 @@
   commits: Pick<CommitQueue, 'commit'>;
   mirror: Pick<Mirror, 'ready' | 'revision' | 'get' | 'version' | 'listen'>;
   membership: Pick<Membership, 'leaseId'>;
-  /** The name of this controller in the settings. */
+  /** Label of this controller in the settings. */
   label: string;
-  /** Tells one life of this process from the next. */
+  /** Identifies this run of the controller process; every restart has a new one. */
   incarnation: string;
-  /** A number in [0, 1): spreads the attempts of rivals over time. */
+  /** Returns a random number in [0, 1), which spreads the attempts of competing candidates over time. */
   random: () => number;
-  /** What the leader does; called at the start of a term, which ends when the promise settles. */
+  /** Runs the duties of the leader. Called at the start of a term; the term ends when the promise settles. */
   onElected: (term: Term) => Promise<void>;
 }
 
 const pollIntervalMs = 100;
-/** A candidate waits for a random part of so many poll intervals, so that rivals do not collide each time. */
+/**
+ * Maximum jitter before a candidacy, in poll intervals, so that competing candidates do not collide each
+ * time.
+ */
 const maxJitterPolls = 2;
-/** After a candidacy that failed: the replica may lag behind whatever made it fail. */
-const pauseAfterDefeatPolls = 2;
+/**
+ * Back-off after a failed candidacy, in poll intervals: the replica may not yet contain the change that made
+ * it fail.
+ */
+const lostElectionBackoffPolls = 2;
 
 /**
- * Whether a controller that does not lead may campaign, given the record of the leader. A record under the controller's own
- * label does not stand for a living leader: an earlier incarnation left it, or a candidacy that was given up has been
- * carried out late. There is one process under each label, and whatever it still has in flight as leader is conditioned on
- * the old fencing token.
+ * Whether a controller that does not lead may campaign, given the stored leader record. A record with the
+ * controller's own label does not mean that a live leader exists: an earlier incarnation wrote the record, or
+ * a candidacy of this controller was applied after the controller had given it up. Only one process runs
+ * under each label, and all commits that it still has in flight as leader are conditioned on the old fencing
+ * token.
  */
 export function mayCampaign(leader: LeaderRecord | undefined, label: string): boolean {
   return leader === undefined || leader.label === label;
 }
 
-/** Campaigns whenever there is no leader, and holds a term from each victory until it is lost. */
+/**
+ * Campaigns whenever there is no leader. Each won election starts a term, which this controller holds until
+ * it ends.
+ */
 export class Election {
   private lastCandidacy = 0;
   private currentTerm: Term | undefined;
@@ -60,14 +70,16 @@
     return this.currentTerm;
   }
 
-  /** The label of the leader as far as the replica of the store knows. */
+  /**
+   * Label of the leader according to the replica of the store; undefined if the replica contains no leader.
+   */
   get leader(): string | undefined {
     return this.storedLeader?.label;
   }
 
   /**
-   * Campaigns and leads until the signal fires; a term that is held then ends. Throws where the store cannot be read after a
-   * candidacy of unknown outcome, or what `onElected` throws.
+   * Campaigns and leads until the signal fires, which also ends the current term. Throws if the store cannot
+   * be read after a candidacy of unknown outcome, and any error that `onElected` throws.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.ports;
@@ -102,14 +114,20 @@
     );
     const fencingToken = await this.fencingTokenOf(outcome, candidate);
     if (fencingToken === undefined) {
-      await sleep(pollIntervalMs * pauseAfterDefeatPolls, signal);
+      await sleep(pollIntervalMs * lostElectionBackoffPolls, signal);
       return undefined;
     }
-    log.info({ event: 'elected', fencingToken, candidacy: candidate.candidacy }, 'elected leader');
+    log.info(
+      { event: 'elected', fencingToken, candidacy: candidate.candidacy },
+      'this controller was elected leader and starts the duties of the leader',
+    );
     return new Term(fencingToken, clock());
   }
 
-  /** Undefined where the candidacy failed. Where the response was lost, the store tells whether it was carried out. */
+  /**
+   * The fencing token of a won election; undefined if the candidacy failed. If the response to the commit was
+   * lost, a read of the leader key shows whether the candidacy was applied.
+   */
   private async fencingTokenOf(outcome: CommitOutcome, candidate: LeaderRecord): Promise<number | undefined> {
     if (outcome.kind === 'applied') return outcome.revision;
     if (outcome.kind !== 'unknown') return undefined;
@@ -137,7 +155,10 @@
       signal.removeEventListener('abort', onShutdown);
       term.end({ kind: 'duties-ended' });
       this.currentTerm = undefined;
-      log.info({ event: 'term-ended', fencingToken, reason: term.endReason }, 'no longer leader');
+      log.info(
+        { event: 'term-ended', fencingToken, reason: term.endReason },
+        'the term as leader has ended; the duties of the leader have stopped',
+      );
     }
   }
 }
--- a/src/leadership/heartbeat-response-policy.test.ts
+++ b/src/leadership/heartbeat-response-policy.test.ts
@@ -20,13 +20,15 @@
   ...change,
 });
 
-test('heartbeats are answered until leases can no longer expire before the deadline of a cancellation', () => {
+test('heartbeats are answered only as long as worker leases still expire before the deadline of a cancellation', () => {
   assert.equal(respondUntil(facts({})), 10_000 + 20_000 - 1250);
 });
 
-// Guards against the gap: a peer whose last contact was a moment after ours counted as agreeing, yet in that moment it had
-// confirmed cancellations that nobody listed, and a controller without the store kept their tasks as long as the outage lasted.
-test('they are answered longer only up to the moment for which every peer has listed its cancellations', () => {
+// Guards against tasks that run on after their job was cancelled. A peer whose last contact with the store
+// was slightly later than our own counted as agreeing. In that interval the peer had confirmed cancellations
+// that no status listed, and a controller without the store kept the tasks of these jobs running for the
+// whole outage.
+test('the response window is extended only if every peer has listed its cancellations up to a later time', () => {
   const peer = (cancellationsKnownUntil: number, storeContactAgeMs = 15_000): LastPeerStatus => ({
     notBefore: 26_000,
     storeContactAgeMs,
@@ -34,17 +36,19 @@
   });
   const until = (...peers: (LastPeerStatus | undefined)[]): number => respondUntil(facts({ peers }));
   assert.equal(until(peer(25_000), peer(26_000)), 25_000 + 18_750);
-  // Whether the store serves it says nothing: what it confirmed is on its list.
+  // Whether the store serves the peer makes no difference: all cancellations that the peer confirmed are on
+  // its list.
   assert.equal(until(peer(25_000), peer(26_000, 100)), 25_000 + 18_750);
-  // It was heard, but its list had a gap, as in a new incarnation; or it has never been heard.
+  // A status of the peer was received, but its list had a gap, as after a process restart; or none was ever
+  // received.
   assert.equal(until(peer(25_000), peer(-Infinity)), 28_750);
   assert.equal(until(peer(25_000), undefined), 28_750);
-  // The other one has been cut off since: its status grows old, and with it the permission to answer.
+  // The second peer has been cut off since: its last status grows older, which limits the extension.
   assert.equal(until(peer(25_000), peer(12_000)), 12_000 + 18_750);
   assert.equal(until(peer(9000), peer(8000)), 28_750);
 });
 
-test('a controller that alone is without the store stops answering once its lease has expired', () => {
+test('a controller stops answering once its lease has expired, if a peer still has contact with the store', () => {
   const served = { notBefore: 19_000, storeContactAgeMs: 100, cancellationsKnownUntil: 19_000 };
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ peers: [served, undefined] }), 6000), true);
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ now: 12_000, peers: [served, undefined] }), 6000), false);
@@ -54,30 +58,33 @@
   );
 });
 
-/** A policy whose facts the test sets; `asked` counts how often the peers were consulted. */
-function policy(change: Partial<ResponseFacts>): { mayRespond: boolean; asked: number } {
-  const given = facts(change);
-  let asked = 0;
+/**
+ * The decision of a policy for facts that the test sets, and how often the policy has read the status of a
+ * peer.
+ */
+function policy(change: Partial<ResponseFacts>): { mayRespond: boolean; peerStatusReads: number } {
+  const responseFacts = facts(change);
+  let peerStatusReads = 0;
   const responsePolicy = new HeartbeatResponsePolicy({
-    clock: () => given.now,
-    times: given,
+    clock: () => responseFacts.now,
+    times: responseFacts,
     peers: ['k1', 'k2'],
     leaseTtlMs: 6000,
-    changesKnownUntil: () => given.changesKnownUntil,
-    lastStoreContactAt: () => given.lastStoreContactAt,
+    changesKnownUntil: () => responseFacts.changesKnownUntil,
+    lastStoreContactAt: () => responseFacts.lastStoreContactAt,
     lastPeerStatus: (label) => {
-      asked++;
-      return given.peers[label === 'k1' ? 0 : 1];
+      peerStatusReads++;
+      return responseFacts.peers[label === 'k1' ? 0 : 1];
     },
   });
-  return { mayRespond: responsePolicy.mayRespond(), asked };
+  return { mayRespond: responsePolicy.mayRespond(), peerStatusReads };
 }
 
-test('with the store within reach no peer is consulted', () => {
-  assert.deepEqual(policy({ now: 16_000 }), { mayRespond: true, asked: 0 });
+test('while the store is reachable, no peer status is read', () => {
+  assert.deepEqual(policy({ now: 16_000 }), { mayRespond: true, peerStatusReads: 0 });
 });
 
-test('without the store the peers decide how long heartbeats are answered', () => {
+test('without contact to the store, the peer statuses decide how long heartbeats are answered', () => {
   const listed = { notBefore: 14_000, storeContactAgeMs: 4000, cancellationsKnownUntil: 14_000 };
   const served = { ...listed, notBefore: 19_000, storeContactAgeMs: 100 };
   assert.equal(policy({ now: 28_750 }).mayRespond, true);
--- a/src/leadership/heartbeat-response-policy.ts
+++ b/src/leadership/heartbeat-response-policy.ts
@@ -1,26 +1,33 @@
 /**
- * Whether workers may be answered. A response renews a worker's lease, so a controller that may not know of a cancellation
- * has to stop answering in time for the leases to expire before the deadline of that cancellation.
+ * Decides whether heartbeats of workers may be answered. A response renews the lease of the worker. A
+ * controller that may have missed a cancellation must therefore stop answering early enough that the worker
+ * leases expire before the deadline of that cancellation.
  */
 import type { Clock } from '../base/clock.js';
 import type { LastPeerStatus } from '../peers/peer-links.js';
 import type { Settings } from '../settings/settings.js';
 
-/** The times that the protocol sets, all in ms. */
+/** Times that the worker protocol sets, in ms. */
 export type WorkerTimes = Pick<Settings, 'cancelDeadlineMs' | 'workerLeaseMs' | 'heartbeatIntervalMs'>;
 
-/** What the decision rests on. Times are in ms, moments by this controller's steady clock. */
+/**
+ * The facts on which the decision depends. Durations are in ms, points in time are in ms of this controller's
+ * steady clock.
+ */
 export interface ResponseFacts extends WorkerTimes {
   now: number;
-  /** Every change of the store before this moment is known here. */
+  /** The replica contains every change of the store before this time. */
   changesKnownUntil: number;
-  /** When the store last served us: it says whether we still hold our lease, not what we know. */
+  /**
+   * When the last request that the store served was sent: shows whether this controller can still hold its
+   * lease, not how recent the replica is.
+   */
   lastStoreContactAt: number;
-  /** One entry a peer; undefined where it has not been heard yet. */
+  /** The last status of each peer; undefined if none was received yet. */
   peers: (LastPeerStatus | undefined)[];
 }
 
-/** What the policy needs of the rest of the controller. */
+/** Dependencies of the policy on the rest of the controller. */
 export interface HeartbeatResponsePolicyPorts {
   clock: Clock;
   times: WorkerTimes;
@@ -28,35 +35,41 @@
   peers: readonly string[];
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
-  /** Every change of the store before this moment is known here. */
+  /** The replica contains every change of the store before this time, in ms of the steady clock. */
   changesKnownUntil: () => number;
-  /** When the last request that the store served had been sent. */
+  /** When the last request that the store served was sent, in ms of the steady clock. */
   lastStoreContactAt: () => number;
+  /** The last status of the peer with this label; undefined if none was received. */
   lastPeerStatus: (label: string) => LastPeerStatus | undefined;
 }
 
 /**
- * Steady clocks drift apart by 0.05%, which over the deadline of a cancellation is far less than half a heartbeat interval. A
- * worker's lease counts from when its heartbeat was sent, so neither the way of a message nor a response that is held or late
- * adds anything.
+ * Safety margin for the drift between steady clocks, in heartbeat intervals. Steady clocks drift apart by
+ * 0.05%, which over the cancellation deadline is far less than half a heartbeat interval. A worker lease
+ * counts from when the worker sent its heartbeat, so the margin need not include network delays or responses
+ * that are held back or late.
  */
-const marginHeartbeats = 1 / 2;
+const safetyMarginHeartbeats = 1 / 2;
 
-/** For how long, in ms, workers may be answered after the moment up to which all confirmed cancellations are known. */
+/**
+ * For how long, in ms, heartbeats may be answered after the time up to which all confirmed cancellations are
+ * known.
+ */
 export function responseWindowMs({
   cancelDeadlineMs,
   workerLeaseMs,
   heartbeatIntervalMs,
 }: WorkerTimes): number {
-  return cancelDeadlineMs - workerLeaseMs - heartbeatIntervalMs * marginHeartbeats;
+  return cancelDeadlineMs - workerLeaseMs - heartbeatIntervalMs * safetyMarginHeartbeats;
 }
 
 /**
- * Until when heartbeats may be answered. A cancellation that we have not heard of may have been confirmed to a user right
- * after the moment up to which we know of all; its tasks must have ended by its deadline, and a worker's lease that is no
- * longer renewed takes its whole length to expire, from when the last heartbeat that we answered was sent. Peers that have
- * listed every cancellation that they can have confirmed move that moment on, as far as the one of them whose list is the
- * oldest.
+ * The time until which heartbeats may be answered, in ms of the steady clock. A cancellation that this
+ * controller does not know may have been confirmed to a user right after the time up to which all
+ * cancellations are known. The tasks of the cancelled job must have ended by the cancellation deadline. A
+ * worker lease that is no longer renewed expires one full lease time after the worker sent the last heartbeat
+ * that was answered. If every peer has listed all cancellations that it can have confirmed, the known time
+ * extends to that of the peer with the oldest complete list.
  */
 export function respondUntil(facts: ResponseFacts): number {
   const { changesKnownUntil, peers } = facts;
@@ -67,8 +80,9 @@
 }
 
 /**
- * Whether a peer is known to have been served by the store after our own lease must have expired for want of contact. The
- * other controllers are leased our blocks then, so workers are to turn to them.
+ * Whether the store is known to have served a peer after this controller's own lease must have expired for
+ * lack of contact. The blocks of this controller are then leased to other controllers, so workers must send
+ * their heartbeats to those.
  */
 export function peerHasStoreAfterLeaseExpiry(facts: ResponseFacts, leaseTtlMs: number): boolean {
   const { now, lastStoreContactAt, peers } = facts;
@@ -85,13 +99,13 @@
     this.windowMs = responseWindowMs(ports.times);
   }
 
-  /** Whether a response may go out now. Called with every heartbeat. */
+  /** Whether a response may be sent now. Called with every heartbeat. */
   mayRespond(): boolean {
     const { clock, leaseTtlMs } = this.ports;
     const now = clock();
     const changesKnownUntil = this.ports.changesKnownUntil();
     const lastStoreContactAt = this.ports.lastStoreContactAt();
-    // The usual case, which needs no peer: nothing that one could say would shorten the time.
+    // The usual case does not need the peer statuses: no peer status could shorten the time.
     if (now <= changesKnownUntil + this.windowMs && now - lastStoreContactAt <= leaseTtlMs) return true;
     const facts = this.facts(now, changesKnownUntil, lastStoreContactAt);
     return now <= respondUntil(facts) && !peerHasStoreAfterLeaseExpiry(facts, leaseTtlMs);
--- a/src/leadership/membership.test.ts
+++ b/src/leadership/membership.test.ts
@@ -7,7 +7,7 @@
 import type { Write } from '../wire/state.js';
 import { controllerLeaseTtlMs, Membership } from './membership.js';
 
-/** A membership with a lease of 40 ms whose store answers as the test says. */
+/** A membership with a lease of 40 ms and a store whose responses the test sets. */
 class MembershipUnderTest {
   readonly requests: string[] = [];
   readonly writes: Write[] = [];
@@ -50,7 +50,7 @@
     leaseTtlMs: 40,
   });
 
-  async until(condition: () => boolean): Promise<void> {
+  async waitUntil(condition: () => boolean): Promise<void> {
     while (!condition()) await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
@@ -61,71 +61,71 @@
   lease: 3,
 };
 
-test('the time to live of a lease is counted in heartbeat intervals', () => {
+test('the time to live of a lease is a multiple of the heartbeat interval', () => {
   assert.equal(
     controllerLeaseTtlMs({ heartbeatIntervalMs: 2500 }, { leadership: { leaseHeartbeats: 2.4 } }),
     6000,
   );
 });
 
-test('a lease is renewed until the store says that it has ended', async () => {
-  const test = new MembershipUnderTest();
-  const running = test.membership.run(test.stop.signal);
-  await test.until(() => test.requests.length >= 3);
-  assert.equal(test.membership.leaseId, 3);
-  assert.deepEqual(test.requests.slice(0, 3), ['create 40', 'renew 3', 'renew 3']);
-  test.isRenewed = () => Promise.resolve(false);
+test('a lease is renewed until the store reports that it has ended', async () => {
+  const fixture = new MembershipUnderTest();
+  const running = fixture.membership.run(fixture.stop.signal);
+  await fixture.waitUntil(() => fixture.requests.length >= 3);
+  assert.equal(fixture.membership.leaseId, 3);
+  assert.deepEqual(fixture.requests.slice(0, 3), ['create 40', 'renew 3', 'renew 3']);
+  fixture.isRenewed = () => Promise.resolve(false);
   await running;
-  assert.equal(test.membership.leaseId, undefined);
+  assert.equal(fixture.membership.leaseId, undefined);
 });
 
-test('renewals go on while earlier ones are unanswered or have failed', async () => {
-  const test = new MembershipUnderTest();
-  test.isRenewed = () => new Promise(() => undefined);
-  const running = test.membership.run(test.stop.signal);
-  await test.until(() => test.requests.length >= 3);
-  test.isRenewed = () => Promise.reject(new Error('no answer'));
-  const before = test.requests.length;
-  await test.until(() => test.requests.length >= before + 2);
-  assert.equal(test.membership.leaseId, 3);
-  test.stop.abort();
+test('renewals continue while earlier ones have got no response or have failed', async () => {
+  const fixture = new MembershipUnderTest();
+  fixture.isRenewed = () => new Promise(() => undefined);
+  const running = fixture.membership.run(fixture.stop.signal);
+  await fixture.waitUntil(() => fixture.requests.length >= 3);
+  fixture.isRenewed = () => Promise.reject(new Error('no answer'));
+  const requestsBefore = fixture.requests.length;
+  await fixture.waitUntil(() => fixture.requests.length >= requestsBefore + 2);
+  assert.equal(fixture.membership.leaseId, 3);
+  fixture.stop.abort();
   await running;
 });
 
-test('its key is bound to the lease, and announced again where another incarnation has written it', async () => {
-  const test = new MembershipUnderTest();
+test('the alive key is bound to the lease, and is written again if the replica shows it of another incarnation', async () => {
+  const fixture = new MembershipUnderTest();
   const value = aliveRecord({ incarnation: 'earlier', zone: 'a' });
-  test.stored.set('alive/k0', { value, version: 1 });
-  test.stored.set('formats/k0', { value: formatRecord(), version: 1 });
-  const running = test.membership.run(test.stop.signal);
-  await test.until(() => test.writes.length >= 2);
-  assert.deepEqual(test.writes.slice(0, 2), [announcement, announcement]);
-  test.stored.set('alive/k0', { value: announcement.value, version: 2 });
-  test.stored.delete('formats/k0');
+  fixture.stored.set('alive/k0', { value, version: 1 });
+  fixture.stored.set('formats/k0', { value: formatRecord(), version: 1 });
+  const running = fixture.membership.run(fixture.stop.signal);
+  await fixture.waitUntil(() => fixture.writes.length >= 2);
+  assert.deepEqual(fixture.writes.slice(0, 2), [announcement, announcement]);
+  fixture.stored.set('alive/k0', { value: announcement.value, version: 2 });
+  fixture.stored.delete('formats/k0');
   const format = { put: 'formats/k0', value: formatRecord() };
-  await test.until(() => test.writes.some((write) => isDeepStrictEqual(write, format)));
-  test.stop.abort();
+  await fixture.waitUntil(() => fixture.writes.some((write) => isDeepStrictEqual(write, format)));
+  fixture.stop.abort();
   await running;
 });
 
-test('whoever resigns revokes the lease and asks for no other for as long, though the revocation fails', async () => {
-  const test = new MembershipUnderTest();
-  test.isRevoked = () => Promise.reject(new Error('no answer'));
-  const running = test.membership.run(test.stop.signal);
-  await test.until(() => test.membership.leaseId !== undefined);
-  test.membership.resign(60_000);
-  assert.equal(test.membership.leaseId, undefined);
-  assert.equal(test.requests.at(-1), 'revoke 3');
+test('a resigned controller revokes its lease and requests no new one for the given time, even if the revocation fails', async () => {
+  const fixture = new MembershipUnderTest();
+  fixture.isRevoked = () => Promise.reject(new Error('no answer'));
+  const running = fixture.membership.run(fixture.stop.signal);
+  await fixture.waitUntil(() => fixture.membership.leaseId !== undefined);
+  fixture.membership.resign(60_000);
+  assert.equal(fixture.membership.leaseId, undefined);
+  assert.equal(fixture.requests.at(-1), 'revoke 3');
   await running;
-  const waiting = test.membership.run(test.stop.signal);
+  const waiting = fixture.membership.run(fixture.stop.signal);
   await new Promise((resolve) => setTimeout(resolve, 10));
-  test.stop.abort();
+  fixture.stop.abort();
   await waiting;
-  assert.equal(test.requests.at(-1), 'revoke 3');
-  test.now = 60_000;
-  const next = new AbortController();
-  const again = test.membership.run(next.signal);
-  await test.until(() => test.membership.leaseId !== undefined);
-  next.abort();
-  await again;
+  assert.equal(fixture.requests.at(-1), 'revoke 3');
+  fixture.now = 60_000;
+  const nextStop = new AbortController();
+  const secondRun = fixture.membership.run(nextStop.signal);
+  await fixture.waitUntil(() => fixture.membership.leaseId !== undefined);
+  nextStop.abort();
+  await secondRun;
 });
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * This controller's membership of the cluster: a lease of the store, and the key bound to it by which the other controllers
- * know that this one is alive.
+ * Maintains this controller's membership of the cluster: a lease in the store, and a key bound to the lease
+ * that shows the other controllers that this controller is alive.
  */
 import { onAbort } from '../base/aborts.js';
 import { type Clock, sleep } from '../base/clock.js';
@@ -19,26 +19,29 @@
 } from '../wire/controller-records.js';
 import { aliveKey, formatKey } from '../wire/keys.js';
 
-/** What the membership needs of the rest of the controller. */
+/** Dependencies of the membership on the rest of the controller. */
 export interface MembershipPorts {
   clock: Clock;
   log: Log;
   store: Pick<StoreClient, 'createLease' | 'renewLease' | 'revokeLease'>;
   commits: Pick<CommitQueue, 'commit'>;
   mirror: Pick<Mirror, 'ready' | 'get' | 'version'>;
-  /** The name of this controller in the settings. */
+  /** Label of this controller in the settings. */
   label: string;
   zone: string;
-  /** Tells one life of this process from the next. */
+  /** Identifies this run of the controller process; every restart has a new one. */
   incarnation: string;
-  /** How long the lease lives without a renewal. */
+  /** Time to live of the lease without a renewal. */
   leaseTtlMs: number;
 }
 
-/** How often a lease is renewed in its time to live. */
+/** Number of renewals within the time to live of a lease. */
 const renewalsPerLeaseTtl = 4;
 
-/** Time to live of a controller's lease, in ms. Until it has passed, a controller that is cut off counts as alive. */
+/**
+ * Time to live of a controller's lease, in ms. A controller that is cut off counts as alive until its lease
+ * expires.
+ */
 export function controllerLeaseTtlMs(
   { heartbeatIntervalMs }: Pick<Settings, 'heartbeatIntervalMs'>,
   { leadership }: Pick<OperatorSettings, 'leadership'>,
@@ -47,8 +50,9 @@
 }
 
 /**
- * Keeps this controller's lease, and the key that is bound to it. The lease outlives a quick restart: the next incarnation
- * finds its blocks still leased to this controller.
+ * Holds this controller's lease and the key that is bound to the lease. The lease of a controller that
+ * restarts quickly has not yet expired when the next incarnation starts, so the blocks are still leased to
+ * this controller then.
  */
 export class Membership {
   private currentLeaseId: number | undefined;
@@ -57,14 +61,15 @@
 
   constructor(private readonly ports: MembershipPorts) {}
 
-  /** The lease of the store that this controller holds; undefined while it has none. */
+  /** Id of the lease that this controller holds in the store; undefined while it holds none. */
   get leaseId(): number | undefined {
     return this.currentLeaseId;
   }
 
   /**
-   * Gives the lease up for at least this long, and with it the blocks and the leadership, so that other controllers take
-   * them over. For a controller that its workers cannot reach.
+   * Revokes the lease and requests no new one for at least this long. The controller thereby gives up its
+   * blocks and its leadership, and other controllers take them over. Used when the workers cannot reach this
+   * controller.
    */
   resign(durationMs: number): void {
     const { store, log, clock } = this.ports;
@@ -72,15 +77,22 @@
     if (leaseId === undefined) return;
     this.resignedUntil = clock() + durationMs;
     this.currentLeaseId = undefined;
-    log.info({ event: 'resigned', leaseId, durationMs }, 'no heartbeats received: others take over');
+    log.info(
+      { event: 'resigned', leaseId, durationMs },
+      'received no heartbeats; revoking the lease so that other controllers take over the blocks',
+    );
     store.revokeLease(leaseId).catch((error: unknown) => {
-      log.debug({ event: 'lease-revocation-failed', leaseId, err: error }, 'lease left to expire');
+      log.debug(
+        { event: 'lease-revocation-failed', leaseId, err: error },
+        'revocation of the lease failed; the lease will expire without renewals',
+      );
     });
   }
 
   /**
-   * Obtains a lease and keeps it until it has ended, was given up, or the signal fires; to be called again after that.
-   * Throws `StoreUnavailable`, or the error of the request, where the store grants no lease.
+   * Obtains a lease and holds it until the lease has ended, the controller resigns, or the signal fires. Then
+   * the caller calls this method again. Throws `StoreUnavailable`, or the error of the request, if the store
+   * grants no lease.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { store, log, clock, leaseTtlMs } = this.ports;
@@ -90,17 +102,22 @@
     try {
       const leaseId = await store.createLease(leaseTtlMs);
       this.currentLeaseId = leaseId;
-      log.info({ event: 'joined', leaseId }, 'joined the cluster');
+      log.info({ event: 'joined', leaseId }, 'obtained a lease in the store and joined the cluster');
       await this.maintainLease(leaseId, signal);
-      if (!isStopping()) log.info({ event: 'membership-lost', leaseId }, 'lease ended');
+      if (!isStopping())
+        log.info(
+          { event: 'membership-lost', leaseId },
+          'the lease in the store has ended or was revoked; a new one will be requested',
+        );
     } finally {
       this.currentLeaseId = undefined;
     }
   }
 
   /**
-   * Returns once the lease has ended or was given up. Renewals go out on time whether or not earlier ones have been
-   * answered: where responses take most of the time to live, waiting for them would lose every lease.
+   * Renews the lease and returns once the lease has ended or the controller has resigned. Renewals are sent
+   * on schedule even if earlier ones have not been answered: if responses take most of the time to live,
+   * every lease would expire while a renewal waits for the response to the previous one.
    */
   private async maintainLease(leaseId: number, signal: AbortSignal): Promise<void> {
     const leaseEnded = new AbortController();
@@ -118,7 +135,10 @@
     }
   }
 
-  /** Does not wait for the response; a renewal without one says nothing about the lease. */
+  /**
+   * Does not wait for the response. A renewal without a response does not show whether the lease still
+   * exists.
+   */
   private renewLease(leaseId: number, onEnded: () => void): void {
     const { store, log } = this.ports;
     store.renewLease(leaseId).then(
@@ -126,12 +146,18 @@
         if (!isRenewed) onEnded();
       },
       (error: unknown) => {
-        log.debug({ event: 'lease-renewal-failed', leaseId, err: error }, 'lease not renewed');
+        log.debug(
+          { event: 'lease-renewal-failed', leaseId, err: error },
+          'renewal of the lease failed; the next renewal follows on schedule',
+        );
       },
     );
   }
 
-  /** A delayed commit of an earlier incarnation may have bound this controller's key to the lease of that one. */
+  /**
+   * Writes the alive key again if it is of another incarnation, and the format if needed. A delayed commit of
+   * an earlier incarnation may have bound the key of this controller to the lease of that incarnation.
+   */
   private repairAnnouncements(leaseId: number): void {
     const { mirror, label, incarnation } = this.ports;
     if (!mirror.ready || this.isAnnouncing) return;
@@ -140,7 +166,9 @@
     this.announceFormat();
   }
 
-  /** Does not wait for the commit; `isAnnouncing` tells whether it is still on its way. */
+  /**
+   * Writes the alive key. Does not wait for the commit; `isAnnouncing` is true while the commit is in flight.
+   */
   private announceAlive(leaseId: number): void {
     const { commits, label, zone, incarnation, log } = this.ports;
     const value = aliveRecord({ incarnation, zone });
@@ -148,14 +176,20 @@
     commits
       .commit([], [{ put: aliveKey(label), value, lease: leaseId }])
       .catch((error: unknown) => {
-        log.error({ event: 'announcement-failed', err: error }, 'could not announce this controller');
+        log.error(
+          { event: 'announcement-failed', err: error },
+          'commit of the alive key failed; retrying while the replica does not contain the key of this incarnation',
+        );
       })
       .finally(() => {
         this.isAnnouncing = false;
       });
   }
 
-  /** Stored for good: a controller that has run with this format does not come back with an earlier one. */
+  /**
+   * Stores the format that this version reads, unless the stored format is at least as high. The key is
+   * permanent: a controller that has run with this format does not restart with an earlier one.
+   */
   private announceFormat(): void {
     const { commits, label, mirror, log } = this.ports;
     const key = formatKey(label);
@@ -163,7 +197,10 @@
     commits
       .commit([{ key, version: mirror.version(key) }], [{ put: key, value: formatRecord() }])
       .catch((error: unknown) => {
-        log.error({ event: 'announcement-failed', err: error }, 'could not announce the format');
+        log.error(
+          { event: 'announcement-failed', err: error },
+          'commit of the format key failed; retried with a later renewal of the lease',
+        );
       });
   }
 }
--- a/src/leadership/term.test.ts
+++ b/src/leadership/term.test.ts
@@ -3,7 +3,7 @@
 
 import { Term } from './term.js';
 
-test('a term ends once, for the reason that came first', () => {
+test('a term ends once and keeps the first reason', () => {
   const term = new Term(5, 0);
   assert.deepEqual([term.signal.aborted, term.endReason], [false, undefined]);
   term.end({ kind: 'superseded', by: 'k1' });
--- a/src/leadership/term.ts
+++ b/src/leadership/term.ts
@@ -1,29 +1,34 @@
-/** One term of leadership, and the reasons for which it can end. */
+/** A term of leadership, and the reasons for which it can end. */
 import { setMaxListeners } from 'node:events';
 
 /** Why a term of leadership has ended. */
 export type TermEndReason =
   /** This controller is shutting down. */
   | { kind: 'shutdown' }
-  /** The leader's key is another's by now, or was deleted because the lease that it was bound to has ended. */
+  /**
+   * The leader key was written by another candidacy, or was deleted because the lease that it was bound to
+   * has ended.
+   */
   | { kind: 'leader-key-changed' }
   /** A peer reports that it leads with a higher fencing token. */
   | { kind: 'superseded'; by: string }
-  /** All that the leader does has returned or failed. */
+  /** The duties of the leader have returned or failed. */
   | { kind: 'duties-ended' };
 
 /**
- * One term of leadership. It ends once, for one reason; its signal fires then, and everything that only the leader does
- * stops with the signal.
+ * One term of leadership. A term ends once, for one reason. Its signal fires when the term ends and stops the
+ * duties of the leader.
  */
 export class Term {
   private readonly abortController = new AbortController();
   private reason: TermEndReason | undefined;
 
   constructor(
-    /** The store's revision of the commit that won the election: every commit of the leader is conditioned on it. */
+    /**
+     * Store revision of the commit that won the election. Every commit of the leader is conditioned on it.
+     */
     readonly fencingToken: number,
-    /** By the controller's steady clock, in ms. */
+    /** Start of the term, in ms of the controller's steady clock. */
     readonly startedAt: number,
   ) {
     setMaxListeners(0, this.abortController.signal);
@@ -34,12 +39,12 @@
     return this.abortController.signal;
   }
 
-  /** Undefined while the term lasts. */
+  /** Why the term has ended; undefined until it ends. */
   get endReason(): TermEndReason | undefined {
     return this.reason;
   }
 
-  /** Ends the term; without effect where it has ended already, so that the first reason is kept. */
+  /** Ends the term. Has no effect if the term has already ended, so that the first reason is kept. */
   end(reason: TermEndReason): void {
     if (this.abortController.signal.aborted) return;
     this.reason = reason;
