--- a/src/controller/commit-queues.ts
+++ b/src/controller/commit-queues.ts
@@ -27,7 +27,7 @@
 /** Capacity of each queue, as a multiple of the maximum number of operations in one transaction. */
 const capacityTransactions = { duty: 4, leader: 4, intake: 4, confirm: 8 };
 
-/** Creates the queues of one controller. When the signal fires, the queues drop all waiting commits. */
+/** Creates the queues of one controller. When the signal fires, the queues refuse all waiting commits. */
 export function createCommitQueues(
   store: Pick<StoreClient, 'commit'>,
   settings: Settings,
