--- a/src/cloud/client.test.ts
+++ b/src/cloud/client.test.ts
@@ -1,4 +1,4 @@
-/** What the client of the cloud makes of answers, and of none. */
+/** Tests how the cloud client maps HTTP responses, and missing responses, to results and errors. */
 import assert from 'node:assert/strict';
 import { createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -22,7 +22,7 @@
 
 const portOf = (server: Server): number => (server.address() as AddressInfo).port;
 
-test('a list that the cloud refuses throws an error with the operation and the status', async () => {
+test('a list request that the cloud refuses throws an error with the operation and the HTTP status', async () => {
   const server = await serve(503, {});
   const client = clientOf(portOf(server));
   await assert.rejects(client.machineTypes(), (error) => {
@@ -34,7 +34,7 @@
   server.close();
 });
 
-test('a cloud that cannot be reached throws an error with its cause, and leaves a rental unknown', async () => {
+test('when the cloud cannot be reached, list requests throw the cause and the result of a rental is unknown', async () => {
   const server = await serve(200, {});
   const client = clientOf(portOf(server));
   await new Promise((resolve) => server.close(resolve));
@@ -54,7 +54,7 @@
   [429, {}, 'busy'],
   [500, {}, 'unknown'],
 ] as const) {
-  test(`a rental that is answered ${status} ${JSON.stringify(body)} is ${kind}`, async () => {
+  test(`a rental response with status ${status} and body ${JSON.stringify(body)} has the result ${kind}`, async () => {
     const server = await serve(status, body);
     const outcome = await clientOf(portOf(server)).rent('small', 'a', false, 1);
     assert.equal(outcome.kind, kind);
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,4 +1,6 @@
-/** Client of the cloud's HTTP interface: machine types, the list of rented machines, rentals and releases. */
+/**
+ * Client of the cloud's HTTP interface: lists machine types and rented machines, rents and releases machines.
+ */
 import { randomUUID } from 'node:crypto';
 
 import type { Clock } from '../base/clock.js';
@@ -17,60 +19,71 @@
 } from '../wire/cloud.js';
 import { CloudConnectionError, type CloudOperation, CloudStatusError } from './errors.js';
 
-/** The result of a rental. */
+/** The result of a rental request. */
 export type RentalOutcome =
-  /** Ids of the machines that were rented. */
+  /** The machines with these ids were rented. */
   | { kind: 'rented'; machines: string[] }
-  /** The zone has no machine of the type left. */
+  /** The zone has no machine of the requested type left. */
   | { kind: 'no-capacity' }
-  /** Refused for the rate of requests, or the cloud is in trouble. */
+  /**
+   * The cloud refused the request because of the request rate (429) or for another reason with status 503.
+   */
   | { kind: 'busy' }
-  /** No answer, or one without a result: machines may have been rented, and the machine list will name them. */
+  /**
+   * No response arrived, or a response without a result. Machines may have been rented; if so, the machine
+   * list will contain them.
+   */
   | { kind: 'unknown' };
 
 const requestTimeoutMs = 6000;
-const connections = 4;
-/** The other controllers ask only for the machine types, so the leader may use most of the limit. */
+const maxConnections = 4;
+/**
+ * Share of the cloud's rate limit that one controller uses. Controllers that do not lead request only the
+ * machine types, so the leader may use most of the limit.
+ */
 const requestRateShare = 0.8;
-/** A rental whose answer was lost is asked for once more. */
+/** A rental request without a response is sent once more. */
 const maxRentalAttempts = 2;
-/** Machines on one page of the machine list, by the cloud's limit. */
+/** Maximum number of machines on one page of the machine list; a limit of the cloud. */
 export const maxMachinesPerList = 500;
-/** Machines in one release, by the cloud's limit. */
+/** Maximum number of machines in one release request; a limit of the cloud. */
 export const maxMachinesPerRelease = 100;
-/** Machines in one rental, by the cloud's limit. */
+/** Maximum number of machines in one rental request; a limit of the cloud. */
 export const maxMachinesPerRental = 50;
 
 /**
- * Requests to the cloud, paced to stay within its rate limit. `machineTypes` and `listMachines` throw a `CloudError` where
- * there is no result; `rent` and `release` never throw.
+ * Sends requests to the cloud and delays them to stay within its rate limit. `machineTypes` and
+ * `listMachines` throw a `CloudError` if there is no result; `rent` and `release` never throw.
  */
 export class CloudClient {
   private readonly peer: HttpPeer;
   private readonly pacer: Pacer;
-  /** Unique over all controllers and all their restarts: a request name that returned 200 must never be reused. */
+  /**
+   * Unique across all controllers and process restarts, because a request name that got a 200 must never be
+   * used for another rental.
+   */
   private readonly requestNamePrefix = randomUUID();
   private rentalCount = 0;
 
-  /** `signal`: cancels requests that are under way and all later ones. */
+  /** `signal`: cancels the requests in flight and all later requests. */
   constructor(
     settings: Settings,
     clock: Clock,
     private readonly signal: AbortSignal,
   ) {
-    this.peer = new HttpPeer(settings.cloudAddress, connections);
+    this.peer = new HttpPeer(settings.cloudAddress, maxConnections);
     const ratePerS = settings.cloud.rps * requestRateShare;
     this.pacer = new Pacer(ratePerS, ratePerS, clock);
   }
 
-  /** The types of machines on offer. Throws a `CloudError` where there is no result. */
+  /** Returns the machine types that the cloud offers. Throws a `CloudError` if there is no result. */
   async machineTypes(): Promise<MachineType[]> {
     const answer = await this.request('machine types', 'GET', '/machine_types', undefined);
     requireOk('machine types', answer);
     return parseMachineTypes(answer.body);
   }
 
-  /** All rented machines, read page by page. Throws a `CloudError` where any page has no result. */
+  /** Returns all rented machines, read page by page. Throws a `CloudError` if any page has no result. */
   async listMachines(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
     let after = '';
@@ -87,8 +100,8 @@
   }
 
   /**
-   * Rents machines, at most `maxMachinesPerRental`. An answer that was lost is asked for again under the same request
-   * name, which makes the rental idempotent.
+   * Rents up to `count` machines, at most `maxMachinesPerRental`. If no response arrives, the request is
+   * retried under the same request name, which makes the rental idempotent.
    */
   async rent(type: string, zone: string, spot: boolean, count: number): Promise<RentalOutcome> {
     const requestName = `${this.requestNamePrefix}-${++this.rentalCount}`;
@@ -111,8 +124,8 @@
   }
 
   /**
-   * Releases machines, at most `maxMachinesPerRelease`. True: the machines and everything on them are gone. False: they
-   * may be or not.
+   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated, with
+   * everything that ran on them. Returns false if they may or may not have been terminated.
    */
   async release(machines: string[]): Promise<boolean> {
     try {
--- a/src/cloud/errors.ts
+++ b/src/cloud/errors.ts
@@ -1,14 +1,14 @@
-/** Errors of requests to the cloud. */
+/** Errors thrown by requests to the cloud. */
 
-/** What a request asked of the cloud. */
+/** The operation that a request to the cloud was sent for. */
 export type CloudOperation = 'machine types' | 'machine list' | 'rental' | 'release';
 
-/** A request to the cloud without a result. Catch this class to treat every reason alike. */
+/** A request to the cloud that had no result. Catch this class to handle every reason in the same way. */
 export class CloudError extends Error {
   /**
-   * @param operation what the request asked for
+   * @param operation the operation that was requested
    * @param message the reason, for logs
-   * @param options the error that led to this one, where there is one
+   * @param options the error that caused this error, if any
    */
   constructor(
     readonly operation: CloudOperation,
@@ -20,28 +20,31 @@
   }
 }
 
-/** The cloud answered, with a status that holds no result. */
+/** The cloud responded with an HTTP status other than 200, so the response holds no result. */
 export class CloudStatusError extends CloudError {
   /**
-   * @param operation what the request asked for
-   * @param status the HTTP status of the answer
+   * @param operation the operation that was requested
+   * @param status the HTTP status of the response
    */
   constructor(
     operation: CloudOperation,
     readonly status: number,
   ) {
-    super(operation, `${operation} answered ${status}`);
+    super(operation, `${operation} request to the cloud failed with HTTP status ${status}`);
   }
 }
 
-/** No readable answer arrived; the request may have been executed. `cause` holds the error of the connection. */
+/**
+ * No readable response arrived; the cloud may have executed the request. `cause` holds the connection's
+ * error.
+ */
 export class CloudConnectionError extends CloudError {
   /**
-   * @param operation what the request asked for
+   * @param operation the operation that was requested
    * @param cause the error of the connection
    */
   constructor(operation: CloudOperation, cause: unknown) {
     const reason = cause instanceof Error ? cause.message : String(cause);
-    super(operation, `${operation} got no answer: ${reason}`, { cause });
+    super(operation, `${operation} request to the cloud got no readable response: ${reason}`, { cause });
   }
 }
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -1,97 +1,111 @@
 /**
- * What all slices share: jobs, tasks, machines, what workers report and what they are told. Names and units are our own;
- * `src/wire` maps them to what is sent and stored.
+ * The types that all folders under `src` share: jobs, tasks, machines, the workers' heartbeats and the
+ * commands to workers. Names and units are internal; `src/wire` maps them to the sent and stored forms.
  *
- * Amounts (`cpus`, `accelerators`, `memoryGb`) are decimals, sizes are in GB, durations end in their unit (`S`, `Ms`),
- * prices are per hour.
+ * Amounts (`cpus`, `accelerators`, `memoryGb`) are decimals. Sizes are in GB. Names of durations end in their
+ * unit (`S` or `Ms`). Prices are per hour.
  */
 
-/** How urgent the user says a job is; `urgencyRanks` gives the order. */
+/** The urgency that the user gave a job; `urgencyRanks` defines the order. */
 export type Urgency = 'production' | 'high' | 'standard' | 'best_effort';
 
-/** What a user asked for, as committed before the user was told that the job is accepted. */
+/** A job as the user submitted it. It is committed to the store before the user receives the acceptance. */
 export interface JobSpec {
-  /** Chosen by the user; a repeated submission carries the same. */
+  /** Chosen by the user; a repeated submission has the same id. */
   id: string;
-  /** The class whose objectives in the settings apply. */
+  /** The job class, whose objectives in the settings apply to the job. */
   jobClass: string;
-  /** The team whose guarantee and limit apply. */
+  /** The team, whose guarantee and limit apply to the job. */
   team: string;
   urgency: Urgency;
-  /** How many tasks the job has; they are numbered from 0. */
+  /** The number of tasks; they are numbered from 0. */
   tasks: number;
-  /** What each task takes of its machine, together with `accelerators` and `memoryGb`. */
+  /** CPUs that each task takes of its machine. */
   cpus: number;
+  /** Accelerators that each task takes of its machine. */
   accelerators: number;
+  /** Memory that each task takes of its machine. */
   memoryGb: number;
-  /** The image that a machine has to have before a task starts. */
+  /** The image that a machine must have before a task can start on it. */
   image: string;
   imageGb: number;
-  /** Names of the types allowed; null: any. */
+  /** Names of the allowed machine types; null: any type. */
   machineTypes: string[] | null;
-  /** The only zone allowed; null: any. */
+  /** The only allowed zone; null: any zone. */
   zone: string | null;
-  /** All tasks have to be in one zone. */
+  /** Whether all tasks have to be in one zone. */
   colocated: boolean;
-  /** No zone may have more than half of the tasks, rounded up. */
+  /** Whether the tasks are spread: no zone may have more than half of the tasks, rounded up. */
   spread: boolean;
-  /** Whether tasks may be on spot machines. */
+  /** Whether tasks may run on spot machines. */
   spot: boolean;
-  /** The user's estimate of a task's run time, without fetching the image. */
+  /** The user's estimate of a task's run time, excluding the time to fetch the image. */
   estimatedRunS: number;
-  /** How much progress lies between two checkpoints of a task; 0: it saves none. */
+  /** Progress of a task between two checkpoints; 0: the task saves no checkpoints. */
   checkpointIntervalS: number;
-  /** How long a task takes to save a checkpoint when it is stopped. */
+  /** Time that a task takes to save a checkpoint when it is stopped. */
   checkpointSaveS: number;
-  /** When the job should be done, counted from its acceptance; null: no deadline. */
+  /** The deadline of the job, counted from its acceptance; null: no deadline. */
   deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts; records of earlier versions lack the field. */
+  /**
+   * Ids of the jobs that have to be done before any task of this job starts. Records of earlier versions lack
+   * the field.
+   */
   dependencies?: string[];
-  /** Time of day of acceptance in ms, for deadlines only: it may be off by the clocks' error. */
+  /**
+   * Time of day in ms when the job was accepted. Used only for deadlines and waiting times, because it may be
+   * off by the error of the controllers' clocks.
+   */
   acceptedAt: number;
-  /** What a later version has recorded of the job beside all this: kept when the job's record is written again. */
+  /**
+   * Fields that a later version has stored in the job's record; kept when this version rewrites the record.
+   */
   unknownFields?: Record<string, unknown>;
 }
 
-/** A type of machine that the cloud rents out, as it listed it last. */
+/** A machine type that the cloud rents out, as in the cloud's last list. */
 export interface MachineType {
   name: string;
   cpus: number;
   accelerators: number;
   memoryGb: number;
-  /** How fast a machine fetches images. */
+  /** Rate at which a machine of the type fetches images, in GB/s. */
   fetchGbPerS: number;
   /** Price per hour. */
   price: number;
-  /** Price per hour of a spot machine; it changes from one list to the next. */
+  /** Price per hour of a spot machine; it changes between two lists of the cloud. */
   spotPrice: number;
-  /** The nominal time from the request to the first heartbeat. */
+  /** The nominal time from the rental request to the machine's first heartbeat. */
   bootS: number;
-  /** The zones in which the type is on offer. */
+  /** The zones in which the cloud offers the type. */
   zones: string[];
 }
 
-/** A task: its job, and its number in the job from 0. */
+/** Identifies a task by its job and its number in the job, counted from 0. */
 export interface TaskRef {
   job: string;
   index: number;
 }
 
-/** What a task does on its machine; `other` stands for states that this version does not know. */
+/** The state of a task on its machine; `other` stands for states that this version does not know. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended' | 'other';
 
-/** A task as the worker reports it. An ended task is reported until the worker is told to forget it. */
+/**
+ * A task in a worker's heartbeat. The worker reports an ended task until it receives a `forget` command for
+ * it.
+ */
 export interface ReportedTask extends TaskRef {
-  /** Grows with each start of the task, from 1. */
+  /** Number of the task attempt; counts the starts of the task from 1. */
   attempt: number;
   state: TaskState;
-  /** Why the task ended, in the worker's word; empty while it has not ended. */
+  /** Why the task ended, as the worker sent it; empty if the task has not ended. */
   cause: string;
 }
 
 /**
- * What a worker reports of its machine and of all tasks on it. Of two heartbeats the one with the higher agent epoch is the
- * newer one, of the same epoch the one with the higher sequence: delayed ones may arrive after newer ones.
+ * A worker's report of its machine and all tasks on it. Delayed heartbeats may arrive after newer ones. Of
+ * two heartbeats, the one with the higher agent epoch is newer; within one epoch, the one with the higher
+ * sequence is newer.
  */
 export interface Heartbeat {
   machine: string;
@@ -100,29 +114,35 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Grows each time the worker's lease expires, which ends all its tasks. */
+  /** Grows each time the worker's lease expires; the expiry ends all tasks of the worker. */
   agentEpoch: number;
-  /** Grows with each message of the worker. */
+  /** Grows with each heartbeat that the worker sends. */
   sequence: number;
-  /** The highest that the worker has seen; it obeys none that is lower. */
+  /**
+   * The highest fencing token that the worker has received; it ignores responses with a lower fencing token.
+   */
   fencingToken: number;
-  /** Time until the cloud takes the spot machine away; null: no notice. */
+  /** Time until the cloud preempts the spot machine; null: no preemption notice. */
   preemptionNoticeS: number | null;
   tasks: ReportedTask[];
 }
 
 /**
- * A command to a worker: to start an attempt of a task, to stop it, or to report an ended one no more. Each may be repeated,
- * but for a start after the same attempt was forgotten.
+ * A command to a worker. `start` starts a task attempt, `stop` stops it, and `forget` ends the reporting of
+ * an ended attempt. Every command may be sent repeatedly, except that a `start` must not be repeated after
+ * the same attempt was forgotten.
  */
 export interface WorkerCommand extends TaskRef {
   kind: 'start' | 'stop' | 'forget';
   attempt: number;
-  /** Of a stop: the time that the task has to save a checkpoint; none is 0. */
+  /** For `stop`: the time that the task gets to save a checkpoint; 0 or undefined: none. */
   graceS?: number;
 }
 
-/** A rented machine as the cloud lists it. The list lags: it may lack new machines and show ones that are gone. */
+/**
+ * A rented machine in the cloud's list. The list lags: it may lack new machines and contain terminated
+ * machines.
+ */
 export interface CloudMachine {
   id: string;
   address: string;
@@ -130,45 +150,52 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time since the rental request, as of the list. */
+  /** Time from the rental request until the cloud made the list. */
   ageS: number;
 }
 
-/** The name of a task in maps and in messages to workers. */
+/** Returns the key of a task in maps and in messages to workers. */
 export function taskKey(task: TaskRef): string {
   return `${task.job}/${task.index}`;
 }
 
-/** What a task takes of its machine and of its team's limit. */
+/** The resources that a task takes of its machine and of its team's limit. */
 export interface Resources {
   cpus: number;
   accelerators: number;
   memoryGb: number;
 }
 
-// Amounts are decimals added up in any order, so sums may differ in their last bits.
-const slack = 1e-6;
+// Amounts are floating-point decimals that are summed in any order, so equal sums may differ in their last
+// bits.
+const roundingTolerance = 1e-6;
 
-/** Whether the need fits what is free, but for errors of rounding. */
+/** Whether the needed resources fit into the free resources; tolerates rounding errors. */
 export function fits(need: Resources, free: Resources): boolean {
   return (
-    need.cpus <= free.cpus + slack &&
-    need.accelerators <= free.accelerators + slack &&
-    need.memoryGb <= free.memoryGb + slack
+    need.cpus <= free.cpus + roundingTolerance &&
+    need.accelerators <= free.accelerators + roundingTolerance &&
+    need.memoryGb <= free.memoryGb + roundingTolerance
   );
 }
 
-/** Whether the limit allows the addition, but for errors of rounding. A limit of 0 means that there is none. */
+/**
+ * Whether `added` may be added to `used` within the limit; tolerates rounding errors. A limit of 0 means no
+ * limit.
+ */
 export function withinLimit(used: number, added: number, limit: number): boolean {
-  return limit === 0 || used + added <= limit + slack;
+  return limit === 0 || used + added <= limit + roundingTolerance;
 }
 
-/** A key of what a task asks of its machine: tasks of the same kind fit the same machines. */
+/**
+ * Returns a key of the requirements of a job's tasks on their machines: tasks with equal keys fit the same
+ * machines.
+ */
 export function taskKind({ cpus, accelerators, memoryGb, spot, zone, machineTypes }: JobSpec): string {
   return [cpus, accelerators, memoryGb, spot, zone, machineTypes].join('/');
 }
 
-/** The zones of the job's tasks depend on each other, so that one block has to place all of them. */
+/** Whether the zones of the job's tasks depend on each other, so that one block has to place all of them. */
 export function isZoneConstrained(spec: Pick<JobSpec, 'colocated' | 'spread'>): boolean {
   return spec.colocated || spec.spread;
 }
