--- a/src/dependencies/cancellation-cascade.ts
+++ b/src/dependencies/cancellation-cascade.ts
@@ -1,4 +1,4 @@
-/** Cancels open jobs that depend, directly or through others, on a cancelled job. */
+/** Cancels the open jobs that depend, directly or transitively, on a cancelled job. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -9,16 +9,16 @@
 import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
 import type { DependencyGraph } from './dependency-graph.js';
 
-/** The open jobs, as far as the cascade reads them. */
+/** The part of the job index that the cascade reads. */
 export interface OpenJobs {
   readonly dependencies: Pick<DependencyGraph, 'unresolved' | 'upstreamCancelled'>;
-  /** Whether the replica holds a record of the job. */
+  /** Whether the replica holds the record of the job. */
   isOpen(id: string): boolean;
-  /** The record of an open job with its version in the store; undefined where the job is not open. */
+  /** The record of an open job with the record's version in the store; undefined if the job is not open. */
   openJob(id: string): { spec: { tasks: number }; version: number } | undefined;
 }
 
-/** What the cascade uses of the controller. */
+/** The parts of the controller that the cascade uses. */
 export interface CancellationCascadePorts {
   clock: Clock;
   /** Time of day in ms. */
@@ -28,31 +28,39 @@
   store: Pick<StoreClient, 'failing'>;
   mirror: Mirror;
   jobIndex: OpenJobs;
-  /** Queue of commits that no user waits for. */
+  /** Commit queue for background work: no user request waits for its commits. */
   commits: CommitQueue;
   isLeading: () => boolean;
-  /** Reads the outcome of a job into the replica; leaves the replica as it is where none can be read. */
+  /**
+   * Reads the outcome of a job from the store into the replica; leaves the replica unchanged if it cannot be
+   * read.
+   */
   readOutcome: (id: string) => Promise<void>;
 }
 
-/** Scans for unknown outcomes and for jobs to cancel, per heartbeat interval. */
+/** Number of scans for unknown outcomes and for jobs to cancel in one heartbeat interval. */
 const scansPerHeartbeatInterval = 10;
-/** The leader cancels at once; the other controllers cancel what is left after this many heartbeat intervals. */
+/**
+ * The leader cancels a dependent without delay. The other controllers cancel it only if it is still open
+ * after this many heartbeat intervals.
+ */
 const followerDelayHeartbeatIntervals = 2;
 
 /**
- * Cancels jobs with a cancelled dependency. Which jobs these are follows from stored records and outcomes alone, so every
- * controller may run it at any time: a job's outcome is written once, and a second attempt is refused by the store.
+ * Cancels jobs with a cancelled dependency. The set of these jobs depends only on stored records and
+ * outcomes, so every controller may run the cascade at any time. A job's outcome is written once; the store
+ * refuses a second write.
  */
 export class CancellationCascade {
-  /** Cancellations that are being committed, by job. */
+  /** Cancellation commits in flight, by job id. */
   private readonly commitsInFlight = new Map<string, Promise<void>>();
 
   constructor(private readonly ports: CancellationCascadePorts) {}
 
   /**
-   * Cancels a job with a cancelled dependency. Concurrent calls for one job share a commit. Settles whether or not the
-   * commit was applied; the replica then tells the outcome.
+   * Cancels a job with a cancelled dependency. Concurrent calls for the same job share one commit. The
+   * promise resolves whether or not the commit was applied; the caller then reads the outcome from the
+   * replica.
    */
   async cancel(id: string): Promise<void> {
     let commit = this.commitsInFlight.get(id);
@@ -63,7 +71,10 @@
     await commit;
   }
 
-  /** Scans periodically until the signal fires. */
+  /**
+   * Scans periodically until the signal is aborted. Skips a scan while the store fails or the replica is not
+   * ready.
+   */
   async run(signal: AbortSignal): Promise<void> {
     const { settings, store, mirror } = this.ports;
     const isStopping = (): boolean => signal.aborted;
@@ -74,7 +85,10 @@
     }
   }
 
-  /** Reads outcomes of dependencies that are unknown here, then cancels what is due, a transaction's worth at a time. */
+  /**
+   * Reads the outcomes of dependencies that the replica does not hold, then cancels the jobs that are due, at
+   * most one transaction's worth.
+   */
   private async resolveAndCancel(): Promise<void> {
     const { jobIndex, readOutcome } = this.ports;
     const unresolved = jobIndex.dependencies.unresolved((id) => jobIndex.isOpen(id));
@@ -85,23 +99,26 @@
   private dueCancellations(): string[] {
     const { clock, settings, jobIndex, isLeading } = this.ports;
     const delayMs = isLeading() ? 0 : settings.heartbeatIntervalMs * followerDelayHeartbeatIntervals;
-    const due: string[] = [];
-    for (const [id, since] of jobIndex.dependencies.upstreamCancelled()) {
-      if (clock() - since >= delayMs) due.push(id);
-      if (due.length * changesPerOutcome >= settings.state.txnOps) break;
+    const dueJobs: string[] = [];
+    for (const [id, knownSince] of jobIndex.dependencies.upstreamCancelled()) {
+      if (clock() - knownSince >= delayMs) dueJobs.push(id);
+      if (dueJobs.length * changesPerOutcome >= settings.state.txnOps) break;
     }
-    return due;
+    return dueJobs;
   }
 
   private async commitCancellation(id: string): Promise<void> {
     const { jobIndex, mirror, commits, wallClock, log, readOutcome } = this.ports;
     const job = jobIndex.openJob(id);
     if (!job) return;
-    const cancelled = { outcome: 'cancelled', tasks: job.spec.tasks, endedAt: wallClock() } as const;
-    const { conditions, writes } = outcomeTransaction(id, job.version, cancelled);
+    const cancellation = { outcome: 'cancelled', tasks: job.spec.tasks, endedAt: wallClock() } as const;
+    const { conditions, writes } = outcomeTransaction(id, job.version, cancellation);
     const outcome = await commits.commit(conditions, writes);
     if (outcome.kind === 'applied') {
-      log.info({ event: 'dependent-cancelled', job: id }, 'cancelled with a job that it needs');
+      log.info(
+        { event: 'dependent-cancelled', job: id },
+        'job cancelled because a job that it depends on was cancelled',
+      );
       mirror.recordOutcome(outcomeKey(id), { value: writes[0].value, version: outcome.revision });
     } else if (outcome.kind === 'conflict' && outcome.failed.includes(outcomeKey(id))) {
       await readOutcome(id);
--- a/src/dependencies/dependency-graph.test.ts
+++ b/src/dependencies/dependency-graph.test.ts
@@ -8,13 +8,13 @@
 
 const done: OutcomeRecord = { outcome: 'done', tasks: 1, endedAt: 5000 };
 const cancelled: OutcomeRecord = { outcome: 'cancelled', tasks: 1, endedAt: 5000 };
-const everythingOpen = (): boolean => true;
+const allOpen = (): boolean => true;
 
 function jobWithDependencies(id: string, dependencies: string[], change: Partial<JobSpec> = {}): JobSpec {
   return { ...jobSpec(id, 1), dependencies, ...change };
 }
 
-/** A diamond: `last` needs `left` and `right`, which need `first`. */
+/** Adds a diamond: `last` depends on `left` and `right`, and both depend on `first`. */
 function addDiamond(graph: DependencyGraph): void {
   graph.add(
     jobWithDependencies('last', ['left', 'right'], { deadlineS: 100, estimatedRunS: 8, urgency: 'high' }),
@@ -24,28 +24,28 @@
 }
 
 describe('the dependency graph', () => {
-  test('a job is ready once all its dependencies are done, in whatever order their outcomes arrive', () => {
+  test('a job is ready once all its dependencies are done, in whichever order their outcomes arrive', () => {
     const graph = new DependencyGraph(() => 0);
     addDiamond(graph);
     assert.deepEqual(graph.recordOutcome('first', done), ['left', 'right']);
     assert.deepEqual(graph.recordOutcome('right', done), []);
-    assert.equal(graph.stateOf('last', everythingOpen), 'waiting');
+    assert.equal(graph.stateOf('last', allOpen), 'waiting');
     assert.deepEqual(graph.recordOutcome('left', done), ['last']);
-    assert.equal(graph.stateOf('last', everythingOpen), 'ready');
+    assert.equal(graph.stateOf('last', allOpen), 'ready');
   });
 
-  test('waiting time counts from the last outcome of a dependency, or from acceptance', () => {
+  test('waiting time counts from the last outcome of a dependency or from acceptance, whichever is later', () => {
     const graph = new DependencyGraph(() => 0);
     const job = jobWithDependencies('b', ['a', 'z'], { acceptedAt: 1000 });
     graph.add(job);
     graph.recordOutcome('a', { ...done, endedAt: 9000 });
-    // Earlier versions stored no time of an outcome.
+    // Outcome records of earlier versions have no `endedAt`.
     graph.recordOutcome('z', { outcome: 'done', tasks: 1 });
     assert.equal(graph.readyAt(job), 9000);
     assert.equal(graph.readyAt(jobWithDependencies('c', ['z'], { acceptedAt: 1000 })), 1000);
   });
 
-  test('a cancellation reaches all transitive dependents, added before or after it', () => {
+  test('a cancellation marks all transitive dependents, whether they are added before or after it', () => {
     let now = 1;
     const graph = new DependencyGraph(() => now);
     addDiamond(graph);
@@ -65,7 +65,7 @@
     assert.deepEqual([...graph.upstreamCancelled()], []);
   });
 
-  test('a chain of ten in reverse order, and a fan-out of a hundred, are due for cancellation at once', () => {
+  test('a chain of ten jobs added in reverse order and its fan-out of a hundred become due for cancellation together', () => {
     const graph = new DependencyGraph(() => 0);
     for (let i = 9; i > 0; i--) graph.add(jobWithDependencies(`chain-${i}`, [`chain-${i - 1}`]));
     for (let i = 0; i < 100; i++) graph.add(jobWithDependencies(`wide-${i}`, ['chain-9']));
@@ -73,40 +73,40 @@
     assert.equal(graph.upstreamCancelled().size, 109);
   });
 
-  test('a job is unresolved while neither a record nor an outcome of some job upstream is known', () => {
+  test('a job is unresolved while neither the record nor the outcome of an upstream job is known', () => {
     const graph = new DependencyGraph(() => 0);
     graph.add(jobWithDependencies('last', ['middle']));
     graph.add(jobWithDependencies('middle', ['first']));
-    const open = (id: string): boolean => id === 'middle' || id === 'last';
-    assert.equal(graph.stateOf('last', open), 'unresolved');
-    assert.deepEqual([...graph.unresolved(open)], ['first']);
+    const isOpen = (id: string): boolean => id === 'middle' || id === 'last';
+    assert.equal(graph.stateOf('last', isOpen), 'unresolved');
+    assert.deepEqual([...graph.unresolved(isOpen)], ['first']);
     graph.recordOutcome('first', done);
-    assert.equal(graph.stateOf('last', open), 'waiting');
-    assert.equal(graph.unresolved(open).size, 0);
+    assert.equal(graph.stateOf('last', isOpen), 'waiting');
+    assert.equal(graph.unresolved(isOpen).size, 0);
   });
 
-  test('outcomes learned before the job was added count at once', () => {
-    const ends = new Map([
+  test('outcomes that were known before a job is added apply as soon as it is added', () => {
+    const knownOutcomes = new Map([
       ['a', done],
       ['z', cancelled],
     ]);
     const graph = new DependencyGraph(
       () => 0,
-      (id) => ends.get(id),
+      (id) => knownOutcomes.get(id),
     );
     graph.add(jobWithDependencies('b', ['a']));
     graph.add(jobWithDependencies('c', ['a', 'z']));
-    assert.equal(graph.stateOf('b', everythingOpen), 'ready');
-    assert.equal(graph.stateOf('c', everythingOpen), 'upstream-cancelled');
+    assert.equal(graph.stateOf('b', allOpen), 'ready');
+    assert.equal(graph.stateOf('c', allOpen), 'upstream-cancelled');
     assert.equal(graph.hasCancelledUpstream(['z']), true);
     assert.equal(graph.areDone(['a']), true);
   });
 
-  test('urgency and the latest end propagate upstream along the longest path', () => {
+  test('urgency and the latest end time propagate upstream, and the path with the longest run time decides the end time', () => {
     const graph = new DependencyGraph(() => 0);
     addDiamond(graph);
     assert.deepEqual(graph.downstreamDemand(jobSpec('left', 1)), { urgency: 'high', endBy: 92_000 });
-    // 100 s, less the 8 of the last job and the 25 of the longer path.
+    // 100 s, less the 8 s of `last` and the 25 s of `left`, which is on the longer path.
     assert.deepEqual(graph.downstreamDemand(jobSpec('first', 1)), { urgency: 'high', endBy: 67_000 });
     assert.deepEqual(graph.downstreamDemand(jobSpec('alone', 1)), { urgency: 'standard', endBy: undefined });
     graph.remove('last');
--- a/src/dependencies/dependency-graph.ts
+++ b/src/dependencies/dependency-graph.ts
@@ -1,58 +1,77 @@
-/** The dependency graph (DAG) of open jobs, and what follows from it: readiness, cancellation, urgency, deadlines. */
+/**
+ * The dependency graph (DAG) of open jobs. Derives from it which jobs are ready, which have to be cancelled,
+ * and which urgency and latest end time a job inherits from its dependents.
+ */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { moreUrgent } from '../model/urgency.js';
 import type { OutcomeRecord } from '../wire/job-records.js';
 
 /**
- * `ready`: all dependencies are done. `upstream-cancelled`: a job upstream is cancelled, so this one has to be cancelled
- * too. `unresolved`: of some job upstream neither a record nor an outcome is known here. `waiting`: none of these.
+ * The state of an open job with regard to its dependencies.
+ *
+ * - `ready`: all dependencies are done.
+ * - `upstream-cancelled`: an upstream job (a direct or transitive dependency) is cancelled, so this job has
+ *   to be cancelled too.
+ * - `unresolved`: this controller knows neither the record nor the outcome of some upstream job.
+ * - `waiting`: none of these.
  */
 export type DependencyState = 'ready' | 'upstream-cancelled' | 'unresolved' | 'waiting';
 
-/** What the direct and transitive dependents of a job ask of it. */
+/** The urgency and latest end time that a job inherits from its direct and transitive dependents. */
 export interface DownstreamDemand {
   /** The highest urgency of the job and its dependents. */
   urgency: Urgency;
-  /** Time of day in ms by which the job has to end for its dependents to meet their deadlines; undefined without any. */
+  /**
+   * Time of day in ms by which the job has to end so that its dependents can meet their deadlines; undefined
+   * if no dependent has a deadline.
+   */
   endBy: number | undefined;
 }
 
 type OutcomeLookup = (id: string) => OutcomeRecord | undefined;
 
-/** The open jobs with dependencies. Outcomes never change, so a job never stops being ready or due for cancellation. */
+/**
+ * The open jobs with dependencies. Outcomes never change, so a job that is ready or due for cancellation
+ * stays so until it is removed.
+ */
 export class DependencyGraph {
-  /** Open jobs with dependencies. */
+  /** Open jobs with dependencies, by id. */
   private readonly openJobs = new Map<string, JobSpec>();
-  /** Direct dependents of each job that an open one depends on. */
+  /** Direct dependents of each job that an open job depends on. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Outcomes of dependencies, kept while a dependent is open. */
+  /** Outcomes of dependencies. An outcome is kept while a direct dependent is open. */
   private readonly outcomes = new Map<string, OutcomeRecord>();
-  /** Open jobs with a cancelled job upstream, and the time of the clock when this became known. */
+  /**
+   * Open jobs with a cancelled upstream job, and the clock's time in ms when this controller learned of it.
+   */
   private readonly upstreamCancelledSince = new Map<string, number>();
-  /** Computed demands; any change of the graph clears them. */
-  private readonly demands = new Map<string, DownstreamDemand>();
+  /** Results of `downstreamDemand` by job; cleared by every change of the graph. */
+  private readonly demandCache = new Map<string, DownstreamDemand>();
 
-  /** `outcomeOf`: outcomes that this controller has learned, of whatever job. */
+  /**
+   * @param clock steady time in ms
+   * @param outcomeOf looks up the outcome of any job, as far as this controller knows it
+   */
   constructor(
     private readonly clock: () => number,
     private readonly outcomeOf: OutcomeLookup = () => undefined,
   ) {}
 
-  /** Forgets all open jobs. */
+  /** Removes all jobs and outcomes. */
   clear(): void {
     this.openJobs.clear();
     this.dependents.clear();
     this.outcomes.clear();
     this.upstreamCancelledSince.clear();
-    this.demands.clear();
+    this.demandCache.clear();
   }
 
-  /** Adds an open job; does nothing for a job that is known or has no dependencies. */
+  /** Adds an open job; does nothing if the job was already added or has no dependencies. */
   add(spec: JobSpec): void {
     const { id, dependencies = [] } = spec;
     if (this.openJobs.has(id) || dependencies.length === 0) return;
     this.openJobs.set(id, spec);
-    this.demands.clear();
+    this.demandCache.clear();
     for (const dependency of dependencies) {
       this.addDependent(dependency, id);
       const outcome = this.knownOutcome(dependency);
@@ -67,18 +86,18 @@
     if (!spec) return;
     this.openJobs.delete(id);
     this.upstreamCancelledSince.delete(id);
-    this.demands.clear();
+    this.demandCache.clear();
     for (const dependency of spec.dependencies ?? []) this.removeDependent(dependency, id);
   }
 
-  /** Records the outcome of a job; returns the jobs that it has made ready. */
+  /** Records the outcome of a job and returns the ids of the jobs that became ready by it. */
   recordOutcome(id: string, outcome: OutcomeRecord): string[] {
-    // An ended job needs no cancellation, even while the replica still holds its record.
+    // A job with an outcome needs no cancellation, even if the replica still holds the job's record.
     this.upstreamCancelledSince.delete(id);
     const dependents = this.dependents.get(id);
     if (!dependents || this.outcomes.has(id)) return [];
     this.outcomes.set(id, outcome);
-    this.demands.clear();
+    this.demandCache.clear();
     if (outcome.outcome === 'cancelled') {
       for (const dependent of dependents) this.markUpstreamCancelled(dependent);
       return [];
@@ -86,12 +105,12 @@
     return [...dependents].filter((dependent) => this.isReady(dependent));
   }
 
-  /** Whether all dependencies are done; true also for a job without any. */
+  /** Whether all dependencies of the job are done; also true for a job without dependencies. */
   isReady(id: string): boolean {
     return (this.openJobs.get(id)?.dependencies ?? []).every((dependency) => this.isDone(dependency));
   }
 
-  /** Whether all these jobs are known to be done. */
+  /** Whether this controller knows that all these jobs are done. */
   areDone(dependencies: Iterable<string>): boolean {
     return [...dependencies].every((dependency) => this.knownOutcome(dependency)?.outcome === 'done');
   }
@@ -102,9 +121,9 @@
   }
 
   /**
-   * The state of an open job.
+   * Returns the dependency state of an open job.
    * @param id the job
-   * @param isOpen whether the record of a job is known here
+   * @param isOpen whether this controller knows the record of a job
    */
   stateOf(id: string, isOpen: (id: string) => boolean): DependencyState {
     if (this.upstreamCancelledSince.has(id)) return 'upstream-cancelled';
@@ -112,12 +131,12 @@
     return this.unresolvedUpstream(id, isOpen, new Set()).next().done === true ? 'waiting' : 'unresolved';
   }
 
-  /** Open jobs that have to be cancelled, and since when (by the clock) this controller has known it. */
+  /** Open jobs that have to be cancelled, with the clock's time in ms when this controller learned of it. */
   upstreamCancelled(): ReadonlyMap<string, number> {
     return this.upstreamCancelledSince;
   }
 
-  /** Dependencies of open jobs of which neither a record nor an outcome is known here. */
+  /** Dependencies of open jobs for which this controller knows neither the record nor the outcome. */
   unresolved(isOpen: (id: string) => boolean): Set<string> {
     const unresolved = new Set<string>();
     for (const id of this.dependents.keys()) {
@@ -126,7 +145,7 @@
     return unresolved;
   }
 
-  /** All open jobs that depend on this one, directly or through others. */
+  /** All open jobs that depend on this job, directly or transitively. */
   transitiveDependents(id: string): string[] {
     const found = new Set<string>();
     const pending = [id];
@@ -140,7 +159,10 @@
     return [...found];
   }
 
-  /** Time of day in ms from which the waiting time of a ready job counts: its acceptance or the last outcome it needed. */
+  /**
+   * Time of day in ms from which the waiting time of a ready job counts: its acceptance or the end of its
+   * last dependency, whichever is later.
+   */
   readyAt(spec: JobSpec): number {
     const endTimes = (spec.dependencies ?? []).map(
       (dependency) => this.outcomes.get(dependency)?.endedAt ?? 0,
@@ -148,14 +170,15 @@
     return Math.max(spec.acceptedAt, ...endTimes);
   }
 
-  /** The urgency and latest end that the job inherits from its dependents. */
+  /** Returns the urgency and latest end time that the job inherits from its dependents. */
   downstreamDemand(spec: JobSpec): DownstreamDemand {
-    const known = this.demands.get(spec.id);
-    if (known) return known;
+    const cached = this.demandCache.get(spec.id);
+    if (cached) return cached;
     const demand: DownstreamDemand = { urgency: spec.urgency, endBy: undefined };
     if (!this.dependents.has(spec.id)) return demand;
-    // A job can only depend on jobs accepted before it, so there are no cycles; if there were, this entry would end the recursion.
-    this.demands.set(spec.id, demand);
+    // A job can only depend on jobs accepted before it, so the graph has no cycles. If it had one, this cache
+    // entry would end the recursion.
+    this.demandCache.set(spec.id, demand);
     for (const id of this.dependents.get(spec.id) ?? []) {
       const dependent = this.openJobs.get(id);
       if (dependent) this.addDemand(demand, dependent);
@@ -181,7 +204,7 @@
     return this.outcomes.get(id)?.outcome === 'done';
   }
 
-  /** Whether the job is cancelled, or has to be. */
+  /** Whether the job is cancelled or has to be cancelled. */
   private isCancelledOrDue(id: string): boolean {
     return this.knownOutcome(id)?.outcome === 'cancelled' || this.upstreamCancelledSince.has(id);
   }
