--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,16 +1,22 @@
-/** Checks of a submitted job that need nothing but the job, the settings and the machine types. */
+/** Validates a submitted job against the settings and the machine types, without access to the store. */
 import { type JobSpec, type MachineType, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import { sizeOf } from '../wire/codec.js';
 import { jobRecord, minTaskRangesBytes } from '../wire/job-records.js';
 
-/** Why the record of a job would not fit into a stored value of `valueBytes`, or undefined where it does. */
+/**
+ * Returns the reason why the job's record is too large for a stored value of `valueBytes`; undefined if it
+ * fits.
+ */
 export function tooLargeReason(job: JobSpec, valueBytes: number): string | undefined {
   const bytes = sizeOf(jobRecord({ spec: job, taskRanges: [] })) + minTaskRangesBytes;
   return bytes > valueBytes ? 'the description of the job is too large' : undefined;
 }
 
-/** Why a well-formed job can never run, by its team's quota and the machine types; undefined where it can. */
+/**
+ * Returns the reason why a well-formed job can never run, given its team's quota and the machine types;
+ * undefined if it can run.
+ */
 export function impossibleReason(
   job: JobSpec,
   types: Iterable<MachineType>,
@@ -22,7 +28,7 @@
   if (!withinLimit(0, job.accelerators, team.acceleratorsMax)) {
     return "one task needs more accelerators than the team's limit";
   }
-  const fitsSome = [...types].some(
+  const fitsSomeType = [...types].some(
     (type) =>
       (job.machineTypes === null || job.machineTypes.includes(type.name)) &&
       (job.zone === null || type.zones.includes(job.zone)) &&
@@ -30,5 +36,5 @@
       job.accelerators <= type.accelerators &&
       job.memoryGb <= type.memoryGb,
   );
-  return fitsSome ? undefined : 'a task fits no allowed machine type';
+  return fitsSomeType ? undefined : 'a task fits no allowed machine type';
 }
--- a/src/intake/cancellations.test.ts
+++ b/src/intake/cancellations.test.ts
@@ -1,10 +1,10 @@
-/** Lists of cancellations for peers. */
+/** Tests the lists of cancellations that controllers send to their peers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
 import { Cancellations } from './cancellations.js';
 
-test('a controller lists the cancellations that are newer than what its peer knows', () => {
+test('a controller lists the cancellations that are newer than the revision its peer has reached', () => {
   const cancellations = new Cancellations(() => 10);
   cancellations.record('req-1', 12);
   cancellations.record('req-2', 11);
@@ -19,8 +19,9 @@
   assert.deepEqual(cancellations.since(20), { cancelledSince: 20, cancelled: [] });
 });
 
-// Guards against a new incarnation whose list passes for complete though an earlier one has confirmed cancellations.
-test('no list is complete for what happened before its incarnation first read the store', () => {
+// Guards against a restarted controller that sends a list as complete although an earlier incarnation has
+// confirmed cancellations that are not on it.
+test('a list is not complete for revisions before the one at which its incarnation first read the store', () => {
   const replica: { firstRevision?: number } = {};
   const cancellations = new Cancellations(() => replica.firstRevision);
   assert.equal(cancellations.since(5).cancelledSince, Infinity);
@@ -29,13 +30,13 @@
   assert.deepEqual(cancellations.since(5), { cancelledSince: 10, cancelled: [] });
 });
 
-// Guards against a list that has silently lost its oldest entries.
-test('a truncated list says so: it is complete only from its oldest entry on', () => {
+// Guards against a list that lacks its oldest entries but claims to be complete.
+test('a truncated list gives the revision of its newest omitted entry as the one after which it is complete', () => {
   const cancellations = new Cancellations(() => 0);
   for (let i = 1; i <= 5000; i++) cancellations.record(`req-${i}`, i);
   const listed = cancellations.since(0);
   assert.deepEqual([listed.cancelledSince, listed.cancelled.length], [4500, 500]);
   assert.ok(listed.cancelled.every(([, version]) => version > listed.cancelledSince));
-  // Within what is kept and listed, nothing was cut.
+  // A list that starts at a revision within the tracked and listed range is not truncated.
   assert.deepEqual(cancellations.since(4990).cancelled.length, 10);
 });
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -1,4 +1,4 @@
-/** Submissions at the store's rate limit, and queries after a restart. */
+/** Tests submissions at the store's rate limit and queries after a restart. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
@@ -8,32 +8,35 @@
 const id = 'req-000001';
 
 describe('submissions while the store commits slowly', () => {
-  // Guards against a queue that its own repetitions keep long: a day of the larger fleet took 361 of 1431 jobs.
-  test('a repetition while the first attempt is in flight makes no second commit', async () => {
+  // Guards against a commit queue that stays long because repeated submissions are queued too: in one day of
+  // the larger fleet, only 361 of 1431 jobs were accepted.
+  test('a repetition that arrives while the first attempt is in flight causes no second commit', async () => {
     const store = new HeldStore();
-    const users = await UserSide.create(store, id);
+    const controller = await UserSide.create(store, id);
     store.holdsAnswers = true;
-    const both = [users.submit(), users.submit()];
+    const replies = [controller.submit(), controller.submit()];
     await settled();
     assert.deepEqual([store.executed, store.held], [{ writing: 1, comparing: 0, listing: 0 }, 1]);
     store.holdsAnswers = false;
     await store.release();
     assert.deepEqual(
-      (await Promise.all(both)).map(({ status }) => status),
+      (await Promise.all(replies)).map(({ status }) => status),
       [201, 200],
     );
-    // The repetition learns from the first attempt that the job is accepted, and reads its status itself.
+    // The first attempt's result shows only that the job is accepted, so the repetition reads the status
+    // separately.
     assert.deepEqual(store.executed, { writing: 1, comparing: 1, listing: 0 });
   });
 
-  // Guards against a valid submission that is refused for what an earlier one of the same id said.
-  test('a repetition that differs from the first attempt is checked by its own content', async () => {
+  // Guards against refusing a valid submission because of the content of an earlier submission with the same
+  // id.
+  test('a repetition that differs from the first attempt is validated by its own content', async () => {
     const store = new HeldStore();
-    const users = await UserSide.create(store, id);
+    const controller = await UserSide.create(store, id);
     store.holdsAnswers = true;
-    const tooLarge = users.submit({ cpus: 64 });
+    const tooLarge = controller.submit({ cpus: 64 });
     await settled();
-    const valid = users.submit();
+    const valid = controller.submit();
     await settled();
     store.holdsAnswers = false;
     await store.release();
@@ -41,10 +44,10 @@
     assert.deepEqual([(await tooLarge).status, (await valid).status], [422, 201]);
   });
 
-  test('a submission that would wait for longer than its user is refused at once, with a time to retry', async () => {
+  test('a submission whose commit would wait longer than its user does is refused at once with Retry-After', async () => {
     const store = new HeldStore();
-    const users = await UserSide.create(store, id, { writeWaitMs: 7000 });
-    const reply = await users.submit();
+    const controller = await UserSide.create(store, id, { writeWaitMs: 7000 });
+    const reply = await controller.submit();
     assert.deepEqual([reply.status, reply.retryAfterS, store.executed.writing], [429, 7, 0]);
   });
 });
@@ -62,8 +65,9 @@
     return { store, restarted: await UserSide.create(store, id) };
   }
 
-  // Guards against `forgotten`: after all controllers had restarted, a request to the store for each query left
-  // none for anything else, and no controller was healthy for minutes.
+  // Guards against queries without an answer (the checker's `forgotten`): after all controllers had
+  // restarted, one store request for each query used up the rate limit, and no controller was healthy for
+  // minutes.
   test('share one list request to the store', async () => {
     const { store, restarted } = await endedJobs();
     const replies = await Promise.all(ids.map((job) => restarted.query(job)));
@@ -77,8 +81,8 @@
     assert.equal(store.executed.comparing, before);
   });
 
-  // Guards against queries that wait for a store that does not answer.
-  test('are refused at once when the outcomes cannot be read', async () => {
+  // Guards against queries that wait for a store that does not respond.
+  test('are refused at once with 503 when the outcomes cannot be read', async () => {
     const { store, restarted } = await endedJobs();
     store.failsLists = true;
     const replies = await Promise.all(ids.map((job) => restarted.query(job)));
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,4 +1,4 @@
-/** HTTP routes of the users' requests (submit, query, cancel) and of the health check. */
+/** HTTP routes for user requests (submit, query, cancel) and for the health check. */
 import type { FastPathRoute, Reply, Route } from '../base/replies.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { isJobId, jobAnswer, jobDetails, jobIdIn, type JobStatus, parseJob } from '../wire/jobs.js';
@@ -6,19 +6,21 @@
 import { type JobStatusPorts, JobStatusReader, type JobStatusResult } from './job-status-reader.js';
 import { type SubmissionPorts, Submissions } from './submissions.js';
 
-/** What the users' requests use of the controller. */
+/** The parts of the controller that user requests need. */
 export interface IntakePorts extends SubmissionPorts, JobStatusPorts, JobCancellerPorts {
   store: SubmissionPorts['store'] & JobStatusPorts['store'];
-  /** Whether this controller can serve users now. */
+  /** Whether this controller can serve user requests now. */
   isServing: () => boolean;
   jobIndex: Pick<JobIndex, 'progress' | 'openJob' | 'dependencies' | 'dependencyState'>;
 }
 
-/** `Retry-After` of a 503. */
+/** `Retry-After` of a 503 response, in seconds. */
 const unavailableRetryS = 1;
 const unknownJob: Reply = { status: 404, body: { error: 'no such job' } };
 
-/** Maps requests to submissions, status reads and cancels, and their results to replies. */
+/**
+ * Maps user requests to submissions, status reads and cancellations, and maps their results to HTTP replies.
+ */
 export class Intake {
   private readonly statuses: JobStatusReader;
   private readonly submissions: Submissions;
@@ -30,14 +32,14 @@
     this.canceller = new JobCanceller(ports, this.statuses);
   }
 
-  /** Routes of submit, query and cancel, in this order. */
+  /** The routes for submit, query and cancel, in this order. */
   readonly routes: Route[] = [
     { method: 'POST', path: /^\/v2\/runs$/, handle: (body) => this.submit(body) },
     { method: 'GET', path: /^\/v2\/runs\/([^/]+)$/, handle: (_body, [id = '']) => this.query(id) },
     { method: 'POST', path: /^\/v2\/runs\/([^/]+)\/cancel$/, handle: (_body, [id = '']) => this.cancel(id) },
   ];
 
-  /** The health check: 200 where this controller can serve users, else 503. */
+  /** The health check: 200 if this controller can serve user requests, else 503. */
   readonly health: FastPathRoute = {
     method: 'GET',
     path: '/up',
@@ -66,7 +68,10 @@
     }
   }
 
-  /** A repetition of an accepted job is never refused, whatever it says and whichever machine types exist by now. */
+  /**
+   * Returns `refusal` only if the job was never accepted. A repetition of an accepted job is never refused,
+   * whatever it contains and whichever machine types exist now.
+   */
   private async refuseUnlessAccepted(id: string | undefined, refusal: Reply): Promise<Reply> {
     if (id === undefined) return refusal;
     const result = await this.statuses.read(id);
@@ -117,14 +122,20 @@
     }
   }
 
-  /** The status of a job that a read has shown as open. Its progress may lag behind the leader by a commit or two. */
+  /**
+   * Returns the status of a job that a status read found open. The progress in it may lag behind the leader
+   * by one or two commits.
+   */
   private statusOfOpenJob(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
-    const known = this.statuses.knownOutcome(id);
-    if (known) return known.outcome;
+    const endedJob = this.statuses.knownOutcome(id);
+    if (endedJob) return endedJob.outcome;
     return active > 0 ? 'running' : 'pending';
   }
 
-  /** Closes the connection where this controller cannot serve users, so that the retry reaches another one. */
+  /**
+   * Returns a 503 reply. If this controller cannot serve user requests, the reply closes the connection so
+   * that the retry reaches another controller.
+   */
   private unavailable(): Reply {
     return {
       status: 503,
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -1,4 +1,4 @@
-/** Cancels a job at its user's request, together with its dependents. */
+/** Cancels a job and its dependents at the user's request. */
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
@@ -13,7 +13,7 @@
 } from '../wire/outcome-transaction.js';
 import type { JobStatusReader, JobStatusResult } from './job-status-reader.js';
 
-/** What the canceller uses of the controller. */
+/** The parts of the controller that the canceller uses. */
 export interface JobCancellerPorts {
   store: Pick<StoreClient, 'failing' | 'read'>;
   /** Time of day in ms. */
@@ -21,40 +21,52 @@
   settings: Settings;
   mirror: Mirror;
   jobIndex: Pick<JobIndex, 'openJob' | 'dependencies'>;
-  /** Queue of commits for submissions and cancels. */
+  /** Commit queue shared by submissions and cancellations. */
   writes: CommitQueue;
 }
 
-/** The result of a cancel: never an open job; where the job is still open its user has to retry (`unavailable`). */
+/**
+ * The result of a cancel request. It never shows an open job: if the job is still open, the result is
+ * `unavailable` and the user has to retry.
+ */
 export type CancelResult = Exclude<JobStatusResult, { kind: 'open' }>;
 
-/** `gone`: the job has no record, or has an outcome. `changed`: the record has a newer version in the store. */
+/**
+ * The result of committing a cancellation. `gone`: the job has no record, or already has an outcome.
+ * `changed`: the job's record has a newer version in the store.
+ */
 type AttemptResult = 'cancelled' | 'gone' | 'changed' | 'unavailable';
 
-/** Commits of one cancel, each with a newer version of the job's record. */
+/** Maximum number of commits for one cancel request, each on a newer version of the job's record. */
 const maxAttempts = 3;
 
-/** Writes the outcome `cancelled` of a job as a transaction on the present version of its record. */
+/**
+ * Cancels a job by writing its outcome `cancelled` in a transaction on the current version of the job's
+ * record.
+ */
 export class JobCanceller {
   constructor(
     private readonly ports: JobCancellerPorts,
     private readonly statuses: JobStatusReader,
   ) {}
 
-  /** Cancels a job. Confirms a cancellation only once it is committed; never throws. */
+  /**
+   * Cancels a job and returns its outcome. Reports a cancellation only once it is committed; never throws.
+   */
   async cancel(id: string): Promise<CancelResult> {
-    const known = this.statuses.knownOutcome(id);
-    if (known) return known;
+    const endedJob = this.statuses.knownOutcome(id);
+    if (endedJob) return endedJob;
     if (this.ports.store.failing) return { kind: 'unavailable' };
-    const attempt = await this.commitWithRetries(id);
-    if (attempt === 'unavailable') return this.statuses.knownOutcome(id) ?? { kind: 'unavailable' };
+    const attemptResult = await this.commitWithRetries(id);
+    if (attemptResult === 'unavailable') return this.statuses.knownOutcome(id) ?? { kind: 'unavailable' };
     const result = await this.statuses.read(id);
     return result.kind === 'open' ? { kind: 'unavailable' } : result;
   }
 
   /**
-   * The leader may write the job's record at the same time; then its new version is read and the commit tried again.
-   * Cancels are accepted even while submissions are refused as overload.
+   * Commits the cancellation. If the leader writes the job's record at the same time, the commit fails with a
+   * conflict; the new version of the record is then read and the commit is retried. Cancellations are
+   * accepted even while submissions are refused because of overload.
    */
   private async commitWithRetries(id: string): Promise<AttemptResult> {
     const { mirror, store } = this.ports;
@@ -66,8 +78,8 @@
         return 'unavailable';
       }
       if (!record) return 'gone';
-      const attempt = await this.commitCancellation(id, record, attempts === 0);
-      if (attempt !== 'changed') return attempt;
+      const attemptResult = await this.commitCancellation(id, record, attempts === 0);
+      if (attemptResult !== 'changed') return attemptResult;
       record = undefined;
     }
     return 'changed';
@@ -80,14 +92,14 @@
   ): Promise<AttemptResult> {
     const { mirror, writes } = this.ports;
     const tasks = parseJobRecord(record.value)?.spec.tasks ?? 0;
-    const own = this.cancellation(id, record.version, tasks);
-    const all = [own, ...(withDependents ? this.cancellationsOfDependents(id) : [])];
+    const jobCancellation = this.cancellation(id, record.version, tasks);
+    const cancellations = [jobCancellation, ...(withDependents ? this.cancellationsOfDependents(id) : [])];
     const outcome = await writes.commit(
-      all.flatMap(({ conditions }) => conditions),
-      all.flatMap((one) => one.writes),
+      cancellations.flatMap(({ conditions }) => conditions),
+      cancellations.flatMap((cancellation) => cancellation.writes),
     );
     if (outcome.kind === 'applied') {
-      const outcomes = all.map((cancellation) => cancellation.writes[0]);
+      const outcomes = cancellations.map((cancellation) => cancellation.writes[0]);
       mirror.recordOutcomes(
         outcomes.map(({ put, value }) => ({ key: put, value, version: outcome.revision })),
       );
@@ -105,7 +117,10 @@
     });
   }
 
-  /** Cancellations of as many dependents as the transaction has room for; the cascade cancels the others. */
+  /**
+   * Cancellations of as many dependents as fit into the transaction; `CancellationCascade` cancels the
+   * others.
+   */
   private cancellationsOfDependents(id: string): OutcomeTransaction[] {
     const { jobIndex, settings } = this.ports;
     const maxDependents = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
--- a/src/intake/linearizability.test.ts
+++ b/src/intake/linearizability.test.ts
@@ -1,4 +1,4 @@
-/** Answers to users rest on a state of the store after their request had arrived. */
+/** Tests that replies to users reflect a state of the store at some moment after the request had arrived. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
@@ -9,89 +9,106 @@
 const id = 'req-000001';
 const cancelled = { id, status: 'cancelled' };
 
-async function twoControllers(): Promise<{ store: HeldStore; first: UserSide; second: UserSide }> {
+async function twoControllers(): Promise<{
+  store: HeldStore;
+  firstController: UserSide;
+  secondController: UserSide;
+}> {
   const store = new HeldStore();
-  return { store, first: await UserSide.create(store, id), second: await UserSide.create(store, id) };
+  return {
+    store,
+    firstController: await UserSide.create(store, id),
+    secondController: await UserSide.create(store, id),
+  };
 }
 
-/** Releases the answers that are on their way, one by one, until the reply is there. */
+/** Releases the held store responses one by one until the reply has arrived. */
 async function replyOf(store: HeldStore, reply: Promise<Reply>): Promise<unknown> {
   const replies: Reply[] = [];
-  void reply.then((one) => replies.push(one));
+  void reply.then((settledReply) => replies.push(settledReply));
   const maxAnswers = 20;
   for (let i = 0; i < maxAnswers && replies.length === 0; i++) await store.release();
   return replies[0]?.body;
 }
 
-describe('a job that was shown as cancelled is shown as nothing else', () => {
-  /** While a submission is under way at one controller the cancellation is told by another; then the job is submitted again. */
+describe('a job that was reported as cancelled is never reported with another status', () => {
+  /**
+   * Submits a job at `firstController`, lets `secondController` confirm its cancellation while that
+   * submission is in flight, and submits the job to `firstController` again. Returns the reply to the last
+   * submission.
+   */
   async function submitAfterCancellation(
     store: HeldStore,
-    first: UserSide,
-    second: UserSide,
+    firstController: UserSide,
+    secondController: UserSide,
   ): Promise<unknown> {
     store.holdsAnswers = true;
-    const earlier = first.submit();
+    const earlier = firstController.submit();
     await settled();
     store.holdsAnswers = false;
-    assert.deepEqual((await second.cancel()).body, cancelled);
-    const later = first.submit();
+    assert.deepEqual((await secondController.cancel()).body, cancelled);
+    const later = firstController.submit();
     await settled();
     await replyOf(store, earlier);
     return replyOf(store, later);
   }
 
-  // Guards against `went_back`: a repetition shared the evidence of an earlier one that was still under way.
-  test('a repetition that arrives after the cancellation was confirmed, while an earlier one is in flight', async () => {
-    const { store, first, second } = await twoControllers();
-    assert.equal((await first.submit()).status, 201);
-    assert.deepEqual(await submitAfterCancellation(store, first, second), cancelled);
+  // Guards against a status that goes back from cancelled to open (the checker's `went_back`): a repetition
+  // used the comparison of an earlier repetition that was still in flight.
+  test('a repetition after the confirmed cancellation, while an earlier repetition is in flight', async () => {
+    const { store, firstController, secondController } = await twoControllers();
+    assert.equal((await firstController.submit()).status, 201);
+    assert.deepEqual(await submitAfterCancellation(store, firstController, secondController), cancelled);
   });
 
-  // Guards against the same with the first submission itself, whose commit was executed before the cancellation.
-  test('a repetition that arrives after the cancellation was confirmed, while the acceptance is in flight', async () => {
-    const { store, first, second } = await twoControllers();
-    assert.deepEqual(await submitAfterCancellation(store, first, second), cancelled);
+  // Guards against the same fault with the first submission, whose commit was executed before the
+  // cancellation.
+  test('a repetition after the confirmed cancellation, while the first submission is in flight', async () => {
+    const { store, firstController, secondController } = await twoControllers();
+    assert.deepEqual(await submitAfterCancellation(store, firstController, secondController), cancelled);
   });
 
-  // Guards against what this controller has learned itself being passed over for an answer that is on its way.
+  // Guards against a controller that ignores an outcome it has committed itself and replies from an older
+  // store response that was still in flight.
   for (const request of ['query', 'submit'] as const) {
-    test(`a ${request} whose comparison was executed before a cancellation that this controller confirms`, async () => {
-      const { store, first } = await twoControllers();
-      await first.submit();
+    test(`a ${request} whose comparison was executed before a cancellation that the same controller confirms`, async () => {
+      const { store, firstController } = await twoControllers();
+      await firstController.submit();
       store.holdsAnswers = true;
-      const earlier = first[request]();
+      const earlier = firstController[request]();
       await settled();
       store.holdsAnswers = false;
-      assert.deepEqual((await first.cancel()).body, cancelled);
+      assert.deepEqual((await firstController.cancel()).body, cancelled);
       const { status } = (await replyOf(store, earlier)) as { status: string };
       assert.equal(status, 'cancelled');
     });
   }
 
-  test('an acceptance whose commit was executed before a cancellation that this controller confirms', async () => {
-    const { store, first } = await twoControllers();
+  test('a submission whose commit was executed before a cancellation that the same controller confirms', async () => {
+    const { store, firstController } = await twoControllers();
     store.holdsAnswers = true;
-    const acceptance = first.submit();
+    const acceptance = firstController.submit();
     await settled();
     store.holdsAnswers = false;
-    // The lanes of submissions and of cancels are one, so the cancel goes out after the answer to the submission.
-    const cancel = first.cancel();
+    // Submissions and cancellations share one commit queue, so the cancellation is sent only after the
+    // response to the submission has arrived.
+    const cancel = firstController.cancel();
     await settled();
     await store.release();
     assert.deepEqual((await cancel).body, cancelled);
     assert.equal((await acceptance).status, 201);
-    assert.deepEqual((await first.submit()).body, cancelled);
+    assert.deepEqual((await firstController.submit()).body, cancelled);
   });
 });
 
-// Guards against load that repeats itself: forty repetitions must not be forty requests to the state service.
+// Guards against load that grows with repetitions: forty repetitions must not cause forty requests to the
+// state service.
 test('concurrent repetitions share a comparison that is sent after all of them have arrived', async () => {
-  const { store, first } = await twoControllers();
-  await first.submit();
+  const { store, firstController } = await twoControllers();
+  await firstController.submit();
   const { writing, comparing } = store.executed;
   const repetitions = 40;
-  const replies = await Promise.all(Array.from({ length: repetitions }, () => first.submit()));
+  const replies = await Promise.all(Array.from({ length: repetitions }, () => firstController.submit()));
   assert.ok(replies.every(({ status }) => status === 200));
   assert.equal(store.executed.writing, writing);
   assert.ok(store.executed.comparing - comparing <= 2);
--- a/src/intake/outcome-reader.ts
+++ b/src/intake/outcome-reader.ts
@@ -1,21 +1,25 @@
-/** Batched reads of job outcomes that the replica does not hold. */
+/** Reads job outcomes that the replica does not hold from the store, in batches. */
 import type { StoreClient } from '../store/client.js';
 import type { Mirror } from '../store/mirror.js';
 import { outcomeKey, outcomePrefix } from '../wire/keys.js';
 
-/** What the reader uses of the controller. */
+/** The parts of the controller that the reader uses. */
 export interface OutcomeReaderPorts {
   store: Pick<StoreClient, 'listPage'>;
   mirror: Mirror;
 }
 
-/** Outcomes in one page: the requested ones and their neighbours, which users are likely to ask for next. */
+/**
+ * Outcomes per page: the requested outcomes and those with neighbouring ids, which users are likely to query
+ * next.
+ */
 const outcomesPerPage = 200;
 
 /**
- * Reads outcomes into the replica. A restarted controller knows none of the earlier outcomes, and users ask for all of them.
- * One request for each would use up the store's rate limit, so there is one request in flight at a time, for a whole page.
- * An outcome never changes, so it does not matter when it was read.
+ * Reads outcomes into the replica. After a restart a controller holds no earlier outcomes, and users query
+ * all of them. One store request per outcome would use up the store's rate limit, so at most one request is
+ * in flight at a time, and it reads a whole page. Outcomes never change, so an outcome may be used whenever
+ * it was read.
  */
 export class OutcomeReader {
   private readonly requestedKeys = new Set<string>();
@@ -23,7 +27,10 @@
 
   constructor(private readonly ports: OutcomeReaderPorts) {}
 
-  /** Settles once the outcome is known or cannot be read now; the replica tells which. Never throws. */
+  /**
+   * Resolves once the outcome is in the replica or cannot be read now; the caller looks it up in the replica.
+   * Never throws.
+   */
   async read(id: string): Promise<void> {
     const key = outcomeKey(id);
     this.requestedKeys.add(key);
@@ -33,22 +40,25 @@
     }
   }
 
-  /** Reads the page that begins with the first requested key, so that each request settles at least one of them. */
+  /**
+   * Reads the page that begins with the first requested key, so that each request completes at least one key.
+   */
   private async readPage(): Promise<void> {
     const { store, mirror } = this.ports;
-    const [first = ''] = [...this.requestedKeys].sort();
+    const [firstKey = ''] = [...this.requestedKeys].sort();
     try {
       const { items } = await store.listPage(
         outcomePrefix,
-        cursorJustBefore(first),
+        cursorJustBefore(firstKey),
         outcomesPerPage,
         'intake',
       );
       mirror.recordOutcomes(items);
       for (const { key } of items) this.requestedKeys.delete(key);
-      this.requestedKeys.delete(first);
+      this.requestedKeys.delete(firstKey);
     } catch {
-      // The callers tell their users to retry: none is left waiting for a store that does not answer.
+      // Completes all waiting reads, so that no user waits for a store that does not respond: their callers
+      // reply that the user has to retry.
       this.requestedKeys.clear();
     } finally {
       this.pageInFlight = undefined;
@@ -56,7 +66,11 @@
   }
 }
 
-/** A list cursor after all keys that sort before this one. Ids end with a digit, and `:` sorts right after the digits. */
+/**
+ * Returns a list cursor that sorts before `key` and after every smaller outcome key. It decrements the last
+ * character of `key` and appends `:`, because job ids end with a digit and `:` sorts directly after the
+ * digits.
+ */
 function cursorJustBefore(key: string): string {
   const afterDigits = ':';
   return key.slice(0, -1) + String.fromCharCode(key.charCodeAt(key.length - 1) - 1) + afterDigits;
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -1,4 +1,4 @@
-/** Accepts submissions: checks a new job and commits its record to the store. */
+/** Accepts submissions: validates a new job and commits its record to the store. */
 import type { DependencyGraph } from '../dependencies/dependency-graph.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
@@ -10,46 +10,59 @@
 import { impossibleReason, tooLargeReason } from './admission.js';
 import type { JobStatusReader } from './job-status-reader.js';
 
-/** What submissions use of the controller. */
+/** The parts of the controller that submissions use. */
 export interface SubmissionPorts {
   /** Time of day in ms. */
   wallClock: () => number;
   settings: Settings;
   store: Pick<StoreClient, 'failing' | 'writeWaitMs'>;
   mirror: Mirror;
-  /** Queue of commits for submissions and cancels. */
+  /** Commit queue shared by submissions and cancellations. */
   writes: CommitQueue;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** The first task ranges of a new job, each with its block; empty where the leader has to place it. */
+  /**
+   * The initial task ranges of a new job, each with its block; empty if the leader has to dispatch the job.
+   */
   initialRanges: (spec: JobSpec) => TaskRange[];
   jobIndex: { dependencies: Pick<DependencyGraph, 'hasCancelledUpstream'> };
-  /** Whether all controllers support dependencies: an earlier version would start such a job at once. */
+  /**
+   * Whether all controllers support dependencies. A controller of an earlier version would ignore them and
+   * start the job at once.
+   */
   supportsDependencies: () => boolean;
-  /** Whether every cancellation whose dependents have to be cancelled by now is known here. */
+  /** Whether this controller knows every cancellation whose dependents must be cancelled by now. */
   knowsCancellations: () => boolean;
 }
 
-/** What became of a submission. */
+/** The result of a submission. */
 export type SubmissionResult =
-  /** This submission has recorded the job. */
+  /** This submission committed the job. */
   | { kind: 'created' }
-  /** The job had been accepted before; its status has to be read. */
+  /** The job was accepted by an earlier submission; its status has to be read. */
   | { kind: 'accepted-before' }
   | { kind: 'impossible'; reason: string }
   | { kind: 'overloaded'; retryAfterS: number }
   | { kind: 'unavailable' };
 
-/** Open jobs that a controller keeps track of, per MB of its memory. */
+/**
+ * Limit of the replica's keys, per MB of the controller's memory quota, beyond which submissions are refused.
+ * It bounds the open jobs that a controller keeps track of.
+ */
 const maxOpenJobsPerMb = 20;
-/** Bounds of the `Retry-After` of an overloaded controller; users heed up to 30 s. */
+/** Lower bound of `Retry-After`, in seconds, in the reply of an overloaded controller. */
 const minOverloadRetryS = 3;
-/** Longest wait for a commit that a submission is accepted with; users give up after 5 s. */
+/** A submission is refused if its commit would wait longer than this; users time out after 5 s. */
 const maxWriteWaitMs = 2000;
+/**
+ * Upper bound of `Retry-After`, in seconds, of an overloaded controller; users respect values of up to 30 s.
+ */
 const maxOverloadRetryS = 20;
 
-/** Makes submissions idempotent: each job id is accepted once, whichever controllers its repetitions reach. */
+/**
+ * Makes submissions idempotent: each job id is accepted once, whichever controllers receive its repetitions.
+ */
 export class Submissions {
-  /** Commits of new jobs, by job. */
+  /** Commits of new jobs in flight, by job id. */
   private readonly commitsInFlight = new Map<string, Promise<SubmissionResult>>();
 
   constructor(
@@ -58,13 +71,13 @@
   ) {}
 
   /**
-   * Checks and commits a job. A repetition that arrives while the first attempt is in flight waits for its result. That
-   * tells only that the job was accepted: its status has to be read anew, since the first attempt is older than the
-   * repetition. Never throws.
+   * Validates and commits a job. A repetition that arrives while the first attempt is in flight waits for the
+   * result of the first attempt. That result shows only that the job was accepted: the status has to be read
+   * again, because the first attempt may have been executed before the repetition arrived. Never throws.
    */
   async submit(job: JobSpec): Promise<SubmissionResult> {
     const { store, mirror, machineTypes, settings } = this.ports;
-    if (this.isKnown(job.id)) return { kind: 'accepted-before' };
+    if (this.isKnownAccepted(job.id)) return { kind: 'accepted-before' };
     if (machineTypes().size === 0 || !mirror.ready) return { kind: 'unavailable' };
     const reason =
       impossibleReason(job, machineTypes().values(), settings.teams) ??
@@ -75,9 +88,9 @@
     const firstAttempt = this.commitsInFlight.get(job.id);
     if (firstAttempt) return asRepetition(await firstAttempt);
     if (store.failing) return { kind: 'unavailable' };
-    const retryAfterS = this.overloadedForS();
+    const retryAfterS = this.overloadRetryAfterS();
     if (retryAfterS !== undefined) return { kind: 'overloaded', retryAfterS };
-    const result = this.record(job);
+    const result = this.commitJob(job);
     this.commitsInFlight.set(job.id, result);
     try {
       return await result;
@@ -86,28 +99,37 @@
     }
   }
 
-  /** Why a job with these dependencies is refused; undefined where it is not. Asks the store for unknown dependencies. */
+  /**
+   * Returns the result that ends the submission because of the job's dependencies; undefined if they allow
+   * the job to be committed. Compares with the store for dependencies that the replica does not hold.
+   */
   private async checkDependencies({ id, dependencies = [] }: JobSpec): Promise<SubmissionResult | undefined> {
     if (dependencies.length === 0) return undefined;
     if (dependencies.includes(id)) return { kind: 'impossible', reason: 'a job cannot need itself' };
     const { supportsDependencies, knowsCancellations } = this.ports;
     if (!supportsDependencies()) return { kind: 'unavailable' };
-    const found = await Promise.all(dependencies.map((dependency) => this.statuses.acceptance(dependency)));
-    // A repetition of an accepted job is never refused for what it names.
-    if (this.isKnown(id)) return { kind: 'accepted-before' };
-    if (found.includes('unavailable') || !knowsCancellations()) return { kind: 'unavailable' };
-    const unknown = dependencies[found.indexOf('never-accepted')];
-    return unknown === undefined
+    const acceptances = await Promise.all(
+      dependencies.map((dependency) => this.statuses.acceptance(dependency)),
+    );
+    // A repetition of an accepted job is never refused because of the dependencies that it lists.
+    if (this.isKnownAccepted(id)) return { kind: 'accepted-before' };
+    if (acceptances.includes('unavailable') || !knowsCancellations()) return { kind: 'unavailable' };
+    const unknownDependency = dependencies[acceptances.indexOf('never-accepted')];
+    return unknownDependency === undefined
       ? undefined
-      : { kind: 'impossible', reason: `${unknown} was never accepted` };
+      : { kind: 'impossible', reason: `${unknownDependency} was never accepted` };
   }
 
-  private isKnown(id: string): boolean {
+  /** Whether the replica shows that the job was accepted. */
+  private isKnownAccepted(id: string): boolean {
     return this.statuses.isRecorded(id) || this.statuses.knownOutcome(id) !== undefined;
   }
 
-  /** Seconds after which a refused user should retry; undefined where the job can be taken. */
-  private overloadedForS(): number | undefined {
+  /**
+   * Returns the seconds after which the user should retry if the job is refused as overload; undefined if it
+   * is not.
+   */
+  private overloadRetryAfterS(): number | undefined {
     const { mirror, settings, store, writes } = this.ports;
     const waitMs = store.writeWaitMs('intake', writes.writableLength);
     const tooManyJobs = mirror.size > settings.quota.memoryMb * maxOpenJobsPerMb;
@@ -115,32 +137,34 @@
     return Math.min(maxOverloadRetryS, Math.max(minOverloadRetryS, waitMs / 1000));
   }
 
-  private async record(job: JobSpec): Promise<SubmissionResult> {
+  private async commitJob(job: JobSpec): Promise<SubmissionResult> {
     const { mirror, initialRanges, jobIndex } = this.ports;
     if (jobIndex.dependencies.hasCancelledUpstream(job.dependencies ?? []))
-      return this.recordAsCancelled(job);
+      return this.commitAsCancelled(job);
     const key = jobKey(job.id);
     const value = jobRecord({ spec: job, taskRanges: initialRanges(job) });
     return this.commitAsNew(job.id, key, value, (version) => mirror.recordCommitted(key, { value, version }));
   }
 
-  /** A job with a cancelled dependency is accepted and has the outcome `cancelled` at once. */
-  private async recordAsCancelled(job: JobSpec): Promise<SubmissionResult> {
+  /**
+   * Accepts a job with a cancelled dependency by committing its outcome `cancelled` instead of its record.
+   */
+  private async commitAsCancelled(job: JobSpec): Promise<SubmissionResult> {
     const { mirror, wallClock } = this.ports;
     const key = outcomeKey(job.id);
     const value = outcomeRecord({ outcome: 'cancelled', tasks: job.tasks, endedAt: wallClock() });
     return this.commitAsNew(job.id, key, value, (version) => mirror.recordOutcome(key, { value, version }));
   }
 
-  /** Commits the first entry of a job, on condition that it has neither a record nor an outcome. */
+  /** Commits the first entry of a job on the condition that the job has neither a record nor an outcome. */
   private async commitAsNew(
     id: string,
     key: string,
     value: unknown,
     onCommitted: (version: number) => void,
   ): Promise<SubmissionResult> {
-    const absent = [jobKey(id), outcomeKey(id)].map((absentKey) => ({ key: absentKey, version: 0 }));
-    const outcome = await this.ports.writes.commit(absent, [{ put: key, value }]);
+    const conditions = [jobKey(id), outcomeKey(id)].map((absentKey) => ({ key: absentKey, version: 0 }));
+    const outcome = await this.ports.writes.commit(conditions, [{ put: key, value }]);
     if (outcome.kind === 'conflict') return { kind: 'accepted-before' };
     if (outcome.kind !== 'applied') return { kind: 'unavailable' };
     onCommitted(outcome.revision);
