--- a/src/base/aborts.ts
+++ b/src/base/aborts.ts
@@ -1,4 +1,4 @@
-/** Callbacks on abort signals, cheap enough for each pause and each request in flight. */
+/** Callbacks for abort signals, cheap enough to register one for every sleep and every request in flight. */
 import { setMaxListeners } from 'node:events';
 
 type Callback = () => void;
@@ -6,17 +6,17 @@
 const callbacksBySignal = new WeakMap<AbortSignal, Set<Callback>>();
 
 /**
- * Calls `callback` once when the signal fires, unless the returned function was called before. A signal that
- * has fired before calls nothing. All callbacks of a signal share one listener, because adding
- * a listener costs more than the rest of a pause.
+ * Calls `callback` once when the signal fires. The returned function removes the callback. If the signal has
+ * already fired, the callback is never called. All callbacks of a signal share one event listener, because
+ * adding a listener costs more than everything else that a sleep does.
  */
 export function onAbort(signal: AbortSignal, callback: Callback): () => void {
-  const callbacks = callbacksBySignal.get(signal) ?? listenTo(signal);
+  const callbacks = callbacksBySignal.get(signal) ?? addSharedListener(signal);
   callbacks.add(callback);
   return () => void callbacks.delete(callback);
 }
 
-function listenTo(signal: AbortSignal): Set<Callback> {
+function addSharedListener(signal: AbortSignal): Set<Callback> {
   const callbacks = new Set<Callback>();
   callbacksBySignal.set(signal, callbacks);
   setMaxListeners(0, signal);
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,15 +1,21 @@
-/** Monotonic time, pauses and deadlines. */
+/** Monotonic time, sleeps and timers. */
 import { performance } from 'node:perf_hooks';
 
 import { onAbort } from './aborts.js';
 
-/** Monotonic time in milliseconds. Injected wherever a decision depends on time, so that tests can set it. */
+/**
+ * Returns a monotonic time in milliseconds. Code whose decisions depend on time gets its clock injected, so
+ * that tests can set the time.
+ */
 export type Clock = () => number;
 
-/** The monotonic clock of this process; its zero is the start of the process. */
+/** The monotonic clock of this process. It counts from the start of the process. */
 export const steadyClock: Clock = () => performance.now();
 
-/** Resolves after `ms` milliseconds, or as soon as the signal fires; it never rejects, so callers check the signal. */
+/**
+ * Resolves after `ms` milliseconds, or as soon as the signal fires. Never rejects: a caller has to check the
+ * signal to distinguish the two cases.
+ */
 export function sleep(ms: number, signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
   return new Promise((resolve) => {
@@ -24,14 +30,17 @@
   });
 }
 
-/** A deadline to wait for together with other promises. */
+/** A cancellable time-out in the form of a promise, for example for use in `Promise.race`. */
 export interface Timer {
-  /** Resolves when the time is up; stays pending after `cancel`. */
+  /** Resolves when the timer expires. After `cancel` it stays pending for ever. */
   expired: Promise<void>;
   cancel: () => void;
 }
 
-/** Starts a timer of `ms` milliseconds. It keeps the process alive until it has expired or is cancelled. */
+/**
+ * Starts a timer that expires after `ms` milliseconds. The timer keeps the process alive until it has expired
+ * or is cancelled.
+ */
 export function timer(ms: number): Timer {
   let handle: NodeJS.Timeout | undefined;
   const expired = new Promise<void>((resolve) => {
--- a/src/base/connection-load.ts
+++ b/src/base/connection-load.ts
@@ -1,21 +1,31 @@
-/** How many of the connections that a controller may accept are open. */
+/** Tracks how close a controller's HTTP server is to its connection limit. */
 
-/** Above this part of the limit, connections of workers are closed after each response. */
-const crowdedRatio = 0.7;
+/**
+ * If more than this part of the limit is in use, the server closes a connection after each heartbeat
+ * response.
+ */
+const nearLimitRatio = 0.7;
 
-/** Counts the open connections of workers and health checks against the limit of the server. */
+/**
+ * Compares the number of open connections of workers and health checks with the connection limit of the
+ * server.
+ */
 export class ConnectionLoad {
-  /** Users' connections are not counted: they are in the part of the limit that is kept free. */
+  /**
+   * Open connections of workers and health checks. Connections of users are not counted: they use the part of
+   * the limit that is kept free.
+   */
   openConnections = 0;
 
-  /** @param maxConnections the server refuses connections beyond so many */
+  /** @param maxConnections the limit of the server, which refuses further connections */
   constructor(readonly maxConnections: number) {}
 
   /**
-   * True where workers have to give up their connections between two heartbeats. That costs a worker a new connection,
-   * while a worker whose connection is refused would be taken for failed.
+   * Whether the server has to close the connections of workers between two heartbeats. A worker then has to
+   * open a new connection for its next heartbeat. Without that, connections of other workers would be
+   * refused, and these workers would be marked as failed.
    */
   get isCrowded(): boolean {
-    return this.openConnections > this.maxConnections * crowdedRatio;
+    return this.openConnections > this.maxConnections * nearLimitRatio;
   }
 }
--- a/src/base/defects.ts
+++ b/src/base/defects.ts
@@ -1,10 +1,14 @@
-/** Failures that nothing in the program accounts for. */
+/** Logging of failures that the program does not expect. */
 import type { Log } from './log.js';
 
 /**
- * Logs the failure of work that nobody waits for. Such work handles the failures that it expects, so one that comes out
- * of it is a defect. The caller throws it on, and it ends the process like any other unhandled failure.
+ * Logs the failure of background work, that is of a promise that no caller awaits. Background work handles
+ * the failures that it expects, so any other failure is a defect of the program. The caller throws the error
+ * again after logging it, and the error ends the process like any other unhandled error.
  */
 export function logDefect(log: Log, work: string, error: unknown): void {
-  log.error({ event: 'unexpected-failure', work, err: error }, 'work in the background has failed');
+  log.error(
+    { event: 'unexpected-failure', work, err: error },
+    'background work failed unexpectedly; the process exits',
+  );
 }
--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -15,9 +15,12 @@
 interface Client {
   socket: Socket;
   send: (bytes: Buffer | string) => void;
-  /** Everything received so far, once it is that many answers or the connection has ended; fails if that takes far too long. */
+  /**
+   * Resolves with everything received so far, once that is at least `answers` responses or the connection is
+   * closed. Rejects if neither happens in time.
+   */
   receive: (answers: number) => Promise<string>;
-  /** Everything received until the connection ended; fails if that takes far too long. */
+  /** Resolves with everything received once the connection is closed. Rejects if it is not closed in time. */
   receiveUntilClosed: () => Promise<string>;
 }
 
@@ -34,26 +37,27 @@
   socket.on('error', () => undefined);
   socket.on('close', () => (ended = true));
   await new Promise((resolve) => socket.once('connect', resolve));
-  const receiveOnce = async (condition: () => boolean): Promise<string> => {
+  const receiveWhen = async (condition: () => boolean): Promise<string> => {
     await tick(condition);
     return text;
   };
   return {
     socket,
     send: (bytes) => void socket.write(bytes),
-    receive: (answers) => receiveOnce(() => ended || text.split('HTTP/1.1 ').length > answers),
-    receiveUntilClosed: () => receiveOnce(() => ended),
+    receive: (answers) => receiveWhen(() => ended || text.split('HTTP/1.1 ').length > answers),
+    receiveUntilClosed: () => receiveWhen(() => ended),
   };
 }
 
 const statusesIn = (text: string): string[] =>
   [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map((match) => match[1] ?? '');
 
-// Guards against a fast path that answers anything else than the ordinary server would.
-test('heartbeats are answered whole or in pieces, and other requests on the same connection get their answers too', async () => {
+// Guards against a fast path whose responses differ from those of Node's server: for requests that arrive in
+// one or several chunks, cannot be decoded, are too large, are pipelined, or belong to other routes.
+test('heartbeats get a response whether they arrive in one chunk or in several, as do other requests on the connection', async () => {
   const stop = new AbortController();
   const bodies: unknown[] = [];
-  let holdsAnswers = false;
+  let shouldHoldAnswers = false;
   const heldAnswers: (() => void)[] = [];
   const heartbeat: FastPathRoute = {
     method: 'POST',
@@ -61,9 +65,9 @@
     queued: true,
     handle: (body, answer) => {
       bodies.push(body);
-      if (body === 'fail') throw new Error('as the test likes');
+      if (body === 'fail') throw new Error('handler failure made by the test');
       const deliver = (): void => answer({ status: 200, body: { helm: 7 } });
-      if (holdsAnswers) heldAnswers.push(deliver);
+      if (shouldHoldAnswers) heldAnswers.push(deliver);
       else setTimeout(deliver, 20);
     },
   };
@@ -100,7 +104,7 @@
   worker.send(request('/hello', encode('fail')));
   await worker.receive(5);
   worker.send(heartbeatRequest.subarray(0, 30));
-  // The first piece has arrived alone: from here on the ordinary server has the connection.
+  // The first chunk has arrived on its own. From here on Node's server serves the connection.
   await tick(() => load.openConnections === 0);
   worker.send(heartbeatRequest.subarray(30));
   await worker.receive(6);
@@ -128,12 +132,12 @@
   assert.deepEqual(statusesIn(await large.receive(1)), ['413']);
 
   const pipelining = await client();
-  holdsAnswers = true;
+  shouldHoldAnswers = true;
   pipelining.send(heartbeatRequest);
   await tick(() => heldAnswers.length === 1);
   pipelining.send(heartbeatRequest);
   assert.equal(await pipelining.receiveUntilClosed(), '');
-  // What would have been the answer comes too late for the connection, and the second request was not carried out.
+  // The handler answers after the connection was closed. The second request never reached the handler.
   for (const deliver of heldAnswers) deliver();
   assert.equal(heldAnswers.length, 1);
 
@@ -142,12 +146,19 @@
   for (const { socket } of [worker, closing, large, pipelining]) socket.destroy();
 });
 
-// Guards against workers taken for failed where one controller serves more of them than it may have connections.
-test('where connections are scarce, heartbeats give theirs up, and health checks keep them', async () => {
+// Guards against workers marked as failed because one controller serves more workers than it may have
+// connections: the server refuses the connections beyond its limit, and the heartbeats of these workers are
+// lost.
+test('near the connection limit, the server closes connections after heartbeats but not after health checks', async () => {
   const stop = new AbortController();
-  const answerAtOnce = (_body: unknown, answer: (reply: Reply) => void): void => answer({ status: 200 });
-  const heartbeat: FastPathRoute = { method: 'POST', path: '/hello', queued: true, handle: answerAtOnce };
-  const health: FastPathRoute = { method: 'POST', path: '/up', handle: answerAtOnce };
+  const answerImmediately = (_body: unknown, answer: (reply: Reply) => void): void => answer({ status: 200 });
+  const heartbeat: FastPathRoute = {
+    method: 'POST',
+    path: '/hello',
+    queued: true,
+    handle: answerImmediately,
+  };
+  const health: FastPathRoute = { method: 'POST', path: '/up', handle: answerImmediately };
   const load = new ConnectionLoad(10);
   const listen = {
     host: '127.0.0.1',
@@ -156,7 +167,8 @@
     log: silentLog,
     load,
   };
-  const loadHandler = (): Promise<RequestHandler> => Promise.reject(new Error('not asked for'));
+  const loadHandler = (): Promise<RequestHandler> =>
+    Promise.reject(new Error('the handler of other requests must not be loaded'));
   const served = serveHttp(
     { ...listen, loadHandler, clock: steadyClock, idleTimeoutMs: 5000, turnBudgetMs: 50 },
     stop.signal,
@@ -170,7 +182,7 @@
   first.send(request('/hello', encode({})));
   assert.match(await first.receive(2), /connection: close/i);
   await tick(() => load.openConnections <= 7);
-  // With the first one gone, seven are no more than there may be.
+  // After the first connection is closed, seven of ten are open, which is not above the threshold.
   second.send(request('/hello', encode({})));
   assert.doesNotMatch(await second.receive(2), /connection: close/i);
   for (const { socket } of clients) socket.destroy();
--- a/src/base/direct-connections.ts
+++ b/src/base/direct-connections.ts
@@ -1,6 +1,7 @@
 /**
- * The fast path of the HTTP server: a request that arrives whole in one piece is answered directly from its socket. Node's
- * own server makes a parser, two streams and a dozen events of each, which is most of what a heartbeat costs.
+ * The fast path of the HTTP server: answers requests that arrive complete in one chunk directly on their
+ * socket. Node's server creates a parser, two streams and a dozen events for each request, which is most of
+ * the cost of a heartbeat.
  */
 import { STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
@@ -14,7 +15,7 @@
 
 const endOfHead = '\r\n\r\n';
 const contentLength = /\r\ncontent-length: *(\d+) *\r\n/i;
-/** Headers whose handling is left to Node's server. */
+/** Headers that the fast path does not support. Node's server handles requests that have one of them. */
 const unsupportedHeaders = /\r\n(transfer-encoding|expect|upgrade|connection: *close)/i;
 
 interface CompleteRequest {
@@ -22,7 +23,10 @@
   body: Buffer;
 }
 
-/** A request that is complete, with nothing after it; undefined for anything else. */
+/**
+ * Parses a chunk that holds exactly one complete request. Returns undefined for any other chunk, and for a
+ * request with unsupported headers or with a body over `maxBodyBytes`.
+ */
 function parseCompleteRequest(bytes: Buffer): CompleteRequest | undefined {
   const end = bytes.indexOf(endOfHead);
   if (end < 0) return undefined;
@@ -35,7 +39,9 @@
   return { requestLine: head.slice(0, head.indexOf('\r\n')), body: bytes.subarray(start) };
 }
 
-/** The response as text of one byte a character, which goes out in a single write. */
+/**
+ * Encodes the response as a string of one byte a character, so that head and body are sent in a single write.
+ */
 function responseText(reply: Reply): string {
   const body = encode(reply.body ?? {});
   let head = `HTTP/1.1 ${reply.status} ${STATUS_CODES[reply.status] ?? ''}\r\n`;
@@ -44,21 +50,21 @@
   return `${head}\r\n${body.toString('latin1')}`;
 }
 
-/** What the fast path serves, and its limits. */
+/** Routes, limits and dependencies of the fast path. */
 export interface DirectConnectionsOptions {
   routes: FastPathRoute[];
   log: Log;
   clock: Clock;
-  /** How long one turn of the event loop may serve queued requests. */
+  /** For how many milliseconds one iteration of the event loop may serve queued requests. */
   turnBudgetMs: number;
-  /** A connection on which nothing comes for so long is closed. */
+  /** A connection is closed when nothing was received or sent on it for this many milliseconds. */
   idleTimeoutMs: number;
   load: ConnectionLoad;
-  /** Has Node's server take over a connection. */
+  /** Passes a connection to Node's server. */
   delegate: (socket: Socket) => void;
 }
 
-/** The open connections on which only complete requests of the fast path's routes have come so far. */
+/** The open connections on which every request so far was served by the fast path. */
 export class DirectConnections {
   private readonly sockets = new Set<Socket>();
   private readonly routes: ReadonlyMap<string, FastPathRoute>;
@@ -69,13 +75,17 @@
     this.routes = new Map(options.routes.map((route) => [`${route.method} ${route.path} HTTP/1.1`, route]));
   }
 
-  /** Serves a new connection, and delegates it to Node's server with the first request that is not for the fast path. */
+  /**
+   * Serves a new connection. On the first request that the fast path cannot serve, it passes the connection,
+   * with this request, to Node's server for good.
+   */
   accept(socket: Socket): void {
     this.add(socket);
-    let isAnswering = false;
+    let isAwaitingReply = false;
     const onData = (bytes: Buffer): void => {
-      if (isAnswering) {
-        // Clients of these routes do not pipeline: one that sends before it has its response has broken the protocol.
+      if (isAwaitingReply) {
+        // Clients of the fast path must not pipeline. A client that sends before it has received its response
+        // violates the protocol.
         socket.destroy();
         return;
       }
@@ -86,10 +96,10 @@
         this.delegate(socket, bytes);
         return;
       }
-      isAnswering = true;
+      isAwaitingReply = true;
       this.serve(socket, route, request.body, (reply) => {
-        if (!isAnswering || socket.destroyed) return;
-        isAnswering = false;
+        if (!isAwaitingReply || socket.destroyed) return;
+        isAwaitingReply = false;
         this.respond(socket, route, reply);
       });
     };
@@ -106,24 +116,27 @@
     socket.setTimeout(this.options.idleTimeoutMs);
   }
 
-  /** Closes all connections at once; those that were delegated are not among them. */
+  /** Closes all connections immediately, except those that were passed to Node's server. */
   closeAll(): void {
     for (const socket of this.sockets) socket.destroy();
   }
 
   private serve(socket: Socket, route: FastPathRoute, body: Buffer, answer: (reply: Reply) => void): void {
     const run = (): void => handleFastPath(route, body, answer, this.options.log);
-    if (route.queued === true) this.queue.add({ isWanted: () => !socket.destroyed, run });
+    if (route.queued === true) this.queue.add({ isStillNeeded: () => !socket.destroyed, run });
     else run();
   }
 
   private respond(socket: Socket, route: FastPathRoute, reply: Reply): void {
-    const closes = reply.close === true || (route.queued === true && this.options.load.isCrowded);
-    socket.write(responseText(closes ? { ...reply, close: true } : reply), 'latin1');
-    if (closes) socket.end();
+    const shouldClose = reply.close === true || (route.queued === true && this.options.load.isCrowded);
+    socket.write(responseText(shouldClose ? { ...reply, close: true } : reply), 'latin1');
+    if (shouldClose) socket.end();
   }
 
-  /** Hands over a connection to which nothing listens any more, with the bytes that have been read from it. */
+  /**
+   * Passes a connection to Node's server, after its listeners are removed, with the bytes already read from
+   * it.
+   */
   private delegate(socket: Socket, bytes: Buffer): void {
     socket.setTimeout(0);
     this.remove(socket);
--- a/src/base/group-by.ts
+++ b/src/base/group-by.ts
@@ -1,6 +1,9 @@
 /** Grouping of collections. */
 
-/** Groups items by their key. Groups and the items in them keep the order in which they come. */
+/**
+ * Groups items by their key. The groups are in the order of their first items. The items of a group keep
+ * their order.
+ */
 export function groupBy<K, V>(items: Iterable<V>, keyOf: (item: V) => K): Map<K, V[]> {
   const groups = new Map<K, V[]>();
   for (const item of items) {
--- a/src/base/http-server.ts
+++ b/src/base/http-server.ts
@@ -1,4 +1,6 @@
-/** The HTTP server of a controller. Heartbeats and health checks take a fast path past the framework. */
+/**
+ * The HTTP server of a controller. A fast path serves heartbeats and health checks without the Koa framework.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 
@@ -16,31 +18,35 @@
   unavailableReply,
 } from './replies.js';
 
-/** Answers a request of Node's server. It handles its own failures. */
+/** Handles a request that was received by Node's server. It handles all its failures itself. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** What the server serves, and its limits. */
+/** Routes, limits and dependencies of the server. */
 export interface HttpServerOptions {
   fastPathRoutes: FastPathRoute[];
-  /** Loads the handler of all other requests; called once, with the first of them. */
+  /**
+   * Loads the handler of all requests that are not for `fastPathRoutes`. Called once, when the first such
+   * request arrives.
+   */
   loadHandler: () => Promise<RequestHandler>;
   log: Log;
   host: string;
   port: number;
   clock: Clock;
   load: ConnectionLoad;
-  /** A connection without a request for so long is closed. */
+  /** A connection is closed when no request was received on it for this many milliseconds. */
   idleTimeoutMs: number;
-  /** How long one turn of the event loop may serve queued requests. */
+  /** For how many milliseconds one iteration of the event loop may serve queued requests. */
   turnBudgetMs: number;
 }
 
-/** Serves until the signal fires; open connections are then closed. Rejects where the server cannot listen. */
+/** Serves until the signal fires, then closes all open connections. Rejects if the server cannot listen. */
 export async function serveHttp(options: HttpServerOptions, signal: AbortSignal): Promise<void> {
   const server = createServer(createRequestHandler(options));
-  const direct = acceptDirectly(server, options);
+  const direct = installFastPath(server, options);
   server.maxConnections = options.load.maxConnections;
-  // Users poll every few seconds: closing a connection between two polls would cost them a failed request.
+  // Users poll every few seconds. If the server closed a connection between two polls, the next poll could
+  // fail.
   server.keepAliveTimeout = options.idleTimeoutMs;
   server.headersTimeout = options.idleTimeoutMs;
   await new Promise<void>((resolve, reject) => {
@@ -55,8 +61,8 @@
   });
 }
 
-/** Passes new connections to the fast path first; Node's server takes them over where that declines them. */
-function acceptDirectly(server: Server, options: HttpServerOptions): DirectConnections {
+/** Passes new connections to the fast path, which passes those that it cannot serve on to Node's server. */
+function installFastPath(server: Server, options: HttpServerOptions): DirectConnections {
   const [accept] = server.listeners('connection') as ((socket: Socket) => void)[];
   const delegate = (socket: Socket): void => accept?.call(server, socket);
   const direct = new DirectConnections({ ...options, routes: options.fastPathRoutes, delegate });
@@ -65,7 +71,10 @@
   return direct;
 }
 
-/** Serves the requests that have come to Node's server: also those of the fast path that did not arrive in one piece. */
+/**
+ * Creates the handler of Node's server. It also serves the routes of the fast path, for requests that did not
+ * arrive in one chunk.
+ */
 function createRequestHandler(options: HttpServerOptions): RequestHandler {
   const routes = new Map(options.fastPathRoutes.map((route) => [`${route.method} ${route.path}`, route]));
   const serveOther = createLazyHandler(options);
@@ -83,7 +92,10 @@
     handler
       .then((handle) => handle(request, response))
       .catch((error: unknown) => {
-        log.error({ event: 'request-failed', path: request.url, err: error }, 'request failed');
+        log.error(
+          { event: 'request-failed', path: request.url, err: error },
+          'request failed; responding with status 503',
+        );
         send(response, unavailableReply);
       });
   };
@@ -110,6 +122,6 @@
     answer(tooLargeReply);
   });
   request.on('end', () => handleFastPath(route, bytes, answer, log));
-  // A heartbeat is lost with its connection: the worker sends another.
+  // If the connection fails, its heartbeat is lost. The worker sends another one.
   request.on('error', () => undefined);
 }
--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -6,15 +6,19 @@
 import { ExchangeError, type ExchangeFailure, HttpPeer } from './http.js';
 import { nextTurn } from './turns.js';
 
-/** Slots of the memory that the server's thread and this one share; each is 0 until what it is named for has happened. */
+/**
+ * Indexes into `slots`, the memory shared with the server's thread. Each slot is 0 until the event it is
+ * named for.
+ */
 const received = 0;
 const mayAnswer = 1;
 const answered = 2;
 const slots = new Int32Array(new SharedArrayBuffer(3 * Int32Array.BYTES_PER_ELEMENT));
 
 /**
- * Never answers at /silent, and at /held only once it may; answers with half an array at /malformed, and ends the connection
- * within the body at /lost. In a thread of its own, so that it answers while this one is busy.
+ * Source of a server with these paths: /silent never responds, /held responds once `mayAnswer` is set,
+ * /malformed responds with an incomplete MessagePack array, and /lost closes the connection in the middle of
+ * the body. The server runs in a thread of its own, so that it can respond while this thread is blocked.
  */
 const serverSource = `
   const { parentPort, workerData: slots } = require('node:worker_threads');
@@ -41,14 +45,16 @@
 const timeoutMs = 150;
 const maxWaitMs = 30_000;
 
-/** Stands still, as a busy process does, until the server has answered the request that it holds. */
-function standStillUntilAnswered(): void {
+/**
+ * Blocks this thread, like a busy process, until the server has sent its response to the request to /held.
+ */
+function blockUntilAnswered(): void {
   Atomics.store(slots, mayAnswer, 1);
   Atomics.notify(slots, mayAnswer);
   assert.notEqual(Atomics.wait(slots, answered, 0, maxWaitMs), 'timed-out');
 }
 
-describe('an exchange over HTTP', () => {
+describe('an HTTP exchange', () => {
   const server = new Worker(serverSource, { eval: true, workerData: slots });
   let peer: HttpPeer;
   before(async () => {
@@ -61,14 +67,16 @@
     await server.terminate();
   });
 
-  // Guards against answers that are thrown away unread: a controller short of processor time lost the state service over it.
-  test('at its deadline reads an answer that came while this process was busy', async () => {
+  // Guards against responses that are discarded unread: when the event loop was blocked past the deadline,
+  // the timer ran before the socket was read. A controller short of processor time lost its contact to the
+  // state service.
+  test('reads a response that arrived before the deadline while the event loop was blocked', async () => {
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
       const exchange = peer.exchange('GET', '/held', undefined, { timeoutMs });
       while (Atomics.load(slots, received) === 0) await nextTurn();
-      standStillUntilAnswered();
-      // The deadline has passed in this same turn of the event loop: nothing has been read since the answer came.
+      blockUntilAnswered();
+      // The deadline passes in the same event-loop iteration: nothing was read since the response arrived.
       mock.timers.tick(timeoutMs);
       assert.equal((await exchange).status, 200);
     } finally {
@@ -76,9 +84,12 @@
     }
   });
 
-  test('ends at its deadline where it gets no answer', async () => {
+  test('times out at its deadline if no response arrives', async () => {
     const startedAt = performance.now();
-    await assert.rejects(peer.exchange('GET', '/silent', undefined, { timeoutMs }), /no answer in time/);
+    await assert.rejects(
+      peer.exchange('GET', '/silent', undefined, { timeoutMs }),
+      /no response within the time-out/,
+    );
     assert.ok(performance.now() - startedAt >= timeoutMs * 0.9);
   });
 
@@ -93,10 +104,10 @@
       assert.ok(error instanceof ExchangeError);
       return error.failure;
     }
-    throw new Error('the exchange has not failed');
+    throw new Error('the exchange must fail');
   };
 
-  test('a failed exchange tells why it failed', async () => {
+  test('a failed exchange rejects with the kind of its failure', async () => {
     assert.equal(await failureOf('/silent', maxWaitMs, AbortSignal.abort()), 'cancelled');
     const stop = new AbortController();
     const cancelled = failureOf('/silent', maxWaitMs, stop.signal);
--- a/src/base/http.ts
+++ b/src/base/http.ts
@@ -1,4 +1,4 @@
-/** The HTTP client: MessagePack requests to one address over kept-alive connections. */
+/** The HTTP client: sends MessagePack requests to one address over kept-alive connections. */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 
 import { decode, encode } from '../wire/codec.js';
@@ -6,32 +6,35 @@
 import { parseSocketAddress } from './socket-address.js';
 import { nextTurn } from './turns.js';
 
-/** A response, whatever its status. */
+/** An HTTP response with any status. */
 export interface Answer {
   status: number;
-  /** The decoded body, undefined where it is empty. */
+  /** The decoded body, or undefined if it is empty. */
   body: unknown;
 }
 
-/** The limits of one exchange. */
+/** Time-out and cancellation of one exchange. */
 export interface ExchangeOptions {
-  /** Covers the whole exchange, from connecting to the end of the response. */
+  /** Time-out in milliseconds for the whole exchange, from connecting to the end of the response. */
   timeoutMs: number;
-  /** Cancels the exchange. */
+  /** Cancels the exchange when it fires. */
   signal?: AbortSignal | undefined;
 }
 
-/** Why an exchange ended without a response that can be used. */
+/** Why an exchange ended without a usable response. */
 export type ExchangeFailure = 'cancelled' | 'timed-out' | 'connection-lost' | 'malformed';
 
 const failureMessages: Record<ExchangeFailure, string> = {
-  cancelled: 'cancelled',
-  'timed-out': 'no answer in time',
-  'connection-lost': 'connection lost',
-  malformed: 'malformed answer',
+  cancelled: 'exchange cancelled',
+  'timed-out': 'no response within the time-out',
+  'connection-lost': 'connection closed before the end of the response',
+  malformed: 'response body is not valid MessagePack',
 };
 
-/** An exchange that ended without a usable response. Failures of the socket itself reject with the system's error instead. */
+/**
+ * An exchange ended without a usable response. If the socket itself fails, the exchange rejects with the
+ * error of the operating system instead.
+ */
 export class ExchangeError extends Error {
   constructor(
     readonly failure: ExchangeFailure,
@@ -42,16 +45,16 @@
   }
 }
 
-/** A peer at one address. */
+/** A client for the HTTP server at one address. */
 export class HttpPeer {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
 
   /**
-   * Opens no connection yet.
-   * @param address `host:port`
-   * @param sockets how many connections there may be at a time; exchanges beyond that wait
+   * Creates a client. The first exchange opens a connection.
+   * @param address `host:port` of the server
+   * @param sockets the maximum number of open connections; further exchanges wait for a free connection
    */
   constructor(address: string, sockets: number) {
     const { host, port } = parseSocketAddress(address);
@@ -63,32 +66,33 @@
   /**
    * Sends one request and resolves with its response, whatever the status.
    *
-   * Rejects with an `ExchangeError` or an error of the socket; whether the request was carried out is then unknown, except
-   * that nothing was sent where the signal had fired before.
+   * Rejects with an `ExchangeError` or an error of the socket. It is then unknown whether the server
+   * processed the request. Only if the signal had fired before the call, nothing was sent.
    */
   exchange(method: string, path: string, body: unknown, options: ExchangeOptions): Promise<Answer> {
     if (options.signal?.aborted) return Promise.reject(new ExchangeError('cancelled'));
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : encode(body);
-      const call = this.createRequest(method, path, payload);
-      const stopLimits = applyLimits(call, options);
+      const clientRequest = this.createRequest(method, path, payload);
+      const removeLimits = applyLimits(clientRequest, options);
       const succeed = (answer: Answer): void => {
-        stopLimits();
+        removeLimits();
         resolve(answer);
       };
       const fail = (error: Error): void => {
-        stopLimits();
+        removeLimits();
         reject(error);
       };
-      call.on('error', fail);
-      call.on('response', (response) => readAnswer(response, succeed, fail));
-      // As text of one byte a character, head and body go out in one write instead of a list of two.
-      if (payload === undefined) call.end();
-      else call.end(payload.toString('latin1'), 'latin1');
+      clientRequest.on('error', fail);
+      clientRequest.on('response', (response) => readResponse(response, succeed, fail));
+      // A string body of one byte a character is sent in one write with the head. With a Buffer, head and
+      // body would be a list of two chunks.
+      if (payload === undefined) clientRequest.end();
+      else clientRequest.end(payload.toString('latin1'), 'latin1');
     });
   }
 
-  /** Closes all connections; exchanges in flight fail. */
+  /** Closes all connections. Exchanges in flight reject. */
   close(): void {
     this.agent.destroy();
   }
@@ -102,17 +106,21 @@
   }
 }
 
-/** Destroys the request at its deadline or when the signal fires, until the returned function is called. */
-function applyLimits(call: ClientRequest, { timeoutMs, signal }: ExchangeOptions): () => void {
+/**
+ * Destroys the request at its deadline or when the signal fires. The returned function removes both limits.
+ */
+function applyLimits(clientRequest: ClientRequest, { timeoutMs, signal }: ExchangeOptions): () => void {
   let isSettled = false;
-  // After a long turn timers come before sockets: what has arrived by the deadline is read before the request is given up.
+  // After a long event-loop iteration, timers run before sockets are read. The request is therefore destroyed
+  // only after another poll of the sockets, which reads a response that arrived before the deadline.
   const expire = async (): Promise<void> => {
     await nextTurn();
-    if (!isSettled) call.destroy(new ExchangeError('timed-out'));
+    if (!isSettled) clientRequest.destroy(new ExchangeError('timed-out'));
   };
-  // The deadline covers the whole exchange, since a network partition drops packets without an error.
+  // The deadline covers the whole exchange, because a network partition drops packets without an error.
   const deadline = setTimeout(() => void expire(), timeoutMs);
-  const stopListening = signal && onAbort(signal, () => void call.destroy(new ExchangeError('cancelled')));
+  const stopListening =
+    signal && onAbort(signal, () => void clientRequest.destroy(new ExchangeError('cancelled')));
   return () => {
     isSettled = true;
     clearTimeout(deadline);
@@ -120,8 +128,11 @@
   };
 }
 
-/** Reads the whole response, then calls back once or more; only the first call counts. */
-function readAnswer(
+/**
+ * Reads the whole response, then calls `succeed` or `fail`. May call more than once: only the first call
+ * counts.
+ */
+function readResponse(
   response: IncomingMessage,
   succeed: (answer: Answer) => void,
   fail: (error: Error) => void,
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,25 +1,25 @@
-/** The log of a controller: one JSON object a line on standard error. */
+/** The log of a controller, written to standard error as one JSON object a line. */
 import pino from 'pino';
 
-/** A logger whose lines carry the label of the controller as `node`. */
+/** A logger that adds the label of the controller to each line as the field `node`. */
 export type Log = pino.Logger;
 
 const levels = ['error', 'info', 'debug'] as const;
 
 const standardError = (): pino.DestinationStream => pino.destination({ fd: 2, sync: true });
 
-/** Creates the log of a controller. `level` is `error`, `info` or `debug`; anything else counts as `info`. */
+/** Creates the log of a controller. `level` is `error`, `info` or `debug`. Any other value means `info`. */
 export function createLog(
   label: string,
   level: string | undefined,
   destination: pino.DestinationStream = standardError(),
 ): Log {
-  const chosen = levels.find((name) => name === level) ?? 'info';
+  const validLevel = levels.find((name) => name === level) ?? 'info';
   return pino(
-    { level: chosen, base: { node: label }, timestamp: pino.stdTimeFunctions.isoTime },
+    { level: validLevel, base: { node: label }, timestamp: pino.stdTimeFunctions.isoTime },
     destination,
   );
 }
 
-/** Drops all lines; for tests. */
+/** A log for tests that discards all lines. */
 export const silentLog: Log = pino({ level: 'silent' });
--- a/src/base/pacer.ts
+++ b/src/base/pacer.ts
@@ -1,7 +1,10 @@
 /** Rate limiting by a token bucket. */
 import type { Clock } from './clock.js';
 
-/** A token bucket that fills with `unitsPerSecond` up to `maxBurstUnits`. It starts full and may go into debt. */
+/**
+ * A token bucket that refills at `unitsPerSecond` up to `maxBurstUnits`. It starts full. A reservation of
+ * more units than it holds takes it below zero, into debt.
+ */
 export class Pacer {
   private availableUnits: number;
   private refilledAt: number;
@@ -15,7 +18,7 @@
     this.refilledAt = clock();
   }
 
-  /** Applies a new rate from now on; units beyond the new burst are dropped, a debt stays. */
+  /** Changes the rate from now on. Available units above the new burst are discarded. A debt stays. */
   setRate(unitsPerSecond: number, maxBurstUnits: number): void {
     this.refill();
     this.unitsPerSecond = unitsPerSecond;
@@ -23,14 +26,17 @@
     this.availableUnits = Math.min(this.availableUnits, maxBurstUnits);
   }
 
-  /** Takes the units at once, in debt if need be, and returns for how many milliseconds to wait before using them. */
+  /**
+   * Takes the units immediately, if necessary by going into debt. Returns for how many milliseconds the
+   * caller has to wait before it uses them.
+   */
   reserve(units: number): number {
     this.refill();
     this.availableUnits -= units;
     return this.availableUnits >= 0 ? 0 : (-this.availableUnits / this.unitsPerSecond) * 1000;
   }
 
-  /** In how many milliseconds the debt is paid and `units` are available; takes nothing. */
+  /** Returns in how many milliseconds any debt is repaid and `units` are available. Takes no units. */
   msUntilAvailable(units = 0): number {
     this.refill();
     const missingUnits = units - this.availableUnits;
--- a/src/base/process-pause.ts
+++ b/src/base/process-pause.ts
@@ -1,17 +1,21 @@
-/** Detection of pauses of this process. */
+/** Detection of pauses of this process, during which it reads no messages. */
 import type { Clock } from './clock.js';
 
-/** A check that comes later than so many of its intervals was delayed, by a pause of the process or for want of processor time. */
+/**
+ * A check counts as delayed if more than this multiple of its interval has passed since the previous check.
+ * The cause is a pause of the process or a lack of processor time.
+ */
 const delayedRatio = 2;
 
 /**
- * Measures by how much a check that runs at a fixed interval was delayed. The clock went on during the delay while no
- * message was read, so whoever judges others by the time since their last message has to leave that time out.
+ * Measures the delay of a check that runs at a fixed interval. During such a delay the clock advances, but
+ * the process reads no messages. A failure detector that measures the time since the last message of a
+ * machine therefore has to subtract the delay.
  */
 export class ProcessPause {
   private measuredAt: number;
 
-  /** `intervalMs` is the usual time between two calls of `measureDelayMs`. */
+  /** `intervalMs`: the usual time between two calls of `measureDelayMs`, in milliseconds. */
   constructor(
     private readonly clock: Clock,
     private readonly intervalMs: number,
@@ -19,7 +23,10 @@
     this.measuredAt = clock();
   }
 
-  /** The delay since the last call, in milliseconds beyond the interval; 0 for delays that are usual. */
+  /**
+   * Returns by how many milliseconds the time since the last call exceeds the interval, or 0 if the delay is
+   * within the usual range.
+   */
   measureDelayMs(): number {
     const now = this.clock();
     const passedMs = now - this.measuredAt;
--- a/src/base/ranges.ts
+++ b/src/base/ranges.ts
@@ -1,6 +1,6 @@
-/** Sets of integers as flat lists of ranges with inclusive bounds: first, last, first, last… */
+/** Sets of integers as flat lists of ranges with inclusive bounds: first, last, first, last, … */
 
-/** Converts integers in ascending order, without duplicates, to ranges. */
+/** Converts integers to ranges. `sorted` has to be in ascending order without duplicates. */
 export function toRanges(sorted: Iterable<number>): number[] {
   const ranges: number[] = [];
   for (const value of sorted) {
@@ -11,14 +11,14 @@
   return ranges;
 }
 
-/** The integers in the ranges, one after the other. A bound without its partner at the end is ignored. */
+/** Yields the integers in the ranges one by one. A last lower bound without an upper bound is ignored. */
 export function* fromRanges(ranges: number[]): Iterable<number> {
   for (let i = 0; i + 1 < ranges.length; i += 2) {
     for (let value = ranges[i] ?? 0; value <= (ranges[i + 1] ?? -1); value++) yield value;
   }
 }
 
-/** How many integers are in the ranges. */
+/** Counts the integers in the ranges. */
 export function rangesSize(ranges: number[]): number {
   let size = 0;
   for (let i = 0; i + 1 < ranges.length; i += 2) size += (ranges[i + 1] ?? 0) - (ranges[i] ?? 0) + 1;
--- a/src/base/recent-names.test.ts
+++ b/src/base/recent-names.test.ts
@@ -3,8 +3,9 @@
 
 import { RecentNames } from './recent-names.js';
 
-// Guards against machines that are forgotten to be gone because many others are: the list names them a little longer.
-test('names are remembered for their time, however many there are, and not for longer', () => {
+// Guards against a set of terminated machines that drops entries early because it holds many: the cloud's
+// list of machines still names a terminated machine for a while.
+test('names are kept for the retention time, however many there are, and dropped afterwards', () => {
   let now = 0;
   const names = new RecentNames(() => now, 1000);
   for (let i = 0; i < 10_000; i++) names.add(`vm-${i}`);
--- a/src/base/recent-names.ts
+++ b/src/base/recent-names.ts
@@ -1,9 +1,12 @@
-/** Names that are remembered for a limited time. */
+/** A set of names with a retention time. */
 import type { Clock } from './clock.js';
 
-/** A set of names, each kept for at least `retentionMs` after it was first added; expired ones are dropped by later `add`s. */
+/**
+ * A set of names. Each name is kept for at least `retentionMs` milliseconds after it was first added. Later
+ * calls of `add` drop expired names.
+ */
 export class RecentNames {
-  /** When each name was first added, in that order. */
+  /** The time at which each name was first added. The map is in the order of these times. */
   private readonly addedAt = new Map<string, number>();
 
   constructor(
@@ -11,22 +14,25 @@
     private readonly retentionMs: number,
   ) {}
 
-  /** Adds a name and drops those that have expired. A name that is there keeps its time. */
+  /**
+   * Adds a name and drops expired names. Adding a name that the set already has does not prolong its
+   * retention.
+   */
   add(name: string): void {
     const now = this.clock();
     if (!this.addedAt.has(name)) this.addedAt.set(name, now);
-    for (const [oldest, addedAt] of this.addedAt) {
+    for (const [oldestName, addedAt] of this.addedAt) {
       if (now - addedAt <= this.retentionMs) return;
-      this.addedAt.delete(oldest);
+      this.addedAt.delete(oldestName);
     }
   }
 
-  /** Whether the name was added and has not been dropped. */
+  /** Whether the name was added and not dropped since. */
   has(name: string): boolean {
     return this.addedAt.has(name);
   }
 
-  /** The names that were first added at `time` or later, by the injected clock. */
+  /** Returns the names that were first added at `time` of the injected clock or later. */
   since(time: number): string[] {
     return [...this.addedAt].filter(([, addedAt]) => addedAt >= time).map(([name]) => name);
   }
--- a/src/base/replies.ts
+++ b/src/base/replies.ts
@@ -1,55 +1,61 @@
-/** Routes of the HTTP server, and the replies that they give. */
+/** Routes of the HTTP server and their replies. */
 import type { ServerResponse } from 'node:http';
 
 import { decode, encode } from '../wire/codec.js';
 import type { Log } from './log.js';
 
-/** What a route answers. */
+/** The response of a route. */
 export interface Reply {
   status: number;
-  /** Encoded as MessagePack; an empty map where it is left out. */
+  /** Sent as MessagePack. The default is an empty map. */
   body?: unknown;
-  /** Sent as `Retry-After`, in whole seconds rounded up. */
+  /** Sent as `Retry-After`, rounded up to whole seconds. */
   retryAfterS?: number;
-  /** Closes the connection after this reply: the client is better off with another controller. */
+  /**
+   * Closes the connection after this reply, for example because another controller can serve the client
+   * better.
+   */
   close?: boolean;
 }
 
-/** A route of users, served by Koa. */
+/** A route for users, served by Koa. */
 export interface Route {
   method: 'GET' | 'POST';
   path: RegExp;
-  /** `body` is undefined where the request has none; `params` are the groups of `path`. */
+  /** `body` is undefined if the request has none. `params` are the capture groups of `path`. */
   handle: (body: unknown, params: string[]) => Reply | Promise<Reply>;
 }
 
 /**
- * A route that is served without Koa, for the most frequent requests: heartbeats and health checks. It answers through a
- * callback instead of a promise, so that a request is usually finished within the turn that brought it.
+ * A route for the most frequent requests, heartbeats and health checks, served without Koa. Its handler
+ * replies through a callback instead of a promise, so that a request is usually finished in the event-loop
+ * iteration that received it.
  */
 export interface FastPathRoute {
   method: 'GET' | 'POST';
-  /** Compared with the whole path of the request. */
+  /** Has to equal the whole path of the request. */
   path: string;
-  /** Its requests are many, and may wait for a later turn of the event loop under overload. */
+  /**
+   * Whether requests of this route, being numerous, may wait for a later event-loop iteration under overload.
+   */
   queued?: boolean;
-  /** Calls `answer` once, now or later. */
+  /** Handles a request. Calls `answer` once, during the call or later. */
   handle: (body: unknown, answer: (reply: Reply) => void) => void;
 }
 
-/** Largest body of a request, in bytes. */
+/** The largest accepted request body, in bytes. */
 export const maxBodyBytes = 64 * 1024;
 
-/** To a request whose body is larger than `maxBodyBytes`. */
+/** Reply to a request whose body is larger than `maxBodyBytes`. */
 export const tooLargeReply: Reply = { status: 413, body: { error: 'body over 64 KiB' }, close: true };
 
-/** To a request whose body cannot be decoded. */
+/** Reply to a request whose body is not valid MessagePack. */
 export const malformedReply: Reply = { status: 400, body: { error: 'not MessagePack' } };
 
-/** To a request whose route has failed. */
+/** Reply to a request whose route failed. */
 export const unavailableReply: Reply = { status: 503, body: { error: 'trouble' }, retryAfterS: 1 };
 
-/** The headers of a reply, names and values in turn. */
+/** Returns the headers of a reply as a flat list of alternating names and values. */
 export function replyHeaders(reply: Reply, bodyBytes: number): string[] {
   const headers = ['Content-Type', 'application/msgpack', 'Content-Length', String(bodyBytes)];
   if (reply.retryAfterS !== undefined) headers.push('Retry-After', String(Math.ceil(reply.retryAfterS)));
@@ -58,18 +64,21 @@
 }
 
 /**
- * Sends the reply as the whole response. As text of one byte a character, head and body go out in one write, which takes
- * a fraction of the time that the framework takes.
+ * Sends the reply as the complete response. The body is a string of one byte a character, so that head and
+ * body are sent in one write. This takes a fraction of the time that Koa needs.
  */
 export function send(response: ServerResponse, reply: Reply): void {
   const body = encode(reply.body ?? {});
-  // A date would cost a timer a second, and no client reads it.
+  // The `Date` header would cost one timer a second, and no client reads it.
   response.sendDate = false;
   response.writeHead(reply.status, replyHeaders(reply, body.length));
   response.end(body.toString('latin1'), 'latin1');
 }
 
-/** Decodes a body: the result holds undefined for an empty one, and is undefined itself where it is not MessagePack. */
+/**
+ * Decodes a request body. For an empty body, `body` of the result is undefined. If the bytes are not valid
+ * MessagePack, the result itself is undefined.
+ */
 export function decodeBody(bytes: Buffer | undefined): { body: unknown } | undefined {
   try {
     return { body: bytes && bytes.length > 0 ? decode(bytes) : undefined };
@@ -78,7 +87,9 @@
   }
 }
 
-/** Hands a whole request to its route. A route that throws is logged, and answered with status 503. */
+/**
+ * Calls the route with a complete request. If the route throws, logs the error and replies with status 503.
+ */
 export function handleFastPath(
   route: FastPathRoute,
   bytes: Buffer | undefined,
@@ -93,7 +104,10 @@
   try {
     route.handle(decoded.body, answer);
   } catch (error) {
-    log.error({ event: 'request-failed', path: route.path, err: error }, 'request failed');
+    log.error(
+      { event: 'request-failed', path: route.path, err: error },
+      'request failed; responding with status 503',
+    );
     answer(unavailableReply);
   }
 }
--- a/src/base/routine.ts
+++ b/src/base/routine.ts
@@ -1,10 +1,11 @@
-/** Long-lived background duties of a controller. */
+/** Runs the long-lived background duties of a controller. */
 import { sleep } from './clock.js';
 import type { Log } from './log.js';
 
 /**
- * Runs a duty until the signal fires. A duty that throws is logged as `duty-failed`, and one that has ended is started
- * again after `pauseMs`: one bad response from outside must not end a controller. Never rejects.
+ * Runs a background duty until the signal fires. If the duty throws, logs `duty-failed`. Whether the duty
+ * threw or returned, starts it again after `pauseMs` milliseconds, because one bad response from another
+ * service must not end a controller. Never rejects.
  */
 export async function runRoutine(
   name: string,
@@ -14,7 +15,11 @@
   pauseMs = 500,
 ): Promise<void> {
   const logFailure = (error: unknown): void => {
-    if (!signal.aborted) log.error({ event: 'duty-failed', duty: name, err: error }, 'duty failed');
+    if (!signal.aborted)
+      log.error(
+        { event: 'duty-failed', duty: name, err: error },
+        'background duty failed; starting it again',
+      );
   };
   while (!signal.aborted) {
     try {
--- a/src/base/saturation.ts
+++ b/src/base/saturation.ts
@@ -1,15 +1,19 @@
-/** Whether this process gets the processor time that it needs. */
+/** Detection of a lack of processor time, by the utilization of the event loop. */
 import { type EventLoopUtilization, performance } from 'node:perf_hooks';
 
-/** Measures the part of the time since `last` in which the event loop did not wait for events. */
+/**
+ * Measures the share of the time since `last` in which the event loop was busy, that is not waiting for
+ * events.
+ */
 export type UtilizationProbe = (last?: EventLoopUtilization) => EventLoopUtilization;
 
-/** From this utilization on, events queue up: they wait for longer than they take to handle. */
+/** At this utilization or more, events queue up: an event waits for longer than its handling takes. */
 const saturatedUtilization = 0.9;
 
 /**
- * Tells whether the event loop is saturated. A process that is short of processor time reads messages late and sends its
- * responses late. Unlike a pause of the whole process that shows in no single delay, only in the event loop's utilization.
+ * Measures whether the event loop is saturated. A process that lacks processor time reads messages late and
+ * sends its responses late. Unlike a pause of the whole process, this causes no single long delay: it is
+ * visible only in the utilization of the event loop.
  */
 export class Saturation {
   private lastSample: EventLoopUtilization;
@@ -18,7 +22,7 @@
     this.lastSample = probe();
   }
 
-  /** Whether the event loop was saturated over the time since the last call, or since the construction. */
+  /** Whether the event loop was saturated since the last call, or since construction for the first call. */
   measureSaturated(): boolean {
     const { utilization } = this.probe(this.lastSample);
     this.lastSample = this.probe();
--- a/src/base/socket-address.ts
+++ b/src/base/socket-address.ts
@@ -1,12 +1,12 @@
-/** Addresses of sockets as the settings have them. */
+/** Socket addresses in the form of the settings. */
 
-/** A host and the number of a port on it. */
+/** A host and a port number. */
 export interface SocketAddress {
   host: string;
   port: number;
 }
 
-/** Splits `host:port`, a form that has been checked where the settings were read. */
+/** Splits `host:port`. The form is not checked here: the parser of the settings has checked it. */
 export function parseSocketAddress(address: string): SocketAddress {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/base/turn-queue.test.ts
+++ b/src/base/turn-queue.test.ts
@@ -3,9 +3,10 @@
 
 import { TurnQueue } from './turn-queue.js';
 
-// Guards against health checks that waited for more than a second behind heartbeats which the same turn had found: the load
-// balancer took all nodes for unhealthy, and for 90 s nothing was to be learnt of two hundred jobs.
-test('a turn runs work for its time budget, leaves the rest to later turns, and drops work that nobody waits for', () => {
+// Guards against health checks that waited for more than a second behind the heartbeats read in the same
+// event-loop iteration: the load balancer marked all controllers as unhealthy, and for 90 s users could not
+// read the status of two hundred jobs.
+test('an event-loop iteration runs work within its time budget, defers the rest, and drops work that is no longer needed', () => {
   let now = 0;
   const turns: (() => void)[] = [];
   const queue = new TurnQueue(
@@ -14,10 +15,10 @@
     (callback) => turns.push(callback),
   );
   const served: number[] = [];
-  const gone = new Set([6]);
+  const unneededIds = new Set([6]);
   const add = (id: number): void =>
     queue.add({
-      isWanted: () => !gone.has(id),
+      isStillNeeded: () => !unneededIds.has(id),
       run: () => {
         served.push(id);
         now += 20;
@@ -27,7 +28,7 @@
   assert.deepEqual(served, [0, 1, 2]);
   turns.shift()?.();
   assert.deepEqual(served, [0, 1, 2, 3, 4, 5]);
-  // What comes now waits behind what has waited.
+  // Work that is added now runs after the work that is already waiting.
   add(10);
   turns.shift()?.();
   assert.deepEqual(served.slice(6), [7, 8, 9]);
--- a/src/base/turn-queue.ts
+++ b/src/base/turn-queue.ts
@@ -1,31 +1,37 @@
-/** A queue with a time budget a turn, so that the event loop can serve other sockets in between. */
+/** A work queue with a time budget per event-loop iteration, so that other sockets are served in between. */
 import type { Clock } from './clock.js';
 
-/** A unit of work. */
+/** A unit of work, for example the handling of one request. */
 export interface QueuedWork {
-  /** Whether somebody still waits for the work; asked right before a work that has waited is run. */
-  isWanted: () => boolean;
+  /**
+   * Whether the result of the work is still needed. Called for work that had to wait, immediately before it
+   * would run.
+   */
+  isStillNeeded: () => boolean;
   run: () => void;
 }
 
 /**
- * Runs work in the order of its arrival, in each turn of the event loop for `turnBudgetMs` at most. Under overload a turn
- * finds hundreds of heartbeats. If it served all of them, a health check or a response of the key-value store that came
- * meanwhile would wait for seconds.
+ * Runs work in the order of its arrival, for at most `turnBudgetMs` milliseconds in each iteration of the
+ * event loop. Under overload one iteration finds hundreds of heartbeats. If it served all of them, a health
+ * check or a response of the key-value store that arrived meanwhile would wait for seconds.
  */
 export class TurnQueue {
   private readonly waiting = new Set<QueuedWork>();
   private isTurnScheduled = false;
   private budgetEndsAt = -Infinity;
 
-  /** `nextTurn` calls back after the event loop has polled its sockets. */
+  /** `nextTurn` calls its callback after the event loop has polled its sockets. */
   constructor(
     private readonly clock: Clock,
     private readonly turnBudgetMs: number,
     private readonly nextTurn: (callback: () => void) => void = setImmediate,
   ) {}
 
-  /** Runs the work at once where the turn has time left and nothing else waits, else in a later turn. */
+  /**
+   * Runs the work immediately if the budget of this event-loop iteration is not used up and no other work is
+   * waiting. Otherwise the work runs in a later iteration.
+   */
   add(work: QueuedWork): void {
     if (!this.isTurnScheduled) {
       this.isTurnScheduled = true;
@@ -40,7 +46,7 @@
     this.budgetEndsAt = this.clock() + this.turnBudgetMs;
     for (const work of this.waiting) {
       this.waiting.delete(work);
-      if (work.isWanted()) work.run();
+      if (work.isStillNeeded()) work.run();
       if (this.clock() >= this.budgetEndsAt) break;
     }
     this.isTurnScheduled = this.waiting.size > 0;
--- a/src/base/turns.ts
+++ b/src/base/turns.ts
@@ -1,6 +1,9 @@
-/** Turns of the event loop. */
+/** Waiting for the next iteration of the event loop. */
 
-/** Resolves in a later turn, after the event loop has polled its sockets: events that came meanwhile are handled first. */
+/**
+ * Resolves in a later iteration of the event loop, after it has polled its sockets. Events that arrived in
+ * the meantime are handled first.
+ */
 export function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/base/user-handler.ts
+++ b/src/base/user-handler.ts
@@ -1,4 +1,7 @@
-/** The routes of users, served by Koa. Loaded on demand: loading Koa takes most of the processor time of a start. */
+/**
+ * The handler of the users' routes, which uses Koa. The module is loaded on demand, because loading Koa takes
+ * most of the processor time of a start.
+ */
 import type { Readable } from 'node:stream';
 
 import Koa from 'koa';
@@ -17,10 +20,10 @@
   unavailableReply,
 } from './replies.js';
 
-/** A request's body is larger than `maxBodyBytes`. */
+/** A request body is larger than `maxBodyBytes`. */
 class BodyTooLargeError extends Error {
   constructor() {
-    super(`body over ${maxBodyBytes} bytes`);
+    super(`request body exceeds ${maxBodyBytes} bytes`);
     this.name = 'BodyTooLargeError';
   }
 }
@@ -28,7 +31,7 @@
 /** The client closed the connection before the request was complete. */
 class RequestAbortedError extends Error {
   constructor() {
-    super('connection lost');
+    super('connection closed before the request was complete');
     this.name = 'RequestAbortedError';
   }
 }
@@ -36,7 +39,12 @@
 const methodNotAllowedReply: Reply = { status: 405, body: { error: 'method not allowed' } };
 const notFoundReply: Reply = { status: 404, body: { error: 'no such path' } };
 
-/** Reads by events, which cost less than an async iterator. A body that is too large is left unread. */
+/**
+ * Reads the body of a request by events, which cost less than an async iterator. Stops reading at
+ * `maxBodyBytes`.
+ * @throws BodyTooLargeError if the body is larger than that, RequestAbortedError if the connection is closed
+ * early.
+ */
 function readBody(stream: Readable): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -58,7 +66,12 @@
   });
 }
 
-async function answer(routes: Route[], method: string, path: string, stream: Readable): Promise<Reply> {
+async function dispatchToRoute(
+  routes: Route[],
+  method: string,
+  path: string,
+  stream: Readable,
+): Promise<Reply> {
   const routesOfPath = routes.filter((route) => route.path.test(path));
   const route = routesOfPath.find((candidate) => candidate.method === method);
   if (!route) return routesOfPath.length > 0 ? methodNotAllowedReply : notFoundReply;
@@ -68,17 +81,18 @@
   return route.handle(decoded.body, route.path.exec(path)?.slice(1) ?? []);
 }
 
-/** The reply to a request that has failed. */
+/** Returns the reply to a failed request, and logs the error unless the body was too large. */
 function failureReply(error: unknown, path: string, log: Log): Reply {
-  // The rest of the body is not read, so the connection cannot be used again.
+  // The rest of the body was not read, so the connection cannot be reused: this reply closes it.
   if (error instanceof BodyTooLargeError) return tooLargeReply;
-  log.error({ event: 'request-failed', path, err: error }, 'request failed');
+  log.error({ event: 'request-failed', path, err: error }, 'request failed; responding with status 503');
   return unavailableReply;
 }
 
 /**
- * Serves the users' routes. Every request gets a reply with its proper status, and no failure of a route ends the process.
- * `fastPathRoutes` are served elsewhere: a request for one of their paths comes here only with another method.
+ * Creates the handler of the users' routes. Every request gets a reply with the appropriate status, and a
+ * failure of a route does not end the process. Requests for `fastPathRoutes` are served elsewhere: a request
+ * for one of their paths arrives here only if its method is a different one.
  */
 export function createUserHandler(
   routes: Route[],
@@ -92,7 +106,7 @@
     try {
       reply = fastPathRoutes.some((route) => route.path === ctx.path)
         ? methodNotAllowedReply
-        : await answer(routes, ctx.method, ctx.path, ctx.req);
+        : await dispatchToRoute(routes, ctx.method, ctx.path, ctx.req);
     } catch (error) {
       reply = failureReply(error, ctx.path, log);
     }
@@ -100,6 +114,6 @@
     send(ctx.res, reply);
   });
   const handle = app.callback();
-  // Koa's promise never rejects: it handles the failures of its middleware itself.
+  // The promise of Koa never rejects, because Koa handles errors of its middleware itself.
   return (request, response) => void handle(request, response);
 }
