--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line: reads the settings and runs one controller until it is told to stop. */
+/** The command line: reads the settings and runs one controller until it receives SIGINT or SIGTERM. */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { createLog } from './base/log.js';
@@ -27,7 +27,7 @@
   LOG_LEVEL        error, info (default) or debug; logs go to standard error
 `;
 
-/** Options that are unknown, lack a value, or lack `--config`. */
+/** The command line is wrong: an option is unknown or lacks its value, or `--config` is missing. */
 class UsageError extends Error {
   override readonly name = 'UsageError';
 }
@@ -45,7 +45,10 @@
   }
 }
 
-/** Names the file in whatever is wrong with its content. */
+/**
+ * Reads and parses a settings file.
+ * @throws SettingsError if the file cannot be read or its content is wrong. The message begins with the path.
+ */
 async function parseFile<T>(path: string, parse: (content: string) => T | Promise<T>): Promise<T> {
   try {
     return await parse(readSettingsFile(path));
@@ -56,7 +59,7 @@
   }
 }
 
-/** Exit status for a wrong command line or settings file; other failures give 1. */
+/** Exit status for a wrong command line or a wrong settings file. Any other failure exits with status 1. */
 const invalidUsageStatus = 2;
 
 interface CommandLine {
--- a/src/settings/errors.ts
+++ b/src/settings/errors.ts
@@ -1,16 +1,18 @@
-/** Errors of the platform's and the operators' settings files. */
+/** Errors in the settings files of the platform and of the operators. */
 
-/** A settings file that cannot be used. Its message names the first thing that is wrong and fits one line. */
+/** A settings file cannot be used. The message names the first error found and fits on one line. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
-/** A field of the platform's file, named by its path with dots, that is missing or holds what it must not. */
+/** A field of the platform's settings file is missing or has an invalid value. */
 export class SettingsFieldError extends SettingsError {
   constructor(
-    /** Path of the field in the file; the file as a whole where no field is to blame. */
+    /**
+     * Path of the field in the file, with dots, or `(whole file)` if the error belongs to no single field.
+     */
     readonly field: string,
-    /** What is wrong with it. */
+    /** What is wrong with the field. */
     readonly reason: string,
   ) {
     super(`field ${field}: ${reason}`);
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -1,4 +1,4 @@
-/** The operators' own settings, an optional XML file. */
+/** The operators' settings, read from an optional XML file. */
 import * as v from 'valibot';
 
 import { SettingsError } from './errors.js';
@@ -29,26 +29,34 @@
   ),
 });
 
-/** What operators may set beyond the platform's file. Every value is a ratio to a figure of that file, or a time in s. */
+/**
+ * Settings that operators may change in addition to the platform's settings file. Every value is a ratio to a
+ * value of the platform's file, or a time in seconds.
+ */
 export interface OperatorSettings {
   ladder: {
-    /** Where thresholds start, as a share of the capacity of the machines before. */
+    /**
+     * Initial value of each scaling threshold, as a share of the capacity of the machines before the machine
+     * that the threshold is for.
+     */
     start: number;
-    /** The same for spot machines. */
+    /** The same for pools of spot machines. */
     spotStart: number;
-    /** Share of tasks that may wait on arrival or be displaced. */
+    /** Target for the share of tasks that have to wait on arrival or are displaced. */
     targetFailureRatio: number;
-    /** A slot, as a share of a machine's dominant resource. */
+    /** Size of one slot, as a share of a machine's dominant resource. */
     slotShare: number;
-    /** Seconds between two moves of a threshold. */
+    /** Seconds between two adjustments of a pool's thresholds. */
     periodS: number;
-    /** Seconds for which a failure counts. */
+    /** Length in seconds of the window in which failures are counted. */
     windowS: number;
   };
   blocks: {
-    /** Seconds for which shares of the teams' quotas are leased to the blocks. */
+    /** Seconds for which the blocks' shares of the teams' quotas are leased. */
     quotaSharePeriodS: number;
-    /** How much more than fits now is dispatched to a block, as a share of its size. */
+    /**
+     * How much work beyond its free capacity is dispatched to a block, as a share of the size of the block.
+     */
     lookahead: number;
   };
   leadership: {
@@ -56,14 +64,20 @@
     leaseHeartbeats: number;
   };
   workers: {
-    /** Heartbeat intervals after which a silent machine is released. */
+    /** A machine that has sent no heartbeat for this many heartbeat intervals is released. */
     missedHeartbeats: number;
-    /** Multiple of its type's boot time after which a machine counts as never coming. */
+    /**
+     * A machine that has sent no heartbeat within this multiple of the boot time of its type is assumed never
+     * to start.
+     */
     bootTimes: number;
   };
 }
 
-/** Field by field: the file keeps the names of its elements and attributes, whatever our own are. */
+/**
+ * Converts the content of the file field by field, so that the names of elements and attributes in the file
+ * do not depend on the names in the code.
+ */
 function settingsOf(file: v.InferOutput<typeof schema>): OperatorSettings {
   const { ladder, blocks, leadership, workers } = file;
   return {
@@ -81,16 +95,16 @@
   };
 }
 
-/** What holds where there is no such file. */
+/** The settings that apply if there is no operators' file. */
 export const defaultOperatorSettings: OperatorSettings = settingsOf(v.parse(schema, {}));
 
 /**
- * Reads the operators' file, for example `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the platform's it is strict:
- * an element or attribute that is not known is an error.
- * @throws SettingsError that names the element, or the line of XML that is not well-formed.
+ * Parses the operators' file, for example `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the parser
+ * of the platform's file, it treats unknown elements and attributes as errors.
+ * @throws SettingsError that names the wrong element, or the line at which the XML is not well-formed.
  */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
-  // Loaded only when there is such a file: start-up is charged to the controller's share of a core.
+  // Loaded only if there is such a file, because start-up uses up the controller's share of a core.
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -1,4 +1,4 @@
-/** The form of the settings file that the platform hands over, under the names that it uses. */
+/** The schema of the settings file that the platform provides, with the field names of the platform. */
 import * as v from 'valibot';
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -25,7 +25,7 @@
 
 const stateLimits = v.object({ rps: positive, write_rps: positive, value_kb: positive, txn_ops: count });
 
-/** Fields that it does not name are ignored. */
+/** The schema of the platform's settings file. Unknown fields are ignored. */
 export const platformFileSchema = v.object({
   label: name,
   location: name,
@@ -46,8 +46,10 @@
   }),
 });
 
-/** The file once its fields have been checked one by one. */
+/** The content of the platform's settings file after each field was checked on its own. */
 export type PlatformFile = v.InferOutput<typeof platformFileSchema>;
 
-/** What holds in the deployment: the same for all controllers but for their own quota. */
+/**
+ * The settings of the deployment. They are the same for all controllers, except for the quota of each one.
+ */
 export type DeploymentSection = PlatformFile['settings'];
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -6,14 +6,14 @@
 import { defaultOperatorSettings, parseOperatorSettings } from './operator.js';
 import { parseSettings } from './settings.js';
 
-test('the platform file is read, unknown fields are ignored', () => {
+test('the platform settings file is parsed, and unknown fields are ignored', () => {
   const settings = parseSettings(settingsJson((file) => (file['novelty'] = { a: 1 })));
   assert.equal(settings.label, 'keel-0');
   assert.equal(settings.workerLeaseMs, 14_000);
   assert.equal(settings.teams.get('red')?.cpusMax, 32);
 });
 
-test('a wrong field is named', () => {
+test('a settings error names the wrong field', () => {
   const wrong: [(file: Record<string, unknown>) => void, RegExp][] = [
     [(file) => delete file['label'], /label/],
     [(file) => (file['serve_on'] = 'nowhere'), /serve_on: must be HOST:PORT/],
@@ -25,7 +25,8 @@
       (file) => ((file['settings'] as { workers: Record<string, unknown> }).workers['cancel_s'] = 10),
       /cancel_s/,
     ],
-    // What cannot work is said at start: an end takes two changes, a page of the ledger holds an entry.
+    // Limits with which a controller cannot work are rejected at start-up: committing an outcome takes two
+    // changes in one transaction, and a page of the ledger has to hold one entry.
     [
       (file) => ((file['settings'] as { state: Record<string, unknown> }).state['txn_ops'] = 1),
       /txn_ops: must be at least 2/,
@@ -34,22 +35,22 @@
       (file) => ((file['settings'] as { state: Record<string, unknown> }).state['value_kb'] = 0.5),
       /value_kb: must be at least 1/,
     ],
-    // Guards against a process that is ended for its memory as soon as it has started.
+    // Guards against a process that is killed for its memory use as soon as it has started.
     [
       (file) => ((file['settings'] as { quota: Record<string, unknown> }).quota['mem_mb'] = 64),
       /mem_mb: must be at least 96/,
     ],
   ];
-  for (const [spoil, message] of wrong) {
+  for (const [invalidate, message] of wrong) {
     assert.throws(
-      () => parseSettings(settingsJson(spoil)),
+      () => parseSettings(settingsJson(invalidate)),
       (e) => e instanceof SettingsError && message.test(e.message),
     );
   }
   assert.throws(() => parseSettings('{'), /not valid JSON/);
 });
 
-test("operators' XML overrides defaults and is strict", async () => {
+test("the operators' XML file overrides defaults, and unknown or invalid elements are rejected", async () => {
   const settings = await parseOperatorSettings('<shalekeel><ladder start="0.5"/></shalekeel>');
   assert.equal(settings.ladder.start, 0.5);
   assert.equal(settings.ladder.slotShare, defaultOperatorSettings.ladder.slotShare);
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,11 +1,14 @@
-/** The platform's settings, checked and under our own names. */
+/** The platform's settings, checked and converted to the names and units used in the code. */
 import * as v from 'valibot';
 
 import { minPageBytes } from '../wire/ledger-records.js';
 import { SettingsError, SettingsFieldError } from './errors.js';
 import { type DeploymentSection, type PlatformFile, platformFileSchema } from './platform-file.js';
 
-/** A team with its quota: what it is guaranteed, and the limit up to which it may borrow. A limit of 0 means none. */
+/**
+ * A team and its quota: the guaranteed amounts, and the maximum amounts up to which the team may borrow. A
+ * maximum of 0 means no limit.
+ */
 export interface Team {
   name: string;
   cpus: number;
@@ -14,69 +17,82 @@
   acceleratorsMax: number;
 }
 
-/** A service-level objective: of a class's jobs or tasks, `share` have to meet what `kind` says. */
+/**
+ * A service-level objective of a job class: the share `share` of the jobs or tasks of the class has to meet
+ * the condition given by `kind`.
+ */
 export interface Objective {
   kind: string;
   jobClass: string | undefined;
   share: number | undefined;
   withinS: number | undefined;
-  /** Multiple of a job's deadline, for objectives on deadlines. */
+  /** For objectives on deadlines: the multiple of a job's deadline that has to be met. */
   times: number | undefined;
 }
 
-/** Limits of the state service. */
+/** Limits of the state service, derived from the present and the upcoming limits in the settings file. */
 export interface StateLimits {
   rps: number;
   writeRps: number;
-  /** The smaller of the present and the coming limits: what is written keeps to it from the start. */
+  /**
+   * Largest size of a value in bytes: the smaller of the present and the upcoming limit. Controllers keep to
+   * the upcoming limit before it applies.
+   */
   valueBytes: number;
-  /** Changes in a transaction, likewise the smaller of both. */
+  /** Maximum number of changes in a transaction: the smaller of the present and the upcoming limit. */
   txnOps: number;
-  /** Present size of a value, by which earlier versions lay out what they write. */
+  /**
+   * The present limit of the size of a value. Earlier versions derive the layout of their records from it.
+   */
   presentValueBytes: number;
-  /** The part of the present rates that is left once the coming limits hold. */
+  /** The share of the present rates that remains once the upcoming limits apply, at most 1. */
   nextRateShare: number;
 }
 
-/** Settings of one controller. Durations are in milliseconds, addresses are HOST:PORT. */
+/** Settings of one controller. Durations are in milliseconds. Addresses have the form HOST:PORT. */
 export interface Settings {
   label: string;
   zone: string;
-  /** Where users, workers and health checks connect. */
+  /** Listen address for users, workers and health checks. */
   serveOn: string;
-  /** Where the other controllers connect. */
+  /** Listen address for the other controllers. */
   peerOn: string;
   peers: { label: string; zone: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
-  /** How many controllers the deployment has, this one included. */
+  /** Number of controllers in the deployment, including this one. */
   controllers: number;
   zones: string[];
   teams: Map<string, Team>;
   objectives: Objective[];
   heartbeatIntervalMs: number;
-  /** How long a worker keeps its tasks after sending the last heartbeat that was answered. */
+  /**
+   * How long a worker keeps its tasks running, from the time it sent the last heartbeat that got a response.
+   */
   workerLeaseMs: number;
-  /** How long the tasks of a cancelled job may go on after its user was told. */
+  /** How long tasks of a cancelled job may go on running after the cancellation was confirmed to the user. */
   cancelDeadlineMs: number;
   state: StateLimits;
   cloud: { rps: number; listLagMs: number };
-  /** What the platform grants this process. */
+  /** Resources that the platform grants to this process. */
   quota: { cores: number; memoryMb: number; sockets: number };
 }
 
-/** A controller without any work holds some 80 MB; below this it would end and start again for ever. */
+/**
+ * Minimum memory of a controller. A controller without any work uses some 80 MB. With less memory than this
+ * minimum it would exit and restart again and again.
+ */
 const minMemoryMb = 96;
 
-/** An outcome is two changes at once. */
+/** The commit of an outcome consists of two changes in one transaction. */
 const minTxnOps = 2;
 
-/** A page of the ledger holds an entry at least. */
+/** A value has to be large enough for a page of the ledger with at least one entry. */
 const minValueKb = Math.ceil(minPageBytes / 1024);
 
 /**
- * Checks the platform's file and translates it.
- * @throws SettingsError that names the first field that is wrong.
+ * Parses and checks the platform's settings file.
+ * @throws SettingsError that names the first wrong field, or the reason why the file is not valid JSON.
  */
 export function parseSettings(json: string): Settings {
   const file = checkFields(parseJson(json));
@@ -117,7 +133,7 @@
   throw new SettingsFieldError(v.getDotPath(issue) ?? '(whole file)', issue.message);
 }
 
-/** What no single field can say of itself. */
+/** Checks conditions that involve several fields, and minimum values that depend on the implementation. */
 function checkDeployment({ workers, state, quota }: DeploymentSection): void {
   if (workers.cancel_s <= workers.lease_s) {
     throw new SettingsFieldError('settings.workers.cancel_s', 'must be more than lease_s');
