--- a/.dependency-cruiser.js
+++ b/.dependency-cruiser.js
@@ -1,4 +1,4 @@
-/** Rules for imports between modules, checked by `npm run lint`. */
+/** Rules for imports between modules. `npm run lint` checks them. */
 export default {
   forbidden: [
     {
--- a/build.js
+++ b/build.js
@@ -1,11 +1,12 @@
 /**
- * Bundles the service and the libraries that it uses into one module, `target/main.js`. A controller with a few percent
- * of a core needs seconds to find and compile some two hundred files one by one. Types are checked by `npm run typecheck`.
+ * Bundles the service and its libraries into one module, `target/main.js`. Without a bundle, a controller
+ * that has a few percent of a core would need seconds to find and compile some two hundred files one by one.
+ * Types are not checked here but by `npm run typecheck`.
  */
 import { rmSync } from 'node:fs';
 import { build } from 'esbuild';
 
-// Some libraries are CommonJS and load modules of Node with `require`.
+// Some libraries are CommonJS modules and load built-in modules of Node with `require`.
 const defineRequire = [
   "import { createRequire as createRequireOfBundle } from 'node:module';",
   'const require = createRequireOfBundle(import.meta.url);',
@@ -16,7 +17,7 @@
   entryPoints: ['src/main.ts'],
   outdir: 'target',
   bundle: true,
-  // What is imported on demand stays out of the main module.
+  // Modules that are imported dynamically go into separate chunks, not into the main module.
   splitting: true,
   format: 'esm',
   platform: 'node',
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -3,7 +3,7 @@
 import simpleImportSort from 'eslint-plugin-simple-import-sort';
 import tseslint from 'typescript-eslint';
 
-/** Folders whose code is held to the strict rules below, one a line. */
+/** Folders to which the strict rules below apply, one a line. */
 const strictFolders = [
   'src/base',
   'src/blocks',
@@ -36,7 +36,7 @@
     'error',
     {
       publicOnly: true,
-      // A comment that says nothing is worse than none: it has to be written.
+      // The fixer would insert empty doc comments, which are worse than none: authors have to write them.
       enableFixer: false,
       require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: true },
       contexts: [
@@ -55,7 +55,7 @@
   'jsdoc/check-tag-names': 'error',
 };
 
-/** A module begins with a comment that says what it is for. */
+/** Rule: each module begins with a doc comment that states its purpose. */
 const moduleComment = {
   meta: {
     type: 'suggestion',
