--- a/src/base/connection-load.ts
+++ b/src/base/connection-load.ts
@@ -17,13 +17,13 @@
    */
   openConnections = 0;
 
-  /** @param maxConnections the limit of the server, which refuses further connections */
+  /** @param maxConnections the connection limit of the server: it refuses connections beyond this number */
   constructor(readonly maxConnections: number) {}
 
   /**
    * Whether the server has to close the connections of workers between two heartbeats. A worker then has to
-   * open a new connection for its next heartbeat. Without that, connections of other workers would be
-   * refused, and these workers would be marked as failed.
+   * open a new connection for its next heartbeat. If the server kept all connections open, it would refuse
+   * connections of other workers, and these workers would be marked as failed.
    */
   get isCrowded(): boolean {
     return this.openConnections > this.maxConnections * nearLimitRatio;
--- a/src/base/defects.ts
+++ b/src/base/defects.ts
@@ -2,9 +2,9 @@
 import type { Log } from './log.js';
 
 /**
- * Logs the failure of background work, that is of a promise that no caller awaits. Background work handles
- * the failures that it expects, so any other failure is a defect of the program. The caller throws the error
- * again after logging it, and the error ends the process like any other unhandled error.
+ * Logs the failure of background work, that is, work whose result no caller waits for. Background work
+ * handles the failures that it expects, so any other failure is a defect of the program. The caller throws
+ * the error again after logging it, and the error ends the process like any other unhandled error.
  */
 export function logDefect(log: Log, work: string, error: unknown): void {
   log.error(
--- a/src/base/saturation.ts
+++ b/src/base/saturation.ts
@@ -2,8 +2,8 @@
 import { type EventLoopUtilization, performance } from 'node:perf_hooks';
 
 /**
- * Measures the share of the time since `last` in which the event loop was busy, that is not waiting for
- * events.
+ * Measures the share of the time since `last` in which the event loop was busy, that is, not waiting
+ * for events.
  */
 export type UtilizationProbe = (last?: EventLoopUtilization) => EventLoopUtilization;
 
