--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -1,91 +1,105 @@
 /**
- * The lease of a block: its owner, its machines, and what teams may use in it.
+ * Stored form of a block's lease: the owner of the block, its machines, and the quota share of each team in
+ * it.
  *
- * `block/<n>` and `machines/<n>/<page>`, written by the leader (`LeaseWriter`) and by the owner where it renews its own lease
- * (`LeaseRenewals`), both through `BlockWriter`. Read by every controller, in `BlockRegistry`.
+ * The keys are `block/<n>` and `machines/<n>/<page>`. The leader writes them (`LeaseWriter`), and so does the
+ * owner when it renews its own lease (`LeaseRenewals`); both write through `BlockWriter`. Every controller
+ * reads them, in `BlockRegistry`.
  *
  * `block/<n>`:
  *
- * | stored | ours | unit |
+ * | stored | in the code | unit |
  * | --- | --- | --- |
  * | `owner` | `owner` | label of a controller |
- * | `boot` | `incarnation` | opaque, one for each life of a process |
+ * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `shares` | `quotaShares` | by team: [cpus, accelerators] |
- * | `machines` | `machines` | groups, see below; missing where pages hold them |
- * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record itself; only where pages hold the machines |
+ * | `machines` | `machines` | groups, see below; missing where the machines are on pages |
+ * | `leaseToken` | `leaseFencingToken` | revision, 0: of the record itself; only with machines on pages |
  *
- * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean and a list. A
- * machine in it is a list:
+ * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean
+ * and a list. Each machine in that list is a list of its own:
  *
- * | place | ours | unit |
+ * | place | in the code | unit |
  * | --- | --- | --- |
  * | 0 | `id` | name |
  * | 1 | `fencingToken` | revision, 0: that of the record itself |
- * | 2 | `rentedAt` | time of day, stored in s, ours in ms |
+ * | 2 | `rentedAt` | time of day, stored in s, in the code in ms |
  * | 3 | `draining` | 1; missing where the machine is not draining |
  */
 import { type Fields, isFields, list, number, text } from './codec.js';
 import { machinesPrefix, type StoredValue } from './keys.js';
 
-/** A machine as its block's record names it. */
+/** A machine as it is listed in the record or on a page of its block. */
 export interface LeasedMachine {
   id: string;
-  /** The revision of the commit that leased it to its present owner. */
+  /** The revision of the commit that leased the machine to its current owner. */
   fencingToken: number;
   type: string;
   zone: string;
   spot: boolean;
-  /** Nothing more may be placed on it: it is about to be given back or leased to another. */
+  /** No further task may be placed on the machine: it is about to be released or leased to another owner. */
   draining: boolean;
-  /** Time of day of its rental in ms, as far as known. */
+  /** Time of day at which the machine was rented in ms, as far as known. */
   rentedAt: number;
-  /** The page of the block's machines that names it; none yet, or the block's record names it itself. */
+  /**
+   * The page that lists the machine; undefined while no page is assigned or if the block's record lists the
+   * machine.
+   */
   page?: number;
 }
 
-/** What each team's tasks in one block may use; a team without an entry has no limit. */
+/** The resources that the tasks of each team may use in one block; a team without an entry has no limit. */
 export type QuotaShares = Record<string, [cpus: number, accelerators: number]>;
 
-/** The lease of a block, read from its record and its pages. */
+/** The lease of a block, assembled from its record and its pages. */
 export interface BlockRecord {
   /** The label of the controller that places tasks on the machines and answers their heartbeats. */
   owner: string;
-  /** The life of the owner's process that it is leased to: a later life renews the lease, and with it the tokens. */
+  /**
+   * The incarnation of the owner that holds the lease. After a process restart the new incarnation renews the
+   * lease, which also renews the fencing tokens.
+   */
   incarnation: string;
   machines: LeasedMachine[];
   quotaShares: QuotaShares;
-  /** The least token of the machines that pages name: the revision of the lease to the present owner. */
+  /**
+   * The minimum fencing token of machines on pages: the revision at which the block was leased to its current
+   * owner.
+   */
   leaseFencingToken?: number;
 }
 
-/** The stored form of machines: grouped by kind, each type and zone named once a group. */
+/**
+ * The stored form of machines: grouped by type, zone and spot, so that a group stores its type and zone only
+ * once.
+ */
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
-  for (const m of machines) {
-    const key = machineKind(m);
+  for (const machine of machines) {
+    const key = machineKind(machine);
     let group = groups.get(key);
-    if (!group) groups.set(key, (group = [m.type, m.zone, m.spot, []]));
+    if (!group) groups.set(key, (group = [machine.type, machine.zone, machine.spot, []]));
     (group[3] as unknown[]).push([
-      m.id,
-      m.fencingToken,
-      Math.round(m.rentedAt / 1000),
-      ...(m.draining ? [1] : []),
+      machine.id,
+      machine.fencingToken,
+      Math.round(machine.rentedAt / 1000),
+      ...(machine.draining ? [1] : []),
     ]);
   }
   return [...groups.values()];
 }
 
-/** A key of what the machines of a group share. */
+/** The group of a machine in the stored form: its type, zone and spot flag joined to one key. */
 export function machineKind({ type, zone, spot }: LeasedMachine): string {
   return `${type}/${zone}/${spot}`;
 }
 
-/** The stored form with all machines in the record itself, which earlier versions can read. */
+/** The stored form with all machines in the block's record itself, which earlier versions can read. */
 export function blockRecord(record: BlockRecord): unknown {
   return { ...leaseFields(record), machines: machineGroups(record.machines) };
 }
 
-/** The stored form of a block whose machines are in pages of their own. */
+/** The stored form of a block whose machines are on pages of their own. */
 export function pagedBlockRecord(record: BlockRecord): unknown {
   return { ...leaseFields(record), leaseToken: record.leaseFencingToken ?? minFencingToken };
 }
@@ -94,18 +108,24 @@
   return { owner: record.owner, boot: record.incarnation, shares: record.quotaShares };
 }
 
-/** A lease that raises no token. */
+/** The `leaseFencingToken` of a lease that raises the fencing token of no machine. */
 const minFencingToken = 1;
 
-/** In the store, a token of 0 stands for the revision of the record itself: nobody knows it before the commit. */
+/**
+ * Stored in place of a fencing token that is the revision of the commit that writes it, since that revision
+ * is unknown until the commit is applied.
+ */
 export const tokenOfOwnCommit = 0;
 
-/** True where the record names the machines itself; pages that are there as well mean nothing. */
+/** Whether the block's record lists the machines itself; if so, any pages of the block are ignored. */
 export function hasInlineMachines(value: unknown): boolean {
   return isFields(value) && Array.isArray(value['machines']);
 }
 
-/** The pages of a block's machines by number, from the keys below their prefix. */
+/**
+ * The pages of a block's machines by page number, in ascending order; `entries` are the keys with the pages'
+ * prefix.
+ */
 export function machinePages(
   block: number,
   entries: Iterable<readonly [string, StoredValue]>,
@@ -115,7 +135,10 @@
   return new Map(pages.sort(([a], [b]) => a - b));
 }
 
-/** The lease; undefined where the block has no record. `version` is the record's; `pages` are the block's pages by number. */
+/**
+ * Parses the lease of a block; undefined if the block has no record. `version` is the version of the record,
+ * `pages` are the block's pages by page number.
+ */
 export function parseBlock(
   value: unknown,
   version: number,
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,9 +1,9 @@
 /**
- * Requests to the cloud and its answers, all by `CloudClient`.
+ * Encodes requests to the cloud and parses its responses; `CloudClient` sends and receives all of them.
  *
- * A type of machine (`GET /machine_types`, list `hulls`):
+ * A machine type (`GET /machine_types`, list `hulls`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `name` | `name` | name |
  * | `cpus`, `accelerators` | the same | amount |
@@ -16,7 +16,7 @@
  *
  * A rented machine (`GET /rentals`, list `hosts`; `hasNext` is `hasMore`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `id` | `id` | name |
  * | `endpoint` | `address` | host:port |
@@ -26,11 +26,11 @@
  * | `status` | `state` | `starting`: `booting`, `running`, `failed`; others count as `running` |
  * | `heldS` | `ageS` | s since the rental request |
  *
- * A rental (`POST /rentals`), answered with the names of the machines in `hosts`:
+ * A rental (`POST /rentals`); the response lists the names of the rented machines in `hosts`:
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
- * | `charter` | `name` | name of the request, never used for another |
+ * | `charter` | `name` | name of the request, never reused for another |
  * | `hull` | `type` | name |
  * | `berth` | `zone` | name |
  * | `loaners` | `spot` | boolean |
@@ -38,7 +38,7 @@
  *
  * A release (`POST /rentals/release`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `hosts` | `machines` | list of names, at most 100 |
  */
@@ -51,80 +51,89 @@
   failed: 'failed',
 };
 
-/** The types on offer; empty where the answer holds none. */
+/** Parses the machine types that the cloud offers; empty if the response lists none. */
 export function parseMachineTypes(body: unknown): MachineType[] {
   return list(isFields(body) ? body['hulls'] : undefined)
     .filter(isFields)
-    .map((h) => ({
-      name: text(h['name']),
-      cpus: number(h['cpus']),
-      accelerators: number(h['accelerators']),
-      memoryGb: number(h['memoryGb']),
-      fetchGbPerS: number(h['fetchGbPerS'], 1),
-      price: number(h['price']),
-      spotPrice: number(h['marketPrice']),
-      bootS: number(h['startupS']),
-      zones: list(h['berths']).map((b) => text(b)),
+    .map((fields) => ({
+      name: text(fields['name']),
+      cpus: number(fields['cpus']),
+      accelerators: number(fields['accelerators']),
+      memoryGb: number(fields['memoryGb']),
+      fetchGbPerS: number(fields['fetchGbPerS'], 1),
+      price: number(fields['price']),
+      spotPrice: number(fields['marketPrice']),
+      bootS: number(fields['startupS']),
+      zones: list(fields['berths']).map((zone) => text(zone)),
     }));
 }
 
-/** One page of the list of rented machines, in the order of their names. */
+/** One page of the list of rented machines, ordered by machine name. */
 export interface MachineListPage {
   machines: CloudMachine[];
-  /** There are further machines after the last of these. */
+  /** Whether the list continues after the last machine of this page. */
   hasMore: boolean;
 }
 
-/** A page of the list; empty where the answer holds none. */
+/** Parses a page of the list of rented machines; empty if the response lists none. */
 export function parseMachineList(body: unknown): MachineListPage {
   const fields = isFields(body) ? body : {};
   return {
     machines: list(fields['hosts'])
       .filter(isFields)
-      .map((h) => ({
-        id: text(h['id']),
-        address: text(h['endpoint']),
-        type: text(h['hull']),
-        zone: text(h['berth']),
-        spot: h['loaners'] === true,
-        state: machineStates[text(h['status'])] ?? 'running',
-        ageS: number(h['heldS']),
+      .map((machine) => ({
+        id: text(machine['id']),
+        address: text(machine['endpoint']),
+        type: text(machine['hull']),
+        zone: text(machine['berth']),
+        spot: machine['loaners'] === true,
+        state: machineStates[text(machine['status'])] ?? 'running',
+        ageS: number(machine['heldS']),
       })),
     hasMore: fields['hasNext'] === true,
   };
 }
 
 /**
- * The path of the page that begins after the machine `after`, or with the first where this is empty, and holds `limit`
- * machines at most.
+ * The request path of a page of the list of rented machines. The page starts after the machine named `after`,
+ * or at the first machine if `after` is empty, and has at most `limit` machines.
  */
 export function machineListPath(after: string, limit: number): string {
   const since = after === '' ? '' : `since=${encodeURIComponent(after)}&`;
   return `/rentals?${since}most=${limit}`;
 }
 
-/** Machines of one kind to be rented; repeated under the same name, it rents nothing more. */
+/**
+ * A request to rent machines of one type in one zone, spot or not. A repeated request with the same name
+ * rents no further machines.
+ */
 export interface RentalRequest {
-  /** Makes the request idempotent: unique for good, over all controllers. */
+  /** Idempotency key of the request: unique across all controllers and never reused. */
   name: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Fewer may be rented. */
+  /** How many machines to rent; the cloud may rent fewer. */
   count: number;
 }
 
-/** The body of a rental. */
-export function rentalBody(r: RentalRequest): unknown {
-  return { charter: r.name, hull: r.type, berth: r.zone, loaners: r.spot, howMany: r.count };
+/** The request body of a rental. */
+export function rentalBody(request: RentalRequest): unknown {
+  return {
+    charter: request.name,
+    hull: request.type,
+    berth: request.zone,
+    loaners: request.spot,
+    howMany: request.count,
+  };
 }
 
-/** The names of the machines that a rental got. */
+/** Parses the response to a rental: the names of the rented machines. */
 export function parseMachineNames(body: unknown): string[] {
-  return list(isFields(body) ? body['hosts'] : undefined).map((h) => text(h));
+  return list(isFields(body) ? body['hosts'] : undefined).map((name) => text(name));
 }
 
-/** The body of a release. */
+/** The request body of a release of machines. */
 export function releaseBody(machines: string[]): unknown {
   return { hosts: machines };
 }
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -19,19 +19,19 @@
 
 const packr = new Packr({ useRecords: false });
 
-test('integers of up to 2^64 survive decoding', () => {
+test('integers of up to 2^64 are decoded without loss of digits', () => {
   const fields = decodeFields(packr.pack({ big: 2n ** 64n - 1n, small: 5n, negative: -3 }));
   assert.equal(fields['big'], 2n ** 64n - 1n);
   assert.equal(number(fields['small']), 5);
   assert.equal(number(fields['negative']), -3);
 });
 
-test('a message that is not a map is refused', () => {
+test('decoding a message that is not a map, or ends too early, throws', () => {
   assert.throws(() => decodeFields(packr.pack([1])), /not a map/);
   assert.throws(() => decodeFields(Buffer.from([0x81])));
 });
 
-test('a report keeps what identifies it, drops tasks without a proper name, and ignores unknown fields', () => {
+test('a heartbeat is read without malformed tasks or unknown fields, and refused if a required field is missing', () => {
   const report = parseHeartbeat({
     host: 'vm-1',
     endpoint: 'e',
@@ -55,7 +55,7 @@
   assert.equal(parseHeartbeat({ host: 'vm-1', watch: 1 }), undefined);
 });
 
-test('a token of 0 in a block stands for the revision of the record', () => {
+test("a fencing token stored as 0 is read as the revision of the block's record", () => {
   const machine = { type: 'c8', zone: 'a', spot: false, rentedAt: 1000 };
   const machines = [
     { ...machine, id: 'vm-1', fencingToken: 0, draining: false },
@@ -65,8 +65,9 @@
   assert.deepEqual(record?.machines, [{ ...machines[0], fencingToken: 77 }, machines[1]]);
 });
 
-// Guards against a fleet that outgrows a value, after which no lease could be written any more.
-test('a block that has every machine of a large deployment is still a value of the store', () => {
+// Guards against a block record that exceeds the size limit of a value in the store because the fleet has
+// grown: the lease of that block could then not be written any more.
+test('the record of a block with all machines of a large deployment fits into a value of the store', () => {
   const machines = Array.from({ length: 700 }, (_, i) => ({
     id: `vm-${String(i).padStart(6, '0')}`,
     fencingToken: 400_000 + i,
@@ -85,7 +86,7 @@
   assert.ok(bytes <= 32 * 1024, `${bytes} bytes`);
 });
 
-test('the longest entry of a ledger stays within what is set aside for it', () => {
+test('the largest plain ledger entry fits into the bytes reserved for it', () => {
   const tasks = tasksPerChunk(32 * 1024);
   const entry = {
     id: 'req-123456',
@@ -99,14 +100,14 @@
     active: Array.from({ length: tasks }, (_, i): [number, number, string] => [99_000 + i, 12, 'vm-1234567']),
   };
   assert.ok(sizeOf(ledgerPage([entry])) <= entryBytes(tasks));
-  // Done and not done in turn: no two of them share a range.
+  // Every other task is done, so that each done task needs a range of its own.
   const done = toRanges(Array.from({ length: tasks / 2 }, (_, i) => 90_000 + i * 2));
   assert.ok(
     sizeOf(ledgerPage([{ ...entry, done, active: entry.active.slice(0, tasks / 2) }])) <= entryBytes(tasks),
   );
 });
 
-test('a compact entry gives back what went in, whatever its machines are called', () => {
+test('a compact entry is read back unchanged, with machine names of any form', () => {
   const entry = {
     id: 'req-123456',
     chunk: 2,
@@ -131,7 +132,7 @@
   assert.deepEqual(parseLedgerPage(ledgerPage([idle])), [idle]);
 });
 
-test('a compact entry with no task on a machine stays within what is set aside for it', () => {
+test('a compact entry without tasks on machines fits into the bytes reserved for it', () => {
   const tasks = compactTasksPerChunk(2048);
   const first = 99_000;
   const base = {
@@ -155,9 +156,10 @@
   }
 });
 
-// Guards against pages that are put off for their size though they have room: each end of a range of completed tasks was
-// counted like a task, so where tasks complete out of turn no task of the page could start until others had completed.
-test('an entry of the earlier layout stays within what is set aside for it, in whatever order its tasks complete', () => {
+// Guards against pages whose write is postponed for their size although they have room. Both bounds of a
+// range of completed tasks were counted like a task each: if tasks completed out of order, the size of the
+// entry was overestimated, and no task of the page could start until others had completed.
+test('a plain entry fits into the bytes reserved for it, in whatever order its tasks complete', () => {
   const tasks = 68;
   const first = 99_000;
   const base = {
@@ -184,7 +186,7 @@
   }
 });
 
-test('ranges give back what went in', () => {
+test('numbers converted to ranges and back are unchanged', () => {
   const numbers = [0, 1, 2, 5, 9, 10];
   const ranges = toRanges(numbers);
   assert.deepEqual(ranges, [0, 2, 5, 5, 9, 10]);
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,11 +1,11 @@
 /**
- * MessagePack as all protocols here use it, and reading of fields that may be missing or of another type: a receiver takes
- * what it understands and never fails on the rest.
+ * MessagePack encoding shared by all protocols, and readers for fields that may be missing or of an
+ * unexpected type: a receiver uses the fields that it understands and does not fail on the others.
  */
 import { Packr, Unpackr } from 'msgpackr';
 
-// Plain maps keyed by text; integers beyond 2^53 come out as bigint instead of losing digits.
-// The library knows `auto`, its type declarations do not.
+// Maps are plain objects with text keys. Integers beyond 2^53 are decoded as bigint, so that they lose no
+// digits. The library supports `auto` for `int64AsType`, but its type declarations do not include that value.
 const options = {
   useRecords: false,
   variableMapSize: true,
@@ -15,52 +15,55 @@
 const packr = new Packr(options);
 const unpackr = new Unpackr(options);
 
-/** A map of a message or record, before its fields are read. */
+/** A decoded map of a message or record whose fields have not been checked. */
 export type Fields = Record<string, unknown>;
 
-/** The MessagePack form of a value. */
+/** Encodes a value as MessagePack. */
 export function encode(value: unknown): Buffer {
   return packr.pack(value);
 }
 
-/** The value of a MessagePack form. Throws where the bytes end before the value does, or go on behind it. */
+/**
+ * Decodes a MessagePack value. Throws if the bytes end before the value is complete or if bytes follow the
+ * value.
+ */
 export function decode(bytes: Uint8Array): unknown {
   return unpackr.unpack(bytes);
 }
 
-/** Whether the value is a map: no list, no binary data, not null. */
+/** Whether the value is a map, that is, an object other than a list, binary data or null. */
 export function isFields(value: unknown): value is Fields {
   return (
     typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Uint8Array)
   );
 }
 
-/** As `decode`; throws a `TypeError` where the value is no map. */
+/** Decodes a MessagePack map. Throws as `decode` does, and a `TypeError` if the value is not a map. */
 export function decodeFields(bytes: Uint8Array): Fields {
   const value = decode(bytes);
   if (!isFields(value)) throw new TypeError('the message is not a map');
   return value;
 }
 
-/** Bytes of the JSON form of a value: all size limits are measured in that form. */
+/** The size of a value as JSON, in bytes. All size limits are measured in that form. */
 export function sizeOf(value: unknown): number {
-  // The declaration of `stringify` leaves out that what has no JSON form gives undefined.
+  // `stringify` returns undefined for a value that has no JSON form, which its type declaration leaves out.
   return Buffer.byteLength((JSON.stringify as (value: unknown) => string | undefined)(value) ?? 'null');
 }
 
-/** The value if it is a list, else an empty one. */
+/** Returns the value if it is a list, else an empty list. */
 export function list(value: unknown): unknown[] {
   return Array.isArray(value) ? value : [];
 }
 
-/** The value if it is text, else the fallback. */
+/** Returns the value if it is text, else the fallback. */
 export function text(value: unknown, fallback = ''): string {
   return typeof value === 'string' ? value : fallback;
 }
 
 /**
- * The value if it is a number, else the fallback. Integers of up to 2^64 may arrive as bigint; all that we compare or store
- * fit a number.
+ * Returns the value if it is a number, else the fallback. Integers of up to 2^64 may be decoded as bigint and
+ * are converted to a number; every value that this program compares or stores fits a number.
  */
 export function number(value: unknown, fallback = 0): number {
   if (typeof value === 'bigint') return Number(value);
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -1,47 +1,51 @@
 /**
- * What the state service keeps of the controllers: who leads, who is alive, which format each of them reads.
+ * Stored records about the controllers: which controller leads, which are alive, and which record format each
+ * of them reads.
  *
- * `lead`, written by `Election` of a candidate, bound to its lease. Read by every controller, in `Election`, and as a
- * condition of each commit that only the leader may make. The revision of the commit is the leader's fencing token.
+ * `lead` is written by the `Election` of a candidate and bound to the candidate's lease. Every controller
+ * reads it, in `Election`, and each commit that only the leader may make is conditioned on it. The revision
+ * of the commit that wrote it is the leader's fencing token.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `label` | `label` | name of the controller in the settings |
- * | `boot` | `incarnation` | opaque, one for each life of a process |
- * | `serial` | `candidacy` | count from 1 in one incarnation |
+ * | stored | in the code | unit | | --- | --- | --- | | `label` | `label` | name of the controller in the
+ * settings | | `boot` | `incarnation` | opaque, a new one at each process start | | `serial` | `candidacy` |
+ * count from 1 in one incarnation |
  *
- * `alive/<label>`, written by `Membership` of that controller, bound to its lease; its absence means that the controller has
- * failed or has no contact with the store. Read by `Membership` and by the leader's `BlockRegistry`.
+ * `alive/<label>` is written by the `Membership` of that controller and bound to its lease. If the key is
+ * absent, the controller has failed or has no contact with the store. `Membership` and the leader's
+ * `BlockRegistry` read it.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `boot` | `incarnation` | as above |
- * | `zone` | `zone` | name of the zone |
+ * | stored | in the code | unit | | --- | --- | --- | | `boot` | `incarnation` | as above | | `zone` | `zone`
+ * | name of the zone |
  *
- * `formats/<label>`, written by `Membership` of that controller and bound to no lease; it never decreases. Read by
- * `Membership` and by `BlockRegistry`: the leader uses new forms of records once every controller reads them.
+ * `formats/<label>` is written by the `Membership` of that controller and bound to no lease; the number never
+ * decreases. `Membership` and `BlockRegistry` read it: the leader uses new record formats once every
+ * controller reads them.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `format` | the number itself | version of the forms, see `currentFormat` |
+ * | stored | in the code | unit | | --- | --- | --- | | `format` | the number itself | version of the record
+ * formats, see `currentFormat` |
  */
 import { isFields, number, text } from './codec.js';
 
-/** The record under `lead`: the candidate that won the last election. */
+/** The record under `lead`: the candidate that won the latest election. */
 export interface LeaderRecord {
   label: string;
-  /** The life of the process that was elected: a restarted controller does not lead by what its predecessor won. */
+  /**
+   * The incarnation that was elected: after a restart, a controller does not lead by an election won before
+   * the restart.
+   */
   incarnation: string;
-  /** Tells the candidacies of an incarnation apart, where the response to one was lost. */
+  /**
+   * Distinguishes the candidacies of one incarnation, for the case that the response to a candidacy was lost.
+   */
   candidacy: number;
 }
 
-/** The stored form. */
+/** The stored form of the leader record. */
 export function leaderRecord(lead: LeaderRecord): unknown {
   return { label: lead.label, boot: lead.incarnation, serial: lead.candidacy };
 }
 
-/** The record; undefined where nobody leads. */
+/** Parses the leader record; undefined if there is no leader. */
 export function parseLeader(value: unknown): LeaderRecord | undefined {
   if (!isFields(value)) return undefined;
   return {
@@ -51,35 +55,36 @@
   };
 }
 
-/** The record under `alive/<label>`. */
+/** The record under `alive/<label>`: a controller whose lease has not expired. */
 export interface AliveRecord {
   incarnation: string;
   zone: string;
 }
 
-/** The stored form. */
+/** The stored form of the record of a live controller. */
 export function aliveRecord(alive: AliveRecord): unknown {
   return { boot: alive.incarnation, zone: alive.zone };
 }
 
-/** The record; undefined where the controller is not known to be alive. */
+/** Parses the record of a live controller; undefined if the controller is not known to be alive. */
 export function parseAlive(value: unknown): AliveRecord | undefined {
   if (!isFields(value)) return undefined;
   return { incarnation: text(value['boot']), zone: text(value['zone']) };
 }
 
 /**
- * The format of this version. From 2 on, a controller reads dependencies of jobs, machines in pages of their own and entries
- * of the ledger of any size; one that has stored no format reads none of these.
+ * The record format of this version. From format 2 on, a controller reads dependencies of jobs, machines on
+ * pages of their own and ledger entries of any size. A controller that has stored no format reads none of
+ * these.
  */
 export const currentFormat = 2;
 
-/** The stored form of the present format. */
+/** The stored form of the current format. */
 export function formatRecord(): unknown {
   return { format: currentFormat };
 }
 
-/** The format stored; 0 where there is none. */
+/** Parses the stored format of a controller; 0 if the controller has stored none. */
 export function parseFormat(value: unknown): number {
   return number(isFields(value) ? value['format'] : undefined);
 }
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -1,70 +1,79 @@
 /**
- * Open jobs, with the ranges of tasks that are dispatched to blocks, and the outcomes of jobs.
+ * Stored records of jobs: open jobs with the ranges of tasks that are dispatched to blocks, and the outcomes
+ * of jobs.
  *
- * `job/<id>`, written by `Submissions` of the controller that accepts the job, later by the leader's `DispatchWriter`, and
- * dropped with the outcome. Read by every controller (`JobIndex`, `BlockState`) and by `Intake` for its answers.
+ * `job/<id>` is written by `Submissions` of the controller that accepts the job, later by the leader's
+ * `DispatchWriter`. The commit that writes the job's outcome deletes it. Every controller reads it
+ * (`JobIndex`, `BlockState`), and `Intake` reads it to answer users.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `spec` | `spec` | see `job-spec-record.ts` |
- * | `parts` | `taskRanges` | list of [block, first, count]: a block's number, a task's number, a count of tasks |
+ * | stored | in the code | unit | | --- | --- | --- | | `spec` | `spec` | see `job-spec-record.ts` | |
+ * `parts` | `taskRanges` | list of [block, first, count]: a block's number, a task's number, a count of tasks
+ * |
  *
- * `end/<id>`, written once, by whoever cancels the job or finds that its last task is done (`outcomeTransaction`), or by
- * `Submissions` in place of the record of a job that depends on a cancelled one. Read by every controller.
+ * `end/<id>` is written once (`outcomeTransaction`), by the controller that cancels the job or finds that its
+ * last task is done. If a submitted job depends on a cancelled one, `Submissions` writes `end/<id>` instead
+ * of the job's record. Every controller reads it.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `end` | `outcome` | `done` or `cancelled` |
- * | `tasks` | `tasks` | count of the job's tasks |
- * | `at` | `endedAt` | time of day in ms; records of earlier versions lack it |
+ * | stored | in the code | unit | | --- | --- | --- | | `end` | `outcome` | `done` or `cancelled` | | `tasks`
+ * | `tasks` | count of the job's tasks | | `at` | `endedAt` | time of day in ms; records of earlier versions
+ * lack it |
  */
 import type { JobSpec } from '../model/types.js';
 import { type Fields, isFields, list, number, sizeOf } from './codec.js';
 import { jobSpecRecord, parseJobSpec } from './job-spec-record.js';
 
-/** How a job ended. It never changes. */
+/** How a job ended. The outcome of a job never changes. */
 export type Outcome = 'done' | 'cancelled';
 
 /** The record under `end/<id>`. */
 export interface OutcomeRecord {
   outcome: Outcome;
-  /** Kept for answers about a job whose record has gone. */
+  /** The number of the job's tasks, stored here to answer users after the job's record has been deleted. */
   tasks: number;
-  /** Time of day of the end in ms: the times of dependent jobs count from it. Unknown for ends of earlier versions. */
+  /**
+   * Time of day at which the job ended, in ms; the times of dependent jobs count from it. Undefined in
+   * records of earlier versions.
+   */
   endedAt?: number;
 }
 
-/** The stored form. */
+/** The stored form of an outcome. */
 export function outcomeRecord(record: OutcomeRecord): unknown {
   const fields: Fields = { end: record.outcome, tasks: record.tasks };
   if (record.endedAt !== undefined) fields['at'] = record.endedAt;
   return fields;
 }
 
-/** The record; undefined where the job has no outcome. */
+/** Parses the outcome of a job; undefined if the job has none. */
 export function parseOutcome(value: unknown): OutcomeRecord | undefined {
   if (!isFields(value)) return undefined;
-  const end = value['end'];
-  if (end !== 'done' && end !== 'cancelled') return undefined;
-  const record: OutcomeRecord = { outcome: end, tasks: number(value['tasks']) };
+  const storedOutcome = value['end'];
+  if (storedOutcome !== 'done' && storedOutcome !== 'cancelled') return undefined;
+  const record: OutcomeRecord = { outcome: storedOutcome, tasks: number(value['tasks']) };
   if (value['at'] !== undefined) record.endedAt = number(value['at']);
   return record;
 }
 
-/** Consecutive tasks of a job that are dispatched to a block, which places them. */
+/** Consecutive tasks of a job that are dispatched to a block; the owner of the block places them. */
 export interface TaskRange {
   block: number;
   first: number;
   count: number;
 }
 
-/** Room that a job's record keeps for the ranges of its tasks, in the JSON form that limits are measured in. */
+/**
+ * Bytes that a job's record reserves for the ranges of its tasks, as JSON: size limits are measured in that
+ * form.
+ */
 export const minTaskRangesBytes = 256;
 
-/** Worst case of one range in that form. */
+/** Bytes that one range takes at most, as JSON. */
 const bytesPerTaskRange = 24;
 
-/** How many ranges the record of a job may have as a value of the state service. */
+/**
+ * How many ranges the record of a job can hold, at least 1, if a value of the state service has at most
+ * `valueBytes` bytes.
+ */
 export function maxTaskRanges(spec: JobSpec, valueBytes: number): number {
   const bytes = valueBytes - sizeOf(jobRecord({ spec, taskRanges: [] }));
   return Math.max(1, Math.floor(bytes / bytesPerTaskRange));
@@ -73,16 +82,22 @@
 /** The record under `job/<id>`: a job that has no outcome yet. */
 export interface JobRecord {
   spec: JobSpec;
-  /** What no range covers has yet to be dispatched by the leader: no block had room for it so far. */
+  /**
+   * The dispatched tasks. The leader has yet to dispatch all other tasks, for which no block has had room so
+   * far.
+   */
   taskRanges: TaskRange[];
 }
 
-/** The stored form. */
+/** The stored form of an open job. */
 export function jobRecord(job: JobRecord): unknown {
-  return { spec: jobSpecRecord(job.spec), parts: job.taskRanges.map((p) => [p.block, p.first, p.count]) };
+  return {
+    spec: jobSpecRecord(job.spec),
+    parts: job.taskRanges.map((range) => [range.block, range.first, range.count]),
+  };
 }
 
-/** The record; undefined where there is none. */
+/** Parses the record of an open job; undefined if there is none, or if it names no job. */
 export function parseJobRecord(value: unknown): JobRecord | undefined {
   if (!isFields(value) || !isFields(value['spec']) || typeof value['spec']['id'] !== 'string')
     return undefined;
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -1,26 +1,17 @@
 /**
- * The field `spec` of the record under `job/<id>`: what the user asked for. Written by `Submissions` when the job is accepted
- * and carried over unchanged by all later writes, with fields that only later versions know. Who reads it: see
- * `job-records.ts`. A test compares kept samples with these forms, so our names may change and the stored ones may not.
+ * Stored form of a job's specification, as the user submitted it: the field `spec` of the record under
+ * `job/<id>`. `Submissions` writes it when the job is accepted. All later writes of the record keep it
+ * unchanged, including fields that only later versions use. Its readers are listed in `job-records.ts`. A
+ * test compares the stored form with kept samples: names in the code may change, stored names may not.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `id`, `jobClass`, `team`, `urgency` | the same | names |
- * | `tasks` | `tasks` | count |
- * | `cpus`, `accelerators` | the same | amount for each task |
- * | `memoryGb` | `memoryGb` | GB for each task |
- * | `image` | `image` | name |
- * | `imageGb` | `imageGb` | GB |
- * | `types` | `machineTypes` | list of names, or null |
- * | `zone` | `zone` | name, or null |
- * | `oneZone` | `colocated` | boolean |
- * | `spread`, `spot` | the same | boolean |
- * | `estimateS` | `estimatedRunS` | s |
- * | `checkpointS` | `checkpointIntervalS` | s |
- * | `saveS` | `checkpointSaveS` | s |
- * | `deadlineS` | `deadlineS` | s from the acceptance, or null |
- * | `acceptedAt` | `acceptedAt` | time of day in ms |
- * | `dependencies` | `dependencies` | list of ids; missing where the job has none |
+ * | stored | in the code | unit | | --- | --- | --- | | `id`, `jobClass`, `team`, `urgency` | the same |
+ * names | | `tasks` | `tasks` | count | | `cpus`, `accelerators` | the same | amount for each task | |
+ * `memoryGb` | `memoryGb` | GB for each task | | `image` | `image` | name | | `imageGb` | `imageGb` | GB | |
+ * `types` | `machineTypes` | list of names, or null | | `zone` | `zone` | name, or null | | `oneZone` |
+ * `colocated` | boolean | | `spread`, `spot` | the same | boolean | | `estimateS` | `estimatedRunS` | s | |
+ * `checkpointS` | `checkpointIntervalS` | s | | `saveS` | `checkpointSaveS` | s | | `deadlineS` | `deadlineS`
+ * | s from the acceptance, or null | | `acceptedAt` | `acceptedAt` | time of day in ms | | `dependencies` |
+ * `dependencies` | list of ids; missing where the job has none |
  */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { type Fields, list, number, text } from './codec.js';
@@ -49,7 +40,10 @@
   'dependencies',
 ]);
 
-/** The stored form. A job without dependencies has no such field, since earlier versions know none. */
+/**
+ * The stored form of a job's specification. `dependencies` is left out if there are none: earlier versions
+ * lack the field.
+ */
 export function jobSpecRecord(spec: JobSpec): Fields {
   const fields: Fields = {
     id: spec.id,
@@ -77,7 +71,9 @@
   return spec.unknownFields === undefined ? fields : { ...fields, ...spec.unknownFields };
 }
 
-/** The job as it was accepted; fields that this version does not know are kept in `unknownFields`. */
+/**
+ * Parses the specification of a job; fields that this version does not define are kept in `unknownFields`.
+ */
 export function parseJobSpec(fields: Fields): JobSpec {
   const spec: JobSpec = {
     id: text(fields['id']),
@@ -109,7 +105,10 @@
   return spec;
 }
 
-/** Without any of them nothing is allocated: records are read often, and next to none has such fields. */
+/**
+ * The fields that this version does not define; undefined if there are none. No object is allocated in that
+ * case, since records are read often and hardly any record has such fields.
+ */
 function unknownFieldsOf(fields: Fields): Fields | undefined {
   let unknownFields: Fields | undefined;
   for (const name of Object.keys(fields)) {
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,9 +1,9 @@
 /**
- * Users' submissions (`POST /v2/runs`) and the answers to users. `Intake` reads the one and writes the others.
+ * Parses users' submissions (`POST /v2/runs`) and builds the responses to users, both for `Intake`.
  *
  * A submission:
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `id` | `id` | `req-` and digits |
  * | `jobclass` | `jobClass` | name |
@@ -26,9 +26,9 @@
  * | `dueS` | `deadlineS` | s from the submission, or null |
  * | `moorings` | `dependencies` | list of ids, or null |
  *
- * An answer about a job; `done` and `running` in answers to a question (`GET /v2/runs/{id}`) only:
+ * A response about a job; `done` and `running` only in responses to a query (`GET /v2/runs/{id}`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `id` | `id` | as above |
  * | `status` | `JobStatus` | name |
@@ -40,37 +40,37 @@
 import type { JobSpec } from '../model/types.js';
 import { isFields, text } from './codec.js';
 
-const jobIdForm = /^req-\d{1,18}$/;
+const jobIdPattern = /^req-\d{1,18}$/;
 
-/** Whether the text has the form of a job's id. What has another form was never submitted. */
+/** Whether the text has the form of a job id. No job with an id of another form can have been submitted. */
 export function isJobId(id: string): boolean {
-  return jobIdForm.test(id);
+  return jobIdPattern.test(id);
 }
 
-/** The id that a submission names, whatever else is wrong with it. */
+/** The job id of a submission that may be malformed otherwise; undefined if it has no well-formed id. */
 export function jobIdIn(body: unknown): string | undefined {
   const id = isFields(body) ? text(body['id']) : '';
   return isJobId(id) ? id : undefined;
 }
 
-const jobId = v.pipe(v.string(), v.regex(jobIdForm));
+const jobId = v.pipe(v.string(), v.regex(jobIdPattern));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
-const word = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
+const shortText = v.pipe(v.string(), v.nonEmpty(), v.maxLength(200));
 
-const schema = v.object({
+const submissionSchema = v.object({
   id: jobId,
-  jobclass: word,
-  owner: word,
+  jobclass: shortText,
+  owner: shortText,
   shape: v.literal('sweep'),
   urgency: v.picklist(['production', 'high', 'standard', 'best_effort']),
   pieces: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000)),
   cpus: amount,
   accelerators: amount,
   memoryGb: amount,
-  bundle: word,
+  bundle: shortText,
   pullGb: amount,
-  hulls: v.nullish(v.pipe(v.array(word), v.maxLength(100))),
-  berth: v.nullish(word),
+  hulls: v.nullish(v.pipe(v.array(shortText), v.maxLength(100))),
+  berth: v.nullish(shortText),
   together: v.boolean(),
   apart: v.boolean(),
   loaners: v.boolean(),
@@ -82,51 +82,55 @@
 });
 
 /**
- * A submission, or the reason why it is malformed: the first wrong field and what is wrong with it. `acceptedAt` is the time
- * of day in ms. A dependency that is named twice counts once.
+ * Parses a submission. Returns the job, or, if the submission is malformed, the path of the first invalid
+ * field and the reason why it is invalid. `acceptedAt` is the time of day in ms. Repeated dependencies are
+ * dropped.
  */
 export function parseJob(body: unknown, acceptedAt: number): JobSpec | string {
-  const result = v.safeParse(schema, body);
+  const result = v.safeParse(submissionSchema, body);
   if (!result.success) {
     const issue = result.issues[0];
     return `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`;
   }
-  const j = result.output;
-  const dependencies = [...new Set(j.moorings ?? [])];
+  const submission = result.output;
+  const dependencies = [...new Set(submission.moorings ?? [])];
   return {
-    id: j.id,
-    jobClass: j.jobclass,
-    team: j.owner,
-    urgency: j.urgency,
-    tasks: j.pieces,
-    cpus: j.cpus,
-    accelerators: j.accelerators,
-    memoryGb: j.memoryGb,
-    image: j.bundle,
-    imageGb: j.pullGb,
-    machineTypes: j.hulls ?? null,
-    zone: j.berth ?? null,
-    colocated: j.together,
-    spread: j.apart,
-    spot: j.loaners,
-    estimatedRunS: j.expectS,
-    checkpointIntervalS: j.savepointS,
-    checkpointSaveS: j.stowS,
-    deadlineS: j.dueS ?? null,
+    id: submission.id,
+    jobClass: submission.jobclass,
+    team: submission.owner,
+    urgency: submission.urgency,
+    tasks: submission.pieces,
+    cpus: submission.cpus,
+    accelerators: submission.accelerators,
+    memoryGb: submission.memoryGb,
+    image: submission.bundle,
+    imageGb: submission.pullGb,
+    machineTypes: submission.hulls ?? null,
+    zone: submission.berth ?? null,
+    colocated: submission.together,
+    spread: submission.apart,
+    spot: submission.loaners,
+    estimatedRunS: submission.expectS,
+    checkpointIntervalS: submission.savepointS,
+    checkpointSaveS: submission.stowS,
+    deadlineS: submission.dueS ?? null,
     acceptedAt,
     ...(dependencies.length > 0 ? { dependencies } : {}),
   };
 }
 
-/** What a user is told of a job: `pending` until a task runs, then `running`, then its outcome. */
+/**
+ * The status of a job as reported to users: `pending` until a task runs, then `running`, then the job's
+ * outcome.
+ */
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** The answer to a submission or a cancellation. */
+/** The body of the response to a submission or a cancellation. */
 export function jobAnswer(id: string, status: JobStatus): unknown {
   return { id, status };
 }
 
-/** The answer to a question, with counts of tasks. */
+/** The body of the response to a query: `done` and `running` are counts of tasks. */
 export function jobDetails(id: string, status: JobStatus, done: number, running: number): unknown {
   return { id, status, done, running };
 }
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -1,32 +1,33 @@
 /**
- * The thresholds of a pool of machines of one type, spot or not.
+ * Stored form of the thresholds of a pool, which consists of the machines of one type, spot or not.
  *
- * `ladder/<pool>`, written by the leader's `ThresholdStore` after it moved thresholds; read by the same when a leader begins.
+ * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds. The
+ * `ThresholdStore` of a new leader reads it at the start of the leader's term.
  *
- * | stored | ours | unit |
- * | --- | --- | --- |
- * | `moved` | list of pairs | [number of the machine in the pool from 2, threshold in slots], the last moved one last |
+ * | stored | in the code | unit | | --- | --- | --- | | `moved` | list of pairs | [number of the machine in
+ * the pool from 2, threshold in slots], the last moved one last |
  */
 import { isFields, list, number } from './codec.js';
 
-/** Worst case of a threshold, and of a ladder without any, in the JSON form that limits are measured in. */
+/** Bytes that one threshold takes at most, as JSON: size limits are measured in that form. */
 const bytesPerThreshold = 20;
 
-const bytesPerLadder = 20;
+/** Bytes that a record without thresholds takes at most, as JSON. */
+const emptyRecordBytes = 20;
 
 /**
- * The stored form of the thresholds that were moved from where they start. Of too many for a value of `valueBytes` bytes the
- * last moved ones stay.
+ * The stored form of the thresholds that have been moved from their start value. If there are too many for a
+ * value of `valueBytes` bytes, only the most recently moved ones are stored.
  */
 export function ladderRecord(moved: [number, number][], valueBytes = Infinity): unknown {
-  const most = Math.floor((valueBytes - bytesPerLadder) / bytesPerThreshold);
-  return { moved: moved.slice(-most) };
+  const maxThresholds = Math.floor((valueBytes - emptyRecordBytes) / bytesPerThreshold);
+  return { moved: moved.slice(-maxThresholds) };
 }
 
-/** The moved thresholds; empty where the pool has no record. */
+/** Parses the moved thresholds of a pool; empty if the pool has no record. */
 export function parseLadder(value: unknown): [number, number][] {
   return list(isFields(value) ? value['moved'] : undefined).map((entry) => {
-    const [m, slots] = list(entry);
-    return [number(m), number(slots)];
+    const [machineNumber, slots] = list(entry);
+    return [number(machineNumber), number(slots)];
   });
 }
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -6,7 +6,7 @@
  *
  * A page is a list of entries, an entry a list. In front, in both forms:
  *
- * | place | ours | unit |
+ * | place | in the code | unit |
  * | --- | --- | --- |
  * | 0 | `id` | id of the job |
  * | 1 | `chunk` | number of the chunk from 0 |
@@ -16,7 +16,7 @@
  *
  * Then in the plain form, which every version reads:
  *
- * | place | ours | unit |
+ * | place | in the code | unit |
  * | --- | --- | --- |
  * | 6 | `active` | list of [task, attempt, machine] |
  * | 7 | `waiting` | list of [task, last attempt] |
@@ -24,7 +24,7 @@
  *
  * Or in the compact form, from format 2 on (see `currentFormat`):
  *
- * | place | ours | unit |
+ * | place | in the code | unit |
  * | --- | --- | --- |
  * | 6 | `active`, first attempts | task, machine, task, machine |
  * | 7 | `active`, later attempts | task, attempt, machine, and so on |
@@ -70,8 +70,10 @@
 /** The stored form of an entry: compact where it names the size of its chunk, else plain. */
 export function ledgerEntry(entry: LedgerEntry): unknown {
   const { id, chunk, team, cpus, accelerators, memoryGb, active, waiting, done } = entry;
-  const job = [id, chunk, team, cpus, accelerators, memoryGb];
-  return entry.chunkTasks === undefined ? [...job, active, waiting, done] : [...job, ...compactTasks(entry)];
+  const jobFields = [id, chunk, team, cpus, accelerators, memoryGb];
+  return entry.chunkTasks === undefined
+    ? [...jobFields, active, waiting, done]
+    : [...jobFields, ...compactTasks(entry)];
 }
 
 /**
@@ -89,7 +91,7 @@
         cpus: number(cpus),
         accelerators: number(accelerators),
         memoryGb: number(memoryGb),
-        ...(tasks.length > plainLists ? parseCompactTasks(tasks) : parsePlainTasks(tasks)),
+        ...(tasks.length > plainListCount ? parseCompactTasks(tasks) : parsePlainTasks(tasks)),
       };
     })
     .filter((entry) => entry.id !== '');
@@ -98,7 +100,7 @@
 type EntryTasks = Pick<LedgerEntry, 'active' | 'waiting' | 'done' | 'chunkTasks'>;
 
 /** Entries of earlier versions end with the lists of active, waiting and done tasks. */
-const plainLists = 3;
+const plainListCount = 3;
 
 function parsePlainTasks([active, waiting, done]: unknown[]): EntryTasks {
   return {
@@ -109,22 +111,22 @@
 }
 
 /** How the names of machines are shortened to their numbers: a prefix, and the digits that follow it. */
-type MachineNames = [prefix: string, digits: number];
+type MachineNameForm = [prefix: string, digits: number];
 
-const numberedName = /^(.*?)([0-9]{1,15})$/;
+const numberedNamePattern = /^(.*?)([0-9]{1,15})$/;
 
-function namesLike(machine: string): MachineNames {
-  const [, prefix = '', digits = ''] = numberedName.exec(machine) ?? [];
+function nameFormOf(machine: string): MachineNameForm {
+  const [, prefix = '', digits = ''] = numberedNamePattern.exec(machine) ?? [];
   return [prefix, digits.length];
 }
 
-function shortName(machine: string, [prefix, digits]: MachineNames): number | string {
-  const isLike = machine.length === prefix.length + digits && machine.startsWith(prefix);
+function encodeMachineName(machine: string, [prefix, digits]: MachineNameForm): number | string {
+  const hasForm = machine.length === prefix.length + digits && machine.startsWith(prefix);
   const rest = machine.slice(prefix.length);
-  return isLike && digits > 0 && /^[0-9]+$/.test(rest) ? Number(rest) : machine;
+  return hasForm && digits > 0 && /^[0-9]+$/.test(rest) ? Number(rest) : machine;
 }
 
-function longName(name: unknown, [prefix, digits]: MachineNames): string {
+function decodeMachineName(name: unknown, [prefix, digits]: MachineNameForm): string {
   return typeof name === 'number' ? prefix + String(name).padStart(digits, '0') : text(name);
 }
 
@@ -133,33 +135,41 @@
  * the attempt, waiting tasks as pairs with their last attempt, ranges of completed tasks.
  */
 function compactTasks({ active, waiting, done, chunkTasks }: LedgerEntry): unknown[] {
-  const names = namesLike(active[0]?.[2] ?? '');
-  const first: (number | string)[] = [];
-  const later: (number | string)[] = [];
+  const nameForm = nameFormOf(active[0]?.[2] ?? '');
+  const firstAttempts: (number | string)[] = [];
+  const laterAttempts: (number | string)[] = [];
   for (const [index, attempt, machine] of active) {
-    if (attempt === 1) first.push(index, shortName(machine, names));
-    else later.push(index, attempt, shortName(machine, names));
+    if (attempt === 1) firstAttempts.push(index, encodeMachineName(machine, nameForm));
+    else laterAttempts.push(index, attempt, encodeMachineName(machine, nameForm));
   }
-  return [first, later, waiting.flat(), done, chunkTasks, names];
-}
-
-function parseCompactTasks([first, later, waiting, done, chunkTasks, nameForm]: unknown[]): EntryTasks {
-  const [prefix, digits] = list(nameForm);
-  const names: MachineNames = [text(prefix), number(digits)];
+  return [firstAttempts, laterAttempts, waiting.flat(), done, chunkTasks, nameForm];
+}
+
+function parseCompactTasks([
+  firstAttempts,
+  laterAttempts,
+  waiting,
+  done,
+  chunkTasks,
+  storedNameForm,
+]: unknown[]): EntryTasks {
+  const [prefix, digits] = list(storedNameForm);
+  const nameForm: MachineNameForm = [text(prefix), number(digits)];
   const active: LedgerEntry['active'] = [];
-  for (const [index, machine] of groups(first, 2)) active.push([number(index), 1, longName(machine, names)]);
-  for (const [index, attempt, machine] of groups(later, 3)) {
-    active.push([number(index), number(attempt), longName(machine, names)]);
+  for (const [index, machine] of splitIntoTuples(firstAttempts, 2))
+    active.push([number(index), 1, decodeMachineName(machine, nameForm)]);
+  for (const [index, attempt, machine] of splitIntoTuples(laterAttempts, 3)) {
+    active.push([number(index), number(attempt), decodeMachineName(machine, nameForm)]);
   }
   return {
     active,
-    waiting: groups(waiting, 2).map(([index, attempt]) => [number(index), number(attempt)]),
+    waiting: splitIntoTuples(waiting, 2).map(([index, attempt]) => [number(index), number(attempt)]),
     done: list(done) as number[],
     chunkTasks: number(chunkTasks),
   };
 }
 
-function groups(flat: unknown, size: number): unknown[][] {
+function splitIntoTuples(flat: unknown, size: number): unknown[][] {
   const all = list(flat);
   return Array.from({ length: Math.floor(all.length / size) }, (_, i) => all.slice(i * size, (i + 1) * size));
 }
@@ -170,14 +180,14 @@
 const bytesPerEntry = 120;
 
 /** An entry takes this part of a page at most, so that pages fill well. */
-const chunkShareOfPage = 1 / 4;
+const maxEntryShareOfPage = 1 / 4;
 
 /** The least size of a page in bytes: it has to hold an entry with a task of its own. */
-export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / chunkShareOfPage);
+export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / maxEntryShareOfPage);
 
 /** How many tasks a plain entry takes, where pages have `valueBytes` bytes at most. */
 export function tasksPerChunk(valueBytes: number): number {
-  return Math.max(1, Math.floor((valueBytes * chunkShareOfPage - bytesPerEntry) / bytesPerTask));
+  return Math.max(1, Math.floor((valueBytes * maxEntryShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
 /** Bytes that a plain entry with so many tasks takes at the most. */
@@ -203,7 +213,7 @@
 
 /** How many tasks a compact entry takes, where pages have `pageBytes` bytes at most. */
 export function compactTasksPerChunk(pageBytes: number): number {
-  return Math.max(1, Math.floor((pageBytes * chunkShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
+  return Math.max(1, Math.floor((pageBytes * maxEntryShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
 /** Bytes that a compact entry with so many tasks takes once none of them is on a machine. */
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -2,7 +2,7 @@
  * What controllers tell each other of themselves. `PeerLinks` of one controller writes it, `PeerLinks` of the other reads it
  * and hands it to `PeerStatusHandler`. Nothing of it is stored.
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `from` | `from` | label of the sender |
  * | `boot` | `incarnation` | opaque, one for each life of a process |
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -2,7 +2,7 @@
  * Requests to the state service and its answers. `StoreClient` and `ChangeWatch` send and read them, `transactions.ts` those
  * of commits. Keys are ours on this side and lie below one root on the other.
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `path`, `set`, `drop` | `key` | key with the root in front |
  * | `value` | `value` | a record |
@@ -12,7 +12,7 @@
  *
  * A commit (`POST /commit`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `when` | conditions | list of `path` and `stamp` |
  * | `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing where the commit only compares |
@@ -20,7 +20,7 @@
  *
  * A list (`GET /keys`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `prefix`, `since`, `most` | `prefix`, `after`, `limit` | keys, count of items |
  * | `items` | `items` | list of `path`, `value`, `stamp` |
@@ -28,7 +28,7 @@
  *
  * A watch (`GET /changes`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `since` | `since` | revision |
  * | `holdMs` | `waitMs` | ms |
@@ -36,7 +36,7 @@
  *
  * A lease (`POST /grants`, `POST /grants/{id}/touch`, `DELETE /grants/{id}`):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `lifeMs` | `ttlMs` | ms |
  * | `tenure`, in the answer | lease id | number |
@@ -97,12 +97,14 @@
 
 /** The body of a commit; without writes it only compares. */
 export function commitBody(conditions: Condition[], writes: Write[]): unknown {
-  const body: Fields = { when: conditions.map((c) => ({ path: keyRoot + c.key, stamp: c.version })) };
+  const body: Fields = {
+    when: conditions.map((condition) => ({ path: keyRoot + condition.key, stamp: condition.version })),
+  };
   if (writes.length > 0) {
-    body['writes'] = writes.map((w) => {
-      if ('drop' in w) return { drop: keyRoot + w.drop };
-      const put: Fields = { set: keyRoot + w.put, value: w.value };
-      if (w.lease !== undefined) put['tenure'] = w.lease;
+    body['writes'] = writes.map((write) => {
+      if ('drop' in write) return { drop: keyRoot + write.drop };
+      const put: Fields = { set: keyRoot + write.put, value: write.value };
+      if (write.lease !== undefined) put['tenure'] = write.lease;
       return put;
     });
   }
@@ -152,7 +154,7 @@
   return {
     items: list(fields['items'])
       .map(parseItem)
-      .filter((i) => i !== undefined),
+      .filter((item) => item !== undefined),
     hasMore: fields['hasNext'] === true,
     revision: number(fields['logline']),
   };
@@ -164,12 +166,12 @@
   return {
     changes: list(fields['news'])
       .filter(isFields)
-      .map((n) => {
-        const deleted = typeof n['drop'] === 'string';
+      .map((change) => {
+        const deleted = typeof change['drop'] === 'string';
         return {
-          key: text(deleted ? n['drop'] : n['set']).slice(keyRoot.length),
-          value: n['value'],
-          version: number(n['stamp']),
+          key: text(deleted ? change['drop'] : change['set']).slice(keyRoot.length),
+          value: change['value'],
+          version: number(change['stamp']),
           deleted,
         };
       }),
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -55,10 +55,10 @@
 
 const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
 
-const lead: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
+const leader: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
 const alive: AliveRecord = { incarnation: boot, zone: 'zone-b' };
 
-const modestSpec: JobSpec = {
+const minimalSpec: JobSpec = {
   id: 'req-000017',
   jobClass: 'nightly-render',
   team: 'red',
@@ -81,7 +81,7 @@
   acceptedAt: 1_790_000_123_456,
 };
 
-const demandingSpec: JobSpec = {
+const fullSpec: JobSpec = {
   id: 'req-123456789012345678',
   jobClass: 'training',
   team: 'blue',
@@ -105,25 +105,25 @@
   dependencies: ['req-000017', 'req-000018'],
 };
 
-const parts: TaskRange[] = [
+const ranges: TaskRange[] = [
   { block: 0, first: 0, count: 12 },
   { block: 2, first: 12, count: 28 },
 ];
 
 const jobs: Record<string, JobRecord> = {
-  'job, no ranges': { spec: modestSpec, taskRanges: [] },
-  'job, ranges': { spec: modestSpec, taskRanges: parts },
-  'job, dependencies': { spec: demandingSpec, taskRanges: [] },
-  'job, dependencies and ranges': { spec: demandingSpec, taskRanges: parts },
+  'job, no ranges': { spec: minimalSpec, taskRanges: [] },
+  'job, ranges': { spec: minimalSpec, taskRanges: ranges },
+  'job, dependencies': { spec: fullSpec, taskRanges: [] },
+  'job, dependencies and ranges': { spec: fullSpec, taskRanges: ranges },
 };
 
-const ends: Record<string, OutcomeRecord> = {
+const outcomes: Record<string, OutcomeRecord> = {
   'end, done': { outcome: 'done', tasks: 40, endedAt: 1_790_000_223_456 },
   'end, cancelled': { outcome: 'cancelled', tasks: 100_000, endedAt: 1_790_000_223_457 },
   'end, without time': { outcome: 'cancelled', tasks: 0 },
 };
 
-function machine(id: string, token: number, change: Partial<LeasedMachine> = {}): LeasedMachine {
+function machine(id: string, token: number, overrides: Partial<LeasedMachine> = {}): LeasedMachine {
   return {
     id,
     fencingToken: token,
@@ -132,7 +132,7 @@
     spot: false,
     draining: false,
     rentedAt: 1_790_000_100_000,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -157,7 +157,7 @@
   memoryGb: 3.2,
 };
 
-const presentEntries: LedgerEntry[] = [
+const plainEntries: LedgerEntry[] = [
   {
     ...ledgerBase,
     id: 'req-000017',
@@ -190,8 +190,8 @@
 ];
 
 test('who leads, who is alive and who reads which format are stored as ever', () => {
-  samples.assertWritten('lead', leaderRecord(lead));
-  samples.assertRead('lead', parseLeader, lead);
+  samples.assertWritten('lead', leaderRecord(leader));
+  samples.assertRead('lead', parseLeader, leader);
   samples.assertWritten('alive', aliveRecord(alive));
   samples.assertRead('alive', parseAlive, alive);
   samples.assertWritten('formats', formatRecord());
@@ -206,10 +206,10 @@
 });
 
 test('ends of jobs are stored as ever', () => {
-  for (const [name, end] of Object.entries(ends)) {
-    samples.assertWritten(name, outcomeRecord(end));
-    samples.assertRead(name, parseOutcome, end);
-    assert.deepEqual(outcomeTransaction('req-000017', 9, end).writes[0].value, outcomeRecord(end));
+  for (const [name, outcome] of Object.entries(outcomes)) {
+    samples.assertWritten(name, outcomeRecord(outcome));
+    samples.assertRead(name, parseOutcome, outcome);
+    assert.deepEqual(outcomeTransaction('req-000017', 9, outcome).writes[0].value, outcomeRecord(outcome));
   }
 });
 
@@ -241,26 +241,30 @@
     const { value } = samples.plain(`machines/${page}`) as { value: unknown };
     return [page, { value, version }];
   });
-  const machinesFrom = (token: number): LeasedMachine[] =>
+  const machinesWithMinToken = (token: number): LeasedMachine[] =>
     pages.flatMap(([page, machines]) =>
       machines.map((each) => ({ ...each, fencingToken: Math.max(each.fencingToken, token), page })),
     );
   const read = (value: unknown): unknown => parseBlock(value, version, stored);
   samples.assertWritten('block, pages', pagedBlockRecord(block));
-  samples.assertRead('block, pages', read, { ...block, machines: machinesFrom(1), leaseFencingToken: 1 });
+  samples.assertRead('block, pages', read, {
+    ...block,
+    machines: machinesWithMinToken(1),
+    leaseFencingToken: 1,
+  });
   samples.assertWritten('block, pages and token', pagedBlockRecord({ ...block, leaseFencingToken: 400 }));
-  const raised = { ...block, machines: machinesFrom(400), leaseFencingToken: 400 };
+  const raised = { ...block, machines: machinesWithMinToken(400), leaseFencingToken: 400 };
   samples.assertRead('block, pages and token', read, raised);
   samples.assertWritten('block, pages and fresh token', pagedBlockRecord({ ...block, leaseFencingToken: 0 }));
-  const renewed = { ...block, machines: machinesFrom(version), leaseFencingToken: version };
+  const renewed = { ...block, machines: machinesWithMinToken(version), leaseFencingToken: version };
   samples.assertRead('block, pages and fresh token', read, renewed);
 });
 
 test('pages of a ledger are stored as ever, in both sizes of entries', () => {
   for (const [name, entries] of [
-    ['run, present size', presentEntries],
+    ['run, present size', plainEntries],
     ['run, compact', compactEntries],
-    ['run, both', [...presentEntries, ...compactEntries]],
+    ['run, both', [...plainEntries, ...compactEntries]],
   ] as const) {
     samples.assertWritten(name, ledgerPage([...entries]));
     samples.assertRead(name, parseLedgerPage, entries);
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -3,7 +3,7 @@
  *
  * A heartbeat:
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `host` | `machine` | name |
  * | `endpoint` | `address` | host:port |
@@ -18,7 +18,7 @@
  *
  * A task in it:
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `piece` | `job`, `index` | `<job>/<number of the task from 0>` |
  * | `try` | `attempt` | count from 1 |
@@ -27,14 +27,14 @@
  *
  * The response of the controller that owns the machine (200):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `helm` | `fencingToken` | revision of the state service |
  * | `orders` | `commands` | list, see below; carried out in this order |
  *
  * A command in it:
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `verb` | `kind` | `run`: `start`, `halt`: `stop`, `reap`: `forget` |
  * | `piece`, `try` | `job`, `index`, `attempt` | as above |
@@ -42,7 +42,7 @@
  *
  * The response of a controller that may not answer for the machine (421; 503 where no owner is known):
  *
- * | wire | ours | unit |
+ * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `skipper` | `label` | name of the controller to report to; missing where none is named |
  */
@@ -84,20 +84,20 @@
 export function parseHeartbeat(body: unknown): Heartbeat | undefined {
   if (!isFields(body)) return undefined;
   const machine = text(body['host']);
-  const session = number(body['watch'], -1);
+  const epoch = number(body['watch'], -1);
   const seq = number(body['tick'], -1);
-  if (!machine || session < 0 || seq < 0 || !Array.isArray(body['pieces'])) return undefined;
-  const recall = body['recallS'];
+  if (!machine || epoch < 0 || seq < 0 || !Array.isArray(body['pieces'])) return undefined;
+  const noticeS = body['recallS'];
   return {
     machine,
     address: text(body['endpoint']),
     type: text(body['hull']),
     zone: text(body['berth']),
     spot: body['loaners'] === true,
-    agentEpoch: session,
+    agentEpoch: epoch,
     sequence: seq,
     fencingToken: number(body['helm']),
-    preemptionNoticeS: recall === null || recall === undefined ? null : number(recall),
+    preemptionNoticeS: noticeS === null || noticeS === undefined ? null : number(noticeS),
     tasks: list(body['pieces'])
       .map(parseTask)
       .filter((t) => t !== undefined),
