--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -10,9 +10,9 @@
  * `parts` | `taskRanges` | list of [block, first, count]: a block's number, a task's number, a count of tasks
  * |
  *
- * `end/<id>` is written once (`outcomeTransaction`), by the controller that cancels the job or finds that its
- * last task is done. If a submitted job depends on a cancelled one, `Submissions` writes `end/<id>` instead
- * of the job's record. Every controller reads it.
+ * `end/<id>` is written once: by the controller that cancels the job or finds that its last task is done
+ * (`outcomeTransaction`), or by `Submissions`, in place of the job's record, if a submitted job depends on a
+ * cancelled one. Every controller reads it.
  *
  * | stored | in the code | unit | | --- | --- | --- | | `end` | `outcome` | `done` or `cancelled` | | `tasks`
  * | `tasks` | count of the job's tasks | | `at` | `endedAt` | time of day in ms; records of earlier versions
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -1,73 +1,71 @@
 /**
- * The pages in which the owner of a block records what becomes of tasks, and the room that their entries take.
+ * Stored form of the pages of a block's ledger, in which the owner of the block records the progress of
+ * tasks, and the sizes of their entries in bytes.
  *
- * `run/<n>/<page>`, written by the block's owner (`LedgerWriter`), each attempt before its start command is sent. Read by
- * every controller, in `LedgerIndex`, and by a new owner of the block when it takes over.
+ * `run/<n>/<page>` is written by the block's owner (`LedgerWriter`): each attempt is recorded before its
+ * start command is sent. Every controller reads the pages, in `LedgerIndex`, and a new owner of the block
+ * reads them when it takes over.
  *
- * A page is a list of entries, an entry a list. In front, in both forms:
+ * A page is a list of entries, and each entry is a list. Both forms of an entry begin with:
  *
- * | place | in the code | unit |
- * | --- | --- | --- |
- * | 0 | `id` | id of the job |
- * | 1 | `chunk` | number of the chunk from 0 |
- * | 2 | `team` | name |
- * | 3, 4 | `cpus`, `accelerators` | amount for each task |
- * | 5 | `memoryGb` | GB for each task |
+ * | place | in the code | unit | | --- | --- | --- | | 0 | `id` | id of the job | | 1 | `chunk` | number of
+ * the chunk from 0 | | 2 | `team` | name | | 3, 4 | `cpus`, `accelerators` | amount for each task | | 5 |
+ * `memoryGb` | GB for each task |
  *
- * Then in the plain form, which every version reads:
+ * The plain form, which every version reads, continues with:
  *
- * | place | in the code | unit |
- * | --- | --- | --- |
- * | 6 | `active` | list of [task, attempt, machine] |
- * | 7 | `waiting` | list of [task, last attempt] |
- * | 8 | `done` | first, last, first, last: numbers of tasks |
+ * | place | in the code | unit | | --- | --- | --- | | 6 | `active` | list of [task, attempt, machine] | | 7
+ * | `waiting` | list of [task, last attempt] | | 8 | `done` | first, last, first, last: numbers of tasks |
  *
- * Or in the compact form, from format 2 on (see `currentFormat`):
+ * The compact form, used from format 2 on (see `currentFormat`), continues with:
  *
- * | place | in the code | unit |
- * | --- | --- | --- |
- * | 6 | `active`, first attempts | task, machine, task, machine |
- * | 7 | `active`, later attempts | task, attempt, machine, and so on |
- * | 8 | `waiting` | task, last attempt, and so on |
- * | 9 | `done` | as in the plain form |
- * | 10 | `chunkTasks` | count of tasks |
- * | 11 | how machines are named | [prefix, count of digits]: a number above stands for such a name |
+ * | place | in the code | unit | | --- | --- | --- | | 6 | `active`, first attempts | task, machine, task,
+ * machine | | 7 | `active`, later attempts | task, attempt, machine, and so on | | 8 | `waiting` | task, last
+ * attempt, and so on | | 9 | `done` | as in the plain form | | 10 | `chunkTasks` | count of tasks | | 11 |
+ * form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
  *
- * Tasks are numbered from 0 in their job, attempts from 1.
+ * Tasks are numbered from 0 within their job, attempts from 1.
  */
 import { list, number, sizeOf, text } from './codec.js';
 
 /**
- * What a block has of a job's tasks, or of so many of them as one entry takes: a chunk of consecutive numbers. What is
- * in none of its lists has never been started.
+ * The recorded state of one chunk of a job's tasks in a block. A chunk is a range of consecutive task numbers
+ * that fits into one entry. A task of the chunk that is in none of the lists has never been started.
  */
 export interface LedgerEntry {
   id: string;
   chunk: number;
-  /** Team and resources, so that tasks still on machines count after the job record has gone. */
+  /**
+   * Team and resources are stored here so that tasks still on machines count after the job's record has been
+   * deleted.
+   */
   team: string;
   cpus: number;
   accelerators: number;
   memoryGb: number;
-  /** Tasks that are on a machine, or may be: [index, attempt, machine]. */
+  /** Tasks that are or may be on a machine: [index, attempt, machine]. */
   active: [number, number, string][];
-  /** Tasks that wait after an earlier attempt: [index, last attempt]. */
+  /** Tasks that wait for a retry after an earlier attempt: [index, last attempt]. */
   waiting: [number, number][];
   /** Completed tasks as ranges: first, last, first, last… */
   done: number[];
   /**
-   * Tasks of a chunk, where these are not as many as earlier versions take. Where entries of several sizes cover a task, the
-   * one of the smallest size is the newest and the only one that counts.
+   * The number of tasks in a chunk; undefined if the chunks have the size that earlier versions use. If
+   * entries with different chunk sizes cover a task, the entry with the smallest size is the newest, and all
+   * others are ignored for this task.
    */
   chunkTasks?: number;
 }
 
-/** The stored form of a page. It holds entries of many jobs, so that one change of the store records a whole round. */
+/**
+ * The stored form of a page. A page holds entries of many jobs, so that one write records a whole placement
+ * round.
+ */
 export function ledgerPage(entries: LedgerEntry[]): unknown {
   return entries.map(ledgerEntry);
 }
 
-/** The stored form of an entry: compact where it names the size of its chunk, else plain. */
+/** The stored form of an entry: compact if the entry has `chunkTasks`, else plain. */
 export function ledgerEntry(entry: LedgerEntry): unknown {
   const { id, chunk, team, cpus, accelerators, memoryGb, active, waiting, done } = entry;
   const jobFields = [id, chunk, team, cpus, accelerators, memoryGb];
@@ -77,8 +75,8 @@
 }
 
 /**
- * The entries of a page; none where there is no page. Every controller reads every page of all the others, so what the lists
- * hold is not checked: only controllers write them.
+ * Parses the entries of a page; empty if there is no page. The items of the lists are not validated: every
+ * controller reads every page of all other controllers, and only controllers write pages.
  */
 export function parseLedgerPage(value: unknown): LedgerEntry[] {
   return list(value)
@@ -99,7 +97,7 @@
 
 type EntryTasks = Pick<LedgerEntry, 'active' | 'waiting' | 'done' | 'chunkTasks'>;
 
-/** Entries of earlier versions end with the lists of active, waiting and done tasks. */
+/** Number of lists at the end of a plain entry: active, waiting and done tasks. A compact entry has more. */
 const plainListCount = 3;
 
 function parsePlainTasks([active, waiting, done]: unknown[]): EntryTasks {
@@ -110,7 +108,7 @@
   };
 }
 
-/** How the names of machines are shortened to their numbers: a prefix, and the digits that follow it. */
+/** The form of machine names that are stored as a number: a prefix and the count of digits that follow it. */
 type MachineNameForm = [prefix: string, digits: number];
 
 const numberedNamePattern = /^(.*?)([0-9]{1,15})$/;
@@ -131,8 +129,9 @@
 }
 
 /**
- * Flat lists, since each change writes a whole page: first attempts as pairs of task and machine, later ones as triples with
- * the attempt, waiting tasks as pairs with their last attempt, ranges of completed tasks.
+ * The compact form of an entry's tasks. The lists are flat to save space, since each change writes a whole
+ * page: first attempts as pairs of task and machine, later attempts as triples of task, attempt and machine,
+ * waiting tasks as pairs of task and last attempt, completed tasks as ranges.
  */
 function compactTasks({ active, waiting, done, chunkTasks }: LedgerEntry): unknown[] {
   const nameForm = nameFormOf(active[0]?.[2] ?? '');
@@ -174,30 +173,34 @@
   return Array.from({ length: Math.floor(all.length / size) }, (_, i) => all.slice(i * size, (i + 1) * size));
 }
 
-/** Worst case of one task, and of an entry without its tasks, in the JSON form that limits are measured in. */
+/**
+ * Bytes that a task, or a range of completed tasks, takes at most as JSON: size limits are measured in that
+ * form.
+ */
 const bytesPerTask = 28;
 
+/** Bytes that an entry without tasks takes at most, as JSON. */
 const bytesPerEntry = 120;
 
-/** An entry takes this part of a page at most, so that pages fill well. */
+/** An entry takes at most this share of a page, so that little of a page stays unused. */
 const maxEntryShareOfPage = 1 / 4;
 
-/** The least size of a page in bytes: it has to hold an entry with a task of its own. */
+/** The minimum size of a page in bytes: an entry with a single task must fit into its share of the page. */
 export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / maxEntryShareOfPage);
 
-/** How many tasks a plain entry takes, where pages have `valueBytes` bytes at most. */
+/** How many tasks a plain entry can hold, at least 1, if a page has at most `valueBytes` bytes. */
 export function tasksPerChunk(valueBytes: number): number {
   return Math.max(1, Math.floor((valueBytes * maxEntryShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
-/** Bytes that a plain entry with so many tasks takes at the most. */
+/** Bytes that a plain entry with this number of tasks takes at most. */
 export function entryBytes(tasks: number): number {
   return bytesPerEntry + tasks * bytesPerTask;
 }
 
 /**
- * Bytes that an entry takes as it stands, at the most; compact ones are measured, since they may fill a page to the last
- * byte.
+ * Bytes that an entry takes at most with its current tasks. The size of a plain entry is estimated. A compact
+ * entry is measured, since compact entries may fill a page to the last byte.
  */
 export function writtenBytes(entry: LedgerEntry): number {
   if (entry.chunkTasks !== undefined) return sizeOf(ledgerEntry(entry)) + 1;
@@ -206,17 +209,20 @@
   return bytesPerEntry + (active.length + waiting.length + doneRanges) * bytesPerTask;
 }
 
-/** Worst case of a task in a compact entry while it is on no machine, and an entry without its tasks as it mostly is. */
+/** Bytes that a task of a compact entry takes at most while the task is on no machine, as JSON. */
 const bytesPerIdleTask = 11;
 
+/** Bytes that a compact entry without tasks takes in most cases, as JSON. */
 const bytesPerCompactEntry = 80;
 
-/** How many tasks a compact entry takes, where pages have `pageBytes` bytes at most. */
+/** How many tasks a compact entry is given, at least 1, if a page has at most `pageBytes` bytes. */
 export function compactTasksPerChunk(pageBytes: number): number {
   return Math.max(1, Math.floor((pageBytes * maxEntryShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
-/** Bytes that a compact entry with so many tasks takes once none of them is on a machine. */
+/**
+ * Bytes that a compact entry with this number of tasks takes at most once none of the tasks is on a machine.
+ */
 export function compactEntryBytes(entry: LedgerEntry, tasks: number): number {
   return writtenBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
 }
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -1,6 +1,7 @@
 /**
- * What goes to the state service, the cloud, users and workers, and what comes from them, against kept samples of either.
- * Statuses between controllers are compared in `peers/links.test.ts`, over a real connection.
+ * Compares the messages sent to and received from the state service, the cloud, users and workers with kept
+ * samples. Guards against a change of the wire format. Peer statuses are compared in
+ * `peers/peer-links.test.ts`, over a real connection.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -54,7 +55,7 @@
 const sent = new Samples('sent.json');
 const received = new Samples('received.json');
 
-test('the state service is asked as ever', () => {
+test('requests to the state service match the kept samples', () => {
   const conditions: Condition[] = [
     { key: 'lead', version: 12 },
     { key: 'job/req-000017', version: 0 },
@@ -77,7 +78,7 @@
   sent.assertPlain('state, paths', paths);
 });
 
-test('the state service is understood as ever', () => {
+test('kept responses of the state service are parsed unchanged', () => {
   const item: Item = { key: 'job/req-000017', value: { a: 1 }, version: 12 };
   assert.deepEqual(parseRead(received.plain('state, read')), item);
   assert.equal(revisionOf(received.plain('state, read')), 40);
@@ -98,7 +99,7 @@
   assert.equal(parseLeaseId(received.plain('state, lease')), 7);
 });
 
-test('the cloud is asked as ever', () => {
+test('requests to the cloud match the kept samples', () => {
   const rental: RentalRequest = { name: 'n-1', type: 'c8', zone: 'zone-a', spot: true, count: 50 };
   sent.assertWritten('cloud, rental', rentalBody(rental));
   sent.assertWritten('cloud, release', releaseBody(['vm-000001', 'vm-000002']));
@@ -106,7 +107,7 @@
   sent.assertPlain('cloud, paths', paths);
 });
 
-test('the cloud is understood as ever', () => {
+test('kept responses of the cloud are parsed unchanged', () => {
   const types: MachineType[] = [
     {
       name: 'g4',
@@ -162,7 +163,7 @@
   assert.deepEqual(parseMachineNames(received.plain('cloud, rented')), ['vm-000001', 'vm-000002']);
 });
 
-test('workers are answered as ever', () => {
+test('responses to workers match the kept samples', () => {
   const task: Pick<WorkerCommand, 'job' | 'index' | 'attempt'> = { job: 'req-000017', index: 3, attempt: 2 };
   const orders: WorkerCommand[] = [
     { kind: 'forget', ...task },
@@ -176,7 +177,7 @@
   sent.assertWritten('worker, nowhere else', redirectResponse(undefined));
 });
 
-test('workers are understood as ever', () => {
+test('a kept heartbeat of a worker is parsed unchanged', () => {
   const task: Pick<ReportedTask, 'job' | 'cause'> = { job: 'req-000017', cause: '' };
   const report: Heartbeat = {
     machine: 'vm-000001',
@@ -199,14 +200,14 @@
   assert.deepEqual(parseHeartbeat(received.plain('worker, report')), report);
 });
 
-test('users are answered as ever', () => {
+test('responses to users match the kept samples', () => {
   for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
     sent.assertWritten(`user, ${status}`, jobAnswer('req-000017', status));
     sent.assertWritten(`user, details of ${status}`, jobDetails('req-000017', status, 39, 1));
   }
 });
 
-test('users are understood as ever', () => {
+test('kept submissions of users are parsed unchanged', () => {
   const small: JobSpec = {
     id: 'req-000017',
     jobClass: 'nightly-render',
@@ -256,7 +257,7 @@
   assert.deepEqual(parseJob(received.plain('user, full submission'), 1235), full);
 });
 
-test("the operators' file is understood as ever", async () => {
+test("a kept operators' settings file is parsed unchanged, and the defaults are unchanged", async () => {
   const settings: OperatorSettings = {
     ladder: {
       start: 0.7,
@@ -289,7 +290,7 @@
   assert.deepEqual(await parseOperatorSettings('<shalekeel><ladder start="0.8"/></shalekeel>'), defaults);
 });
 
-test("what is wrong in the operators' file is named as ever", async () => {
+test("error texts about wrong operators' settings match the kept samples", async () => {
   const sample = readSampleFile('operator.xml');
   const wrong = [...sample.matchAll(/ (\w+)="([\d.]+)"/g)].map(([all, name]) =>
     sample.replace(all, ` ${name}="-1"`),
@@ -314,6 +315,6 @@
   sent.assertPlain('operator, errors', errors);
 });
 
-test('no sample of a message is left out', () => {
+test('every message sample is compared by a test', () => {
   assert.deepEqual([...sent.unread, ...received.unread], []);
 });
--- a/src/wire/outcome-transaction.ts
+++ b/src/wire/outcome-transaction.ts
@@ -1,25 +1,26 @@
 /**
- * The transaction that decides a job's outcome, whoever finds it out: it writes `end/<id>` and drops `job/<id>`. The forms of
- * both records are in `job-records.ts`. `JobCanceller`, `CancellationCascade` and `JobCompletion` commit it; of two outcomes
- * committed at a time one fails, since neither may exist before.
+ * The transaction that records a job's outcome: it writes `end/<id>` and deletes `job/<id>`. `job-records.ts`
+ * defines the forms of both records. `JobCanceller`, `CancellationCascade` and `JobCompletion` commit it. If
+ * two outcomes of a job are committed concurrently, one commit fails, since each is conditioned on the
+ * absence of an outcome.
  */
 import { type OutcomeRecord, outcomeRecord } from './job-records.js';
 import { jobKey, outcomeKey } from './keys.js';
 import type { Condition, Write } from './state.js';
 
-/** The conditions and writes of one outcome; several may be joined in one commit. */
+/** The conditions and writes of one outcome; one commit may combine those of several outcomes. */
 export interface OutcomeTransaction {
   conditions: Condition[];
-  /** The outcome is put, the job's record dropped. */
+  /** The first write stores the outcome, the second deletes the job's record. */
   writes: [{ put: string; value: unknown }, Write];
 }
 
-/** How many writes one such transaction counts for, where the state service limits them. */
+/** The number of writes for one outcome, which counts towards the state service's limit of writes. */
 export const changesPerOutcome = 2;
 
 /**
- * Conditioned on the job alone: it has no outcome yet, and its record still has `jobVersion`, the version from which the
- * outcome was found out.
+ * Builds the transaction for the outcome of one job. Its only conditions are that the job has no outcome yet
+ * and that the job's record still has the version `jobVersion`, from which the outcome was determined.
  */
 export function outcomeTransaction(
   id: string,
--- a/src/wire/peer-status.test.ts
+++ b/src/wire/peer-status.test.ts
@@ -7,13 +7,13 @@
 
 const sample = (new Samples('status.json').plain('leader') as { value: Fields }).value;
 
-test('a status is written in the fields that it was read from, in their order', () => {
+test('a peer status that is parsed and written again has the same fields in the same order', () => {
   const status = parsePeerStatus(sample);
   assert.ok(status);
   assert.deepEqual(Object.entries(peerStatusRecord(status)), Object.entries(sample));
 });
 
-test('a message that names no sender or lacks a list is no status', () => {
+test('a peer status without a sender or without one of its lists is refused', () => {
   for (const name of ['from', 'cancelled', 'gone', 'up']) {
     const others = Object.entries(sample).filter(([other]) => other !== name);
     assert.equal(parsePeerStatus(Object.fromEntries(others)), undefined, name);
@@ -24,6 +24,6 @@
   }
 });
 
-test('fields of later versions are ignored', () => {
+test('unknown fields of a peer status, from later versions, are ignored', () => {
   assert.deepEqual(parsePeerStatus({ ...sample, novelty: 1 }), parsePeerStatus(sample));
 });
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -1,58 +1,61 @@
 /**
- * What controllers tell each other of themselves. `PeerLinks` of one controller writes it, `PeerLinks` of the other reads it
- * and hands it to `PeerStatusHandler`. Nothing of it is stored.
+ * Wire form of the status messages that controllers send to each other. The `PeerLinks` of one controller
+ * sends a status; the `PeerLinks` of the other receives it and passes it to `PeerStatusHandler`. Statuses are
+ * not stored.
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `from` | `from` | label of the sender |
- * | `boot` | `incarnation` | opaque, one for each life of a process |
- * | `serial` | `sequence` | count from 1 in one incarnation |
- * | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 |
- * | `echoBoot` | `echoedIncarnation` | the receiver's `boot` that goes with it, else empty |
- * | `knows` | `storeRevision` | revision of the state service |
- * | `contactAge` | `storeContactAgeMs` | ms |
- * | `token` | `fencingToken` | revision of the state service, 0 while the sender does not lead |
- * | `gone` | `terminatedMachines` | list of names |
- * | `up` | `bootedMachines` | list of names |
- * | `since` | `cancelledSince` | revision of the state service |
- * | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
+ * | wire | in the code | unit | | --- | --- | --- | | `from` | `from` | label of the sender | | `boot` |
+ * `incarnation` | opaque, a new one at each process start | | `serial` | `sequence` | count from 1 in one
+ * incarnation | | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 | | `echoBoot` |
+ * `echoedIncarnation` | the receiver's `boot` in the same message, else empty | | `knows` | `storeRevision` |
+ * revision of the state service | | `contactAge` | `storeContactAgeMs` | ms | | `token` | `fencingToken` |
+ * revision of the state service, 0 while the sender does not lead | | `gone` | `terminatedMachines` | list of
+ * names | | `up` | `bootedMachines` | list of names | | `since` | `cancelledSince` | revision of the state
+ * service | | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
  */
 import { type Fields, isFields, number, text } from './codec.js';
 
-/** A job that has ended as cancelled, and the revision of its end. */
+/** A cancelled job and the revision at which its outcome was stored. */
 export type CancelledJob = [id: string, version: number];
 
-/** Cancellations as a controller lists them for a peer, and from which revision on the list is complete. */
+/**
+ * The cancellations that a controller lists for a peer, and the revision above which the list is complete.
+ */
 export interface ListedCancellations {
-  /** The sender has confirmed no cancellation with a version above this that is not on the list. */
+  /**
+   * The list contains every cancellation with a revision above this one that the sender has confirmed to a
+   * user.
+   */
   cancelledSince: number;
   cancelled: CancelledJob[];
 }
 
-/** What a controller tells the others of itself, several times in a heartbeat interval. */
+/** The status that a controller sends to each of the others, several times per heartbeat interval. */
 export interface PeerStatus extends ListedCancellations {
   /** The label of the sender. */
   from: string;
   incarnation: string;
-  /** Grows with each status that the incarnation sends. */
+  /** Increases with each status that the incarnation sends. */
   sequence: number;
-  /** How long the sender has been without the store, in ms. */
+  /** How long the sender has had no contact with the store, in ms. */
   storeContactAgeMs: number;
   /** The sender's fencing token while it leads, else 0. */
   fencingToken: number;
   /** The last sequence number that the sender has received from this incarnation of the receiver, else 0. */
   echoedSequence: number;
-  /** The incarnation of the receiver that is echoed; empty before the first. */
+  /**
+   * The incarnation of the receiver that sent the echoed sequence number; empty if the sender has received
+   * none.
+   */
   echoedIncarnation: string;
   /** The revision that the sender's replica of the store has reached. */
   storeRevision: number;
-  /** Machines that the sender has lately proven terminated. */
+  /** Machines that the sender has recently proven to be terminated. */
   terminatedMachines: string[];
-  /** Machines whose first heartbeat the sender has lately received. */
+  /** Machines whose first heartbeat the sender has recently received. */
   bootedMachines: string[];
 }
 
-/** The sent form. */
+/** The wire form of a status. */
 export function peerStatusRecord(status: PeerStatus): Fields {
   return {
     from: status.from,
@@ -71,8 +74,8 @@
 }
 
 /**
- * The status; undefined where the message does not say whose it is, or lacks one of its lists. What the lists hold is not
- * checked: only controllers write them.
+ * Parses a status; undefined if the message does not name its sender or lacks one of the lists. The items of
+ * the lists are not validated, since only controllers send statuses.
  */
 export function parsePeerStatus(message: unknown): PeerStatus | undefined {
   if (!isFields(message)) return undefined;
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,64 +1,59 @@
 /**
- * Requests to the state service and its answers. `StoreClient` and `ChangeWatch` send and read them, `transactions.ts` those
- * of commits. Keys are ours on this side and lie below one root on the other.
+ * Encodes requests to the state service and parses its responses. `transactions.ts` handles those of commits,
+ * `StoreClient` and `ChangeWatch` all others. Keys in the code have no root; on the wire, all keys start with
+ * one common root.
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `path`, `set`, `drop` | `key` | key with the root in front |
- * | `value` | `value` | a record |
- * | `stamp` | `version` | revision of the key's last change; as a condition 0: no such key |
- * | `logline` | `revision` | count of all changes so far |
- * | `tenure` | `lease` | number of a lease |
+ * | wire | in the code | unit | | --- | --- | --- | | `path`, `set`, `drop` | `key` | key, prefixed with the
+ * root | | `value` | `value` | a record | | `stamp` | `version` | revision of the key's last change; in a
+ * condition 0: no such key | | `logline` | `revision` | count of all changes in the store so far | | `tenure`
+ * | `lease` | number of a lease |
  *
  * A commit (`POST /commit`):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `when` | conditions | list of `path` and `stamp` |
- * | `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing where the commit only compares |
- * | `failed`, in the answer | `failed` | list of the keys whose conditions failed |
+ * | wire | in the code | unit | | --- | --- | --- | | `when` | conditions | list of `path` and `stamp` | |
+ * `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing if there are no writes | |
+ * `failed`, in the response | `failed` | list of the keys whose conditions failed |
  *
  * A list (`GET /keys`):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `prefix`, `since`, `most` | `prefix`, `after`, `limit` | keys, count of items |
- * | `items` | `items` | list of `path`, `value`, `stamp` |
- * | `hasNext` | `hasMore` | boolean |
+ * | wire | in the code | unit | | --- | --- | --- | | `prefix`, `since`, `most` | `prefix`, `after`, `limit`
+ * | keys, count of items | | `items` | `items` | list of `path`, `value`, `stamp` | | `hasNext` | `hasMore` |
+ * boolean |
  *
  * A watch (`GET /changes`):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `since` | `since` | revision |
- * | `holdMs` | `waitMs` | ms |
- * | `news` | `changes` | list of `set` with `value`, or `drop`, each with `stamp` |
+ * | wire | in the code | unit | | --- | --- | --- | | `since` | `since` | revision | | `holdMs` | `waitMs` |
+ * ms | | `news` | `changes` | list of `set` with `value`, or `drop`, each with `stamp` |
  *
  * A lease (`POST /grants`, `POST /grants/{id}/touch`, `DELETE /grants/{id}`):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `lifeMs` | `ttlMs` | ms |
- * | `tenure`, in the answer | lease id | number |
+ * | wire | in the code | unit | | --- | --- | --- | | `lifeMs` | `ttlMs` | ms | | `tenure`, in the response |
+ * lease id | number |
  */
 import { type Fields, isFields, list, number, text } from './codec.js';
 
-/** A commit applies only while the key has this version. */
+/** A condition of a commit: the commit is applied only if the key has this version. */
 export interface Condition {
   key: string;
   /** 0: the key does not exist. */
   version: number;
 }
 
-/** A change of one key. A value that is put without a lease stays until it is dropped, whatever lease it had before. */
+/**
+ * A write of a commit: puts the value of a key or deletes the key. A value that is put without a lease is
+ * kept until it is deleted, even if the key was bound to a lease before.
+ */
 export type Write = { put: string; value: unknown; lease?: number } | { drop: string };
 
-/** The key that the write changes. */
+/** The key that a write puts or deletes. */
 export function writtenKey(write: Write): string {
   return 'drop' in write ? write.drop : write.put;
 }
 
-/** Bytes of JSON that a transaction's writes and conditions may take: the service's limit, less room for its framing. */
+/**
+ * Bytes that the writes and conditions of a transaction may take as JSON: the service's limit less room for
+ * framing.
+ */
 export const maxTransactionBytes = 60 * 1024;
 
 /** A key with its value and the revision of its last change. */
@@ -68,7 +63,7 @@
   version: number;
 }
 
-/** A change seen by a watch; without a value the key was deleted. */
+/** A change reported by a watch; `value` is undefined if the key was deleted. */
 export interface Change {
   key: string;
   value: unknown;
@@ -76,26 +71,32 @@
   deleted: boolean;
 }
 
-// One root for all our keys, so that a single watch sees them all.
+// All keys of shalekeel share one root, so that a single watch covers all of them.
 const keyRoot = 'sk/';
 
-/** The path of a request for one key. */
+/** The request path for reading one key. */
 export function keyPath(key: string): string {
   return `/keys/${keyRoot}${key}`;
 }
 
-/** The path of a list of keys with the prefix, beginning after a key, or with the first where this is empty. */
+/**
+ * The request path for listing at most `limit` keys with the prefix. The list starts after the key `after`,
+ * or at the first key if `after` is empty.
+ */
 export function listPath(prefix: string, after: string, limit: number): string {
   const since = after === '' ? '' : `&since=${encodeURIComponent(keyRoot + after)}`;
   return `/keys?prefix=${encodeURIComponent(keyRoot + prefix)}${since}&most=${limit}`;
 }
 
-/** The path of a watch of all our keys: answered once one has changed after the revision `since`, or after `waitMs`. */
+/**
+ * The request path for watching all keys below the root. The service responds once a key has changed after
+ * the revision `since`, or after `waitMs`.
+ */
 export function watchPath(since: number, waitMs: number): string {
   return `/changes?prefix=${encodeURIComponent(keyRoot)}&since=${since}&holdMs=${waitMs}`;
 }
 
-/** The body of a commit; without writes it only compares. */
+/** The request body of a commit; a commit without writes only checks its conditions. */
 export function commitBody(conditions: Condition[], writes: Write[]): unknown {
   const body: Fields = {
     when: conditions.map((condition) => ({ path: keyRoot + condition.key, stamp: condition.version })),
@@ -111,7 +112,10 @@
   return body;
 }
 
-/** The answer to a commit: the revision, and the keys whose conditions failed where it was refused. */
+/**
+ * Parses the response to a commit: the revision and, if the commit was refused, the keys whose conditions
+ * failed.
+ */
 export function parseCommit(body: unknown): { revision: number; failed: string[] } {
   const fields = isFields(body) ? body : {};
   return {
@@ -120,7 +124,7 @@
   };
 }
 
-/** The store's revision when it answered, where the answer names it. */
+/** The revision of the store at the time of a response; undefined if the response does not contain it. */
 export function revisionOf(body: unknown): number | undefined {
   const revision = isFields(body) ? body['logline'] : undefined;
   return typeof revision === 'number' ? revision : undefined;
@@ -135,20 +139,20 @@
   };
 }
 
-/** The answer to a request for one key. */
+/** Parses the response to a read of one key; undefined if it holds no item. */
 export function parseRead(body: unknown): Item | undefined {
   return parseItem(body);
 }
 
-/** One page of a list, in the order of the keys. */
+/** One page of a list of keys, ordered by key. */
 export interface ListPage {
   items: Item[];
-  /** There are further items after the last of these. */
+  /** Whether the list continues after the last item of this page. */
   hasMore: boolean;
   revision: number;
 }
 
-/** The answer to a list. */
+/** Parses the response to a list request. */
 export function parseList(body: unknown): ListPage {
   const fields = isFields(body) ? body : {};
   return {
@@ -160,7 +164,7 @@
   };
 }
 
-/** The answer to a watch: the changes in their order, and the revision that they lead up to. */
+/** Parses the response to a watch: the changes in order, and the revision that includes all of them. */
 export function parseChanges(body: unknown): { changes: Change[]; revision: number } {
   const fields = isFields(body) ? body : {};
   return {
@@ -179,17 +183,17 @@
   };
 }
 
-/** The body of a request for a lease, in whole ms. */
+/** The request body for creating a lease; the time to live is rounded to whole ms. */
 export function createLeaseBody(ttlMs: number): unknown {
   return { lifeMs: Math.round(ttlMs) };
 }
 
-/** The number of a new lease; -1 where the answer names none. */
+/** Parses the id of a new lease; -1 if the response contains none. */
 export function parseLeaseId(body: unknown): number {
   return number(isFields(body) ? body['tenure'] : undefined, -1);
 }
 
-/** The path of a lease; `/touch` behind it renews the lease. */
+/** The request path of a lease; with `/touch` appended, the path for renewing the lease. */
 export function leasePath(id: number): string {
   return `/grants/${id}`;
 }
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -1,4 +1,7 @@
-/** Every form in the state service, against samples that an earlier version wrote: there as well as back. */
+/**
+ * Compares every stored record form with samples that an earlier version wrote, for writing and for reading.
+ * Guards against a change of a stored form, which other versions of the controller could then not read.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -189,7 +192,7 @@
   { ...ledgerBase, id: 'req-000018', chunk: 0, chunkTasks: 40, active: [], waiting: [[1, 1]], done: [] },
 ];
 
-test('who leads, who is alive and who reads which format are stored as ever', () => {
+test('the records of the leader, of live controllers and of formats match the kept samples', () => {
   samples.assertWritten('lead', leaderRecord(leader));
   samples.assertRead('lead', parseLeader, leader);
   samples.assertWritten('alive', aliveRecord(alive));
@@ -198,14 +201,14 @@
   samples.assertRead('formats', parseFormat, currentFormat);
 });
 
-test('jobs are stored as ever', () => {
+test('the records of open jobs match the kept samples', () => {
   for (const [name, job] of Object.entries(jobs)) {
     samples.assertWritten(name, jobRecord(job));
     samples.assertRead(name, parseJobRecord, job);
   }
 });
 
-test('ends of jobs are stored as ever', () => {
+test('the records of job outcomes match the kept samples', () => {
   for (const [name, outcome] of Object.entries(outcomes)) {
     samples.assertWritten(name, outcomeRecord(outcome));
     samples.assertRead(name, parseOutcome, outcome);
@@ -213,7 +216,7 @@
   }
 });
 
-test('a block that names its machines is stored as ever', () => {
+test('the record of a block that lists its machines matches the kept sample', () => {
   samples.assertWritten('block, machines', blockRecord(block));
   samples.assertRead('block, machines', (value) => parseBlock(value, version), {
     ...block,
@@ -221,7 +224,7 @@
   });
 });
 
-test('a token of 0 is stored for that of the revision as ever', () => {
+test('a fencing token of 0, which stands for the revision of the record, matches the kept sample', () => {
   const [first] = firstPage;
   const fresh = { ...block, machines: [{ ...first, fencingToken: 0 } as LeasedMachine] };
   samples.assertWritten('block, fresh machine', blockRecord(fresh));
@@ -231,7 +234,7 @@
   });
 });
 
-test('a block whose machines are on pages is stored as ever', () => {
+test('the record and the pages of a block whose machines are on pages match the kept samples', () => {
   const pages: [number, LeasedMachine[]][] = [
     [0, firstPage],
     [3, secondPage],
@@ -260,7 +263,7 @@
   samples.assertRead('block, pages and fresh token', read, renewed);
 });
 
-test('pages of a ledger are stored as ever, in both sizes of entries', () => {
+test('ledger pages with plain and with compact entries match the kept samples', () => {
   for (const [name, entries] of [
     ['run, present size', plainEntries],
     ['run, compact', compactEntries],
@@ -271,7 +274,7 @@
   }
 });
 
-test('ladders are stored as ever', () => {
+test('the records of moved thresholds match the kept samples', () => {
   const moved: [number, number][] = [
     [1, 7],
     [12, 0.125],
@@ -283,7 +286,7 @@
   samples.assertRead('ladder, cut', parseLadder, moved.slice(1));
 });
 
-test('everything is stored where it always was', () => {
+test('all keys match the kept samples', () => {
   const keys = {
     lead: leaderKey,
     alive: aliveKey('keel-1'),
@@ -299,6 +302,6 @@
   samples.assertPlain('keys', keys);
 });
 
-test('no sample of a stored form is left out', () => {
+test('every sample of a stored form is compared by a test', () => {
   assert.deepEqual(samples.unread, []);
 });
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,50 +1,36 @@
 /**
- * Heartbeats of workers (`POST /hello`) and the responses to them. `HeartbeatHandler` reads the one and writes the others.
+ * Parses the heartbeats of workers (`POST /hello`) and builds the responses to them, both for
+ * `HeartbeatHandler`.
  *
  * A heartbeat:
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `host` | `machine` | name |
- * | `endpoint` | `address` | host:port |
- * | `hull` | `type` | name |
- * | `berth` | `zone` | name |
- * | `loaners` | `spot` | boolean |
- * | `watch` | `agentEpoch` | count from 1 |
- * | `tick` | `sequence` | count |
- * | `helm` | `fencingToken` | revision of the state service; 0: none seen |
- * | `recallS` | `preemptionNoticeS` | s, or null |
- * | `pieces` | `tasks` | list, see below |
+ * | wire | in the code | unit | | --- | --- | --- | | `host` | `machine` | name | | `endpoint` | `address` |
+ * host:port | | `hull` | `type` | name | | `berth` | `zone` | name | | `loaners` | `spot` | boolean | |
+ * `watch` | `agentEpoch` | count from 1 | | `tick` | `sequence` | count | | `helm` | `fencingToken` |
+ * revision of the state service; 0: none seen | | `recallS` | `preemptionNoticeS` | s, or null | | `pieces` |
+ * `tasks` | list, see below |
  *
- * A task in it:
+ * A task in a heartbeat:
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `piece` | `job`, `index` | `<job>/<number of the task from 0>` |
- * | `try` | `attempt` | count from 1 |
- * | `status` | `state` | name |
- * | `cause` | `cause` | name, of an ended task only |
+ * | wire | in the code | unit | | --- | --- | --- | | `piece` | `job`, `index` | `<job>/<number of the task
+ * from 0>` | | `try` | `attempt` | count from 1 | | `status` | `state` | name | | `cause` | `cause` | name;
+ * only of an ended task |
  *
  * The response of the controller that owns the machine (200):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `helm` | `fencingToken` | revision of the state service |
- * | `orders` | `commands` | list, see below; carried out in this order |
+ * | wire | in the code | unit | | --- | --- | --- | | `helm` | `fencingToken` | revision of the state service
+ * | | `orders` | `commands` | list, see below; carried out in this order |
  *
- * A command in it:
+ * A command in a response:
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `verb` | `kind` | `run`: `start`, `halt`: `stop`, `reap`: `forget` |
- * | `piece`, `try` | `job`, `index`, `attempt` | as above |
- * | `leewayS` | `graceS` | s, of a stop only |
+ * | wire | in the code | unit | | --- | --- | --- | | `verb` | `kind` | `run`: `start`, `halt`: `stop`,
+ * `reap`: `forget` | | `piece`, `try` | `job`, `index`, `attempt` | as above | | `leewayS` | `graceS` | s;
+ * only of a stop |
  *
- * The response of a controller that may not answer for the machine (421; 503 where no owner is known):
+ * The response of a controller that may not send commands to the machine (421; 503 if no owner is known):
  *
- * | wire | in the code | unit |
- * | --- | --- | --- |
- * | `skipper` | `label` | name of the controller to report to; missing where none is named |
+ * | wire | in the code | unit | | --- | --- | --- | | `skipper` | `label` | name of the controller to report
+ * to; missing if there is none to name |
  */
 import type { Heartbeat, ReportedTask, TaskRef, TaskState, WorkerCommand } from '../model/types.js';
 import { type Fields, isFields, list, number, text } from './codec.js';
@@ -78,8 +64,8 @@
 }
 
 /**
- * A worker's heartbeat; undefined where it lacks its machine, epoch, sequence or list of tasks. Tasks without a proper name
- * are left out.
+ * Parses a worker's heartbeat; undefined if the machine, epoch, sequence or list of tasks is missing. Tasks
+ * whose name is malformed are left out.
  */
 export function parseHeartbeat(body: unknown): Heartbeat | undefined {
   if (!isFields(body)) return undefined;
@@ -115,14 +101,17 @@
 }
 
 /**
- * The body of a 200. The worker drops the response where it has seen a higher fencing token; otherwise it renews the worker's
- * lease.
+ * The body of a 200 response. If the worker has already received a higher fencing token, it ignores the
+ * response; otherwise the response renews the worker's lease.
  */
 export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): unknown {
   return { helm: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/** The body of a 421 or 503: with the label of the controller to report to, or empty. */
+/**
+ * The body of a 421 or 503 response: the label of the controller to report to, or an empty map if there is
+ * none.
+ */
 export function redirectResponse(label: string | undefined): unknown {
   return label === undefined ? {} : { skipper: label };
 }
