--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -1,6 +1,5 @@
 /**
- * Stored form of a block's lease: the owner of the block, its machines, and the quota share of each team in
- * it.
+ * Stored form of a block's lease: the owner, the machines and the quota share of each team.
  *
  * The keys are `block/<n>` and `machines/<n>/<page>`. The leader writes them (`LeaseWriter`), and so does the
  * owner when it renews its own lease (`LeaseRenewals`); both write through `BlockWriter`. Every controller
@@ -39,12 +38,9 @@
   spot: boolean;
   /** No further task may be placed on the machine: it is about to be released or leased to another owner. */
   draining: boolean;
-  /** Time of day at which the machine was rented in ms, as far as known. */
+  /** Time of day of the machine's rental in ms, as far as known. */
   rentedAt: number;
-  /**
-   * The page that lists the machine; undefined while no page is assigned or if the block's record lists the
-   * machine.
-   */
+  /** The page that lists the machine; undefined before one is assigned or if the block's record lists it. */
   page?: number;
 }
 
@@ -69,10 +65,7 @@
   leaseFencingToken?: number;
 }
 
-/**
- * The stored form of machines: grouped by type, zone and spot, so that a group stores its type and zone only
- * once.
- */
+/** The stored form of machines: grouped by type, zone and spot, which are stored once for each group. */
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
   for (const machine of machines) {
@@ -122,10 +115,7 @@
   return isFields(value) && Array.isArray(value['machines']);
 }
 
-/**
- * The pages of a block's machines by page number, in ascending order; `entries` are the keys with the pages'
- * prefix.
- */
+/** The pages of a block's machines in order of their numbers, from the keys with the pages' prefix. */
 export function machinePages(
   block: number,
   entries: Iterable<readonly [string, StoredValue]>,
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -31,7 +31,7 @@
   assert.throws(() => decodeFields(Buffer.from([0x81])));
 });
 
-test('a heartbeat is read without malformed tasks or unknown fields, and refused if a required field is missing', () => {
+test('a heartbeat without required fields is refused; malformed tasks and unknown fields are dropped', () => {
   const report = parseHeartbeat({
     host: 'vm-1',
     endpoint: 'e',
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -6,23 +6,28 @@
  * reads it, in `Election`, and each commit that only the leader may make is conditioned on it. The revision
  * of the commit that wrote it is the leader's fencing token.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `label` | `label` | name of the controller in the
- * settings | | `boot` | `incarnation` | opaque, a new one at each process start | | `serial` | `candidacy` |
- * count from 1 in one incarnation |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `label` | `label` | name of the controller in the settings |
+ * | `boot` | `incarnation` | opaque, a new one at each process start |
+ * | `serial` | `candidacy` | count from 1 in one incarnation |
  *
  * `alive/<label>` is written by the `Membership` of that controller and bound to its lease. If the key is
  * absent, the controller has failed or has no contact with the store. `Membership` and the leader's
  * `BlockRegistry` read it.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `boot` | `incarnation` | as above | | `zone` | `zone`
- * | name of the zone |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `boot` | `incarnation` | as above |
+ * | `zone` | `zone` | name of the zone |
  *
  * `formats/<label>` is written by the `Membership` of that controller and bound to no lease; the number never
  * decreases. `Membership` and `BlockRegistry` read it: the leader uses new record formats once every
  * controller reads them.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `format` | the number itself | version of the record
- * formats, see `currentFormat` |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `format` | the number itself | version of the record formats, see `currentFormat` |
  */
 import { isFields, number, text } from './codec.js';
 
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -6,17 +6,20 @@
  * `DispatchWriter`. The commit that writes the job's outcome deletes it. Every controller reads it
  * (`JobIndex`, `BlockState`), and `Intake` reads it to answer users.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `spec` | `spec` | see `job-spec-record.ts` | |
- * `parts` | `taskRanges` | list of [block, first, count]: a block's number, a task's number, a count of tasks
- * |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `spec` | `spec` | see `job-spec-record.ts` |
+ * | `parts` | `taskRanges` | list of [block, first, count]: numbers of a block and a task, count of tasks |
  *
  * `end/<id>` is written once: by the controller that cancels the job or finds that its last task is done
  * (`outcomeTransaction`), or by `Submissions`, in place of the job's record, if a submitted job depends on a
  * cancelled one. Every controller reads it.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `end` | `outcome` | `done` or `cancelled` | | `tasks`
- * | `tasks` | count of the job's tasks | | `at` | `endedAt` | time of day in ms; records of earlier versions
- * lack it |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `end` | `outcome` | `done` or `cancelled` |
+ * | `tasks` | `tasks` | count of the job's tasks |
+ * | `at` | `endedAt` | time of day in ms; records of earlier versions lack it |
  */
 import type { JobSpec } from '../model/types.js';
 import { type Fields, isFields, list, number, sizeOf } from './codec.js';
@@ -61,10 +64,7 @@
   count: number;
 }
 
-/**
- * Bytes that a job's record reserves for the ranges of its tasks, as JSON: size limits are measured in that
- * form.
- */
+/** Bytes reserved in a job's record for the ranges of its tasks, as JSON: limits apply to that form. */
 export const minTaskRangesBytes = 256;
 
 /** Bytes that one range takes at most, as JSON. */
@@ -82,10 +82,7 @@
 /** The record under `job/<id>`: a job that has no outcome yet. */
 export interface JobRecord {
   spec: JobSpec;
-  /**
-   * The dispatched tasks. The leader has yet to dispatch all other tasks, for which no block has had room so
-   * far.
-   */
+  /** The dispatched tasks. The leader has yet to dispatch all others: no block has had room for them so far. */
   taskRanges: TaskRange[];
 }
 
--- a/src/wire/job-spec-record.test.ts
+++ b/src/wire/job-spec-record.test.ts
@@ -15,7 +15,7 @@
 
 // Guards against the loss of fields that a later version has stored in a job's record: a leader of this
 // version that dispatches the job writes the record again.
-test('fields that a later version has stored in the record of a job are kept when the record is written again', () => {
+test('unknown fields in the record of a job are kept when the record is written again', () => {
   const stored = { ...jobSpecRecord(jobSpec('req-000001', 3)), novelty: { a: [1] } };
   const job = parseJobRecord({ spec: stored, parts: [] });
   assert.ok(job);
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -4,14 +4,24 @@
  * unchanged, including fields that only later versions use. Its readers are listed in `job-records.ts`. A
  * test compares the stored form with kept samples: names in the code may change, stored names may not.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `id`, `jobClass`, `team`, `urgency` | the same |
- * names | | `tasks` | `tasks` | count | | `cpus`, `accelerators` | the same | amount for each task | |
- * `memoryGb` | `memoryGb` | GB for each task | | `image` | `image` | name | | `imageGb` | `imageGb` | GB | |
- * `types` | `machineTypes` | list of names, or null | | `zone` | `zone` | name, or null | | `oneZone` |
- * `colocated` | boolean | | `spread`, `spot` | the same | boolean | | `estimateS` | `estimatedRunS` | s | |
- * `checkpointS` | `checkpointIntervalS` | s | | `saveS` | `checkpointSaveS` | s | | `deadlineS` | `deadlineS`
- * | s from the acceptance, or null | | `acceptedAt` | `acceptedAt` | time of day in ms | | `dependencies` |
- * `dependencies` | list of ids; missing where the job has none |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `id`, `jobClass`, `team`, `urgency` | the same | names |
+ * | `tasks` | `tasks` | count |
+ * | `cpus`, `accelerators` | the same | amount for each task |
+ * | `memoryGb` | `memoryGb` | GB for each task |
+ * | `image` | `image` | name |
+ * | `imageGb` | `imageGb` | GB |
+ * | `types` | `machineTypes` | list of names, or null |
+ * | `zone` | `zone` | name, or null |
+ * | `oneZone` | `colocated` | boolean |
+ * | `spread`, `spot` | the same | boolean |
+ * | `estimateS` | `estimatedRunS` | s |
+ * | `checkpointS` | `checkpointIntervalS` | s |
+ * | `saveS` | `checkpointSaveS` | s |
+ * | `deadlineS` | `deadlineS` | s from the acceptance, or null |
+ * | `acceptedAt` | `acceptedAt` | time of day in ms |
+ * | `dependencies` | `dependencies` | list of ids; missing where the job has none |
  */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { type Fields, list, number, text } from './codec.js';
@@ -71,9 +81,7 @@
   return spec.unknownFields === undefined ? fields : { ...fields, ...spec.unknownFields };
 }
 
-/**
- * Parses the specification of a job; fields that this version does not define are kept in `unknownFields`.
- */
+/** Parses a job's specification. Fields that this version does not define are kept in `unknownFields`. */
 export function parseJobSpec(fields: Fields): JobSpec {
   const spec: JobSpec = {
     id: text(fields['id']),
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -83,8 +83,8 @@
 
 /**
  * Parses a submission. Returns the job, or, if the submission is malformed, the path of the first invalid
- * field and the reason why it is invalid. `acceptedAt` is the time of day in ms. Repeated dependencies are
- * dropped.
+ * field and the reason why it is invalid. `acceptedAt` is the time of day in ms. A dependency that is listed
+ * twice is kept once.
  */
 export function parseJob(body: unknown, acceptedAt: number): JobSpec | string {
   const result = v.safeParse(submissionSchema, body);
@@ -119,10 +119,7 @@
   };
 }
 
-/**
- * The status of a job as reported to users: `pending` until a task runs, then `running`, then the job's
- * outcome.
- */
+/** The status of a job as users see it: `pending` until a task runs, then `running`, then the outcome. */
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** The body of the response to a submission or a cancellation. */
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -2,20 +2,20 @@
  * The keys under which controllers store records in the state service. `state.ts` prefixes them with a common
  * root. `<n>` is the number of a block.
  *
- * | key | record | form in | written by | | --- | --- | --- | --- | | `lead` | the leader |
- * `controller-records.ts` | `Election` | | `alive/<label>` | a live controller | `controller-records.ts` |
- * `Membership` | | `formats/<label>` | the record format that a controller reads | `controller-records.ts` |
- * `Membership` | | `ladder/<pool>` | moved thresholds | `ladder-records.ts` | `ThresholdStore` | |
- * `block/<n>` | the lease of a block | `block-records.ts` | `BlockWriter` | | `machines/<n>/<page>` |
- * machines of a block | `block-records.ts` | `BlockWriter` | | `job/<id>` | an open job | `job-records.ts` |
- * `Submissions`, `DispatchWriter` | | `run/<n>/<page>` | a page of a block's ledger | `ledger-records.ts` |
- * `LedgerWriter` | | `end/<id>` | the outcome of a job | `job-records.ts` | `outcomeTransaction`,
- * `Submissions` |
+ * | key | record | form in | written by |
+ * | --- | --- | --- | --- |
+ * | `lead` | the leader | `controller-records.ts` | `Election` |
+ * | `alive/<label>` | a live controller | `controller-records.ts` | `Membership` |
+ * | `formats/<label>` | the record format that a controller reads | `controller-records.ts` | `Membership` |
+ * | `ladder/<pool>` | moved thresholds | `ladder-records.ts` | `ThresholdStore` |
+ * | `block/<n>` | the lease of a block | `block-records.ts` | `BlockWriter` |
+ * | `machines/<n>/<page>` | machines of a block | `block-records.ts` | `BlockWriter` |
+ * | `job/<id>` | an open job | `job-records.ts` | `Submissions`, `DispatchWriter` |
+ * | `run/<n>/<page>` | a page of a block's ledger | `ledger-records.ts` | `LedgerWriter` |
+ * | `end/<id>` | the outcome of a job | `job-records.ts` | `outcomeTransaction`, `Submissions` |
  */
 
-/**
- * The record of the leader. The leader's commits are conditioned on its version, which is the fencing token.
- */
+/** The record of the leader. Its version is the fencing token; the leader's commits are conditioned on it. */
 export const leaderKey = 'lead';
 /** The record of a live controller, bound to that controller's lease. */
 export const aliveKey = (label: string): string => `alive/${label}`;
@@ -25,10 +25,7 @@
 export const machinesPrefix = (block: number): string => `machines/${block}/`;
 /** A page of a block's machines. Pages are numbered from 0. */
 export const machinesKey = (block: number, page: number): string => `${machinesPrefix(block)}${page}`;
-/**
- * The record format that a controller's version reads and writes; kept permanently once the controller has
- * run.
- */
+/** The record format that a controller's version uses; kept permanently once the controller has run. */
 export const formatKey = (label: string): string => `formats/${label}`;
 /** The moved thresholds of a pool; a pool is one machine type, spot or not. */
 export const ladderKey = (pool: string): string => `ladder/${pool}`;
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -4,8 +4,9 @@
  * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds. The
  * `ThresholdStore` of a new leader reads it at the start of the leader's term.
  *
- * | stored | in the code | unit | | --- | --- | --- | | `moved` | list of pairs | [number of the machine in
- * the pool from 2, threshold in slots], the last moved one last |
+ * | stored | in the code | unit |
+ * | --- | --- | --- |
+ * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], last moved one last |
  */
 import { isFields, list, number } from './codec.js';
 
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -8,21 +8,32 @@
  *
  * A page is a list of entries, and each entry is a list. Both forms of an entry begin with:
  *
- * | place | in the code | unit | | --- | --- | --- | | 0 | `id` | id of the job | | 1 | `chunk` | number of
- * the chunk from 0 | | 2 | `team` | name | | 3, 4 | `cpus`, `accelerators` | amount for each task | | 5 |
- * `memoryGb` | GB for each task |
+ * | place | in the code | unit |
+ * | --- | --- | --- |
+ * | 0 | `id` | id of the job |
+ * | 1 | `chunk` | number of the chunk from 0 |
+ * | 2 | `team` | name |
+ * | 3, 4 | `cpus`, `accelerators` | amount for each task |
+ * | 5 | `memoryGb` | GB for each task |
  *
  * The plain form, which every version reads, continues with:
  *
- * | place | in the code | unit | | --- | --- | --- | | 6 | `active` | list of [task, attempt, machine] | | 7
- * | `waiting` | list of [task, last attempt] | | 8 | `done` | first, last, first, last: numbers of tasks |
+ * | place | in the code | unit |
+ * | --- | --- | --- |
+ * | 6 | `active` | list of [task, attempt, machine] |
+ * | 7 | `waiting` | list of [task, last attempt] |
+ * | 8 | `done` | first, last, first, last: numbers of tasks |
  *
  * The compact form, used from format 2 on (see `currentFormat`), continues with:
  *
- * | place | in the code | unit | | --- | --- | --- | | 6 | `active`, first attempts | task, machine, task,
- * machine | | 7 | `active`, later attempts | task, attempt, machine, and so on | | 8 | `waiting` | task, last
- * attempt, and so on | | 9 | `done` | as in the plain form | | 10 | `chunkTasks` | count of tasks | | 11 |
- * form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
+ * | place | in the code | unit |
+ * | --- | --- | --- |
+ * | 6 | `active`, first attempts | task, machine, task, machine |
+ * | 7 | `active`, later attempts | task, attempt, machine, and so on |
+ * | 8 | `waiting` | task, last attempt, and so on |
+ * | 9 | `done` | as in the plain form |
+ * | 10 | `chunkTasks` | count of tasks |
+ * | 11 | form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
  *
  * Tasks are numbered from 0 within their job, attempts from 1.
  */
@@ -57,10 +68,7 @@
   chunkTasks?: number;
 }
 
-/**
- * The stored form of a page. A page holds entries of many jobs, so that one write records a whole placement
- * round.
- */
+/** The stored form of a page. It holds entries of many jobs, so that one write records a placement round. */
 export function ledgerPage(entries: LedgerEntry[]): unknown {
   return entries.map(ledgerEntry);
 }
@@ -173,10 +181,7 @@
   return Array.from({ length: Math.floor(all.length / size) }, (_, i) => all.slice(i * size, (i + 1) * size));
 }
 
-/**
- * Bytes that a task, or a range of completed tasks, takes at most as JSON: size limits are measured in that
- * form.
- */
+/** Bytes that a task or a range of completed tasks takes at most, as JSON: limits apply to that form. */
 const bytesPerTask = 28;
 
 /** Bytes that an entry without tasks takes at most, as JSON. */
@@ -220,9 +225,7 @@
   return Math.max(1, Math.floor((pageBytes * maxEntryShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
-/**
- * Bytes that a compact entry with this number of tasks takes at most once none of the tasks is on a machine.
- */
+/** Bytes that a compact entry with this number of tasks takes at most while no task is on a machine. */
 export function compactEntryBytes(entry: LedgerEntry, tasks: number): number {
   return writtenBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
 }
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -3,28 +3,29 @@
  * sends a status; the `PeerLinks` of the other receives it and passes it to `PeerStatusHandler`. Statuses are
  * not stored.
  *
- * | wire | in the code | unit | | --- | --- | --- | | `from` | `from` | label of the sender | | `boot` |
- * `incarnation` | opaque, a new one at each process start | | `serial` | `sequence` | count from 1 in one
- * incarnation | | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 | | `echoBoot` |
- * `echoedIncarnation` | the receiver's `boot` in the same message, else empty | | `knows` | `storeRevision` |
- * revision of the state service | | `contactAge` | `storeContactAgeMs` | ms | | `token` | `fencingToken` |
- * revision of the state service, 0 while the sender does not lead | | `gone` | `terminatedMachines` | list of
- * names | | `up` | `bootedMachines` | list of names | | `since` | `cancelledSince` | revision of the state
- * service | | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `from` | `from` | label of the sender |
+ * | `boot` | `incarnation` | opaque, a new one at each process start |
+ * | `serial` | `sequence` | count from 1 in one incarnation |
+ * | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 |
+ * | `echoBoot` | `echoedIncarnation` | the receiver's `boot` in the same message, else empty |
+ * | `knows` | `storeRevision` | revision of the state service |
+ * | `contactAge` | `storeContactAgeMs` | ms |
+ * | `token` | `fencingToken` | revision of the state service, 0 while the sender does not lead |
+ * | `gone` | `terminatedMachines` | list of names |
+ * | `up` | `bootedMachines` | list of names |
+ * | `since` | `cancelledSince` | revision of the state service |
+ * | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
  */
 import { type Fields, isFields, number, text } from './codec.js';
 
 /** A cancelled job and the revision at which its outcome was stored. */
 export type CancelledJob = [id: string, version: number];
 
-/**
- * The cancellations that a controller lists for a peer, and the revision above which the list is complete.
- */
+/** The cancellations that a controller lists for a peer; the list is complete after `cancelledSince`. */
 export interface ListedCancellations {
-  /**
-   * The list contains every cancellation with a revision above this one that the sender has confirmed to a
-   * user.
-   */
+  /** A revision: the list has every later cancellation that the sender has confirmed to a user. */
   cancelledSince: number;
   cancelled: CancelledJob[];
 }
@@ -42,10 +43,7 @@
   fencingToken: number;
   /** The last sequence number that the sender has received from this incarnation of the receiver, else 0. */
   echoedSequence: number;
-  /**
-   * The incarnation of the receiver that sent the echoed sequence number; empty if the sender has received
-   * none.
-   */
+  /** The incarnation of the receiver that sent the echoed sequence number; empty if there is none. */
   echoedIncarnation: string;
   /** The revision that the sender's replica of the store has reached. */
   storeRevision: number;
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -3,32 +3,44 @@
  * `StoreClient` and `ChangeWatch` all others. Keys in the code have no root; on the wire, all keys start with
  * one common root.
  *
- * | wire | in the code | unit | | --- | --- | --- | | `path`, `set`, `drop` | `key` | key, prefixed with the
- * root | | `value` | `value` | a record | | `stamp` | `version` | revision of the key's last change; in a
- * condition 0: no such key | | `logline` | `revision` | count of all changes in the store so far | | `tenure`
- * | `lease` | number of a lease |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `path`, `set`, `drop` | `key` | key, prefixed with the root |
+ * | `value` | `value` | a record |
+ * | `stamp` | `version` | revision of the key's last change; in a condition 0: no such key |
+ * | `logline` | `revision` | count of all changes in the store so far |
+ * | `tenure` | `lease` | number of a lease |
  *
  * A commit (`POST /commit`):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `when` | conditions | list of `path` and `stamp` | |
- * `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing if there are no writes | |
- * `failed`, in the response | `failed` | list of the keys whose conditions failed |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `when` | conditions | list of `path` and `stamp` |
+ * | `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing if there are no writes |
+ * | `failed`, in the response | `failed` | list of the keys whose conditions failed |
  *
  * A list (`GET /keys`):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `prefix`, `since`, `most` | `prefix`, `after`, `limit`
- * | keys, count of items | | `items` | `items` | list of `path`, `value`, `stamp` | | `hasNext` | `hasMore` |
- * boolean |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `prefix`, `since`, `most` | `prefix`, `after`, `limit` | keys, count of items |
+ * | `items` | `items` | list of `path`, `value`, `stamp` |
+ * | `hasNext` | `hasMore` | boolean |
  *
  * A watch (`GET /changes`):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `since` | `since` | revision | | `holdMs` | `waitMs` |
- * ms | | `news` | `changes` | list of `set` with `value`, or `drop`, each with `stamp` |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `since` | `since` | revision |
+ * | `holdMs` | `waitMs` | ms |
+ * | `news` | `changes` | list of `set` with `value`, or `drop`, each with `stamp` |
  *
  * A lease (`POST /grants`, `POST /grants/{id}/touch`, `DELETE /grants/{id}`):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `lifeMs` | `ttlMs` | ms | | `tenure`, in the response |
- * lease id | number |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `lifeMs` | `ttlMs` | ms |
+ * | `tenure`, in the response | lease id | number |
  */
 import { type Fields, isFields, list, number, text } from './codec.js';
 
@@ -50,10 +62,7 @@
   return 'drop' in write ? write.drop : write.put;
 }
 
-/**
- * Bytes that the writes and conditions of a transaction may take as JSON: the service's limit less room for
- * framing.
- */
+/** Bytes that a transaction's writes and conditions may take as JSON: the limit less room for framing. */
 export const maxTransactionBytes = 60 * 1024;
 
 /** A key with its value and the revision of its last change. */
@@ -112,10 +121,7 @@
   return body;
 }
 
-/**
- * Parses the response to a commit: the revision and, if the commit was refused, the keys whose conditions
- * failed.
- */
+/** Parses the response to a commit: the revision and, if it was refused, the keys whose conditions failed. */
 export function parseCommit(body: unknown): { revision: number; failed: string[] } {
   const fields = isFields(body) ? body : {};
   return {
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -4,33 +4,48 @@
  *
  * A heartbeat:
  *
- * | wire | in the code | unit | | --- | --- | --- | | `host` | `machine` | name | | `endpoint` | `address` |
- * host:port | | `hull` | `type` | name | | `berth` | `zone` | name | | `loaners` | `spot` | boolean | |
- * `watch` | `agentEpoch` | count from 1 | | `tick` | `sequence` | count | | `helm` | `fencingToken` |
- * revision of the state service; 0: none seen | | `recallS` | `preemptionNoticeS` | s, or null | | `pieces` |
- * `tasks` | list, see below |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `host` | `machine` | name |
+ * | `endpoint` | `address` | host:port |
+ * | `hull` | `type` | name |
+ * | `berth` | `zone` | name |
+ * | `loaners` | `spot` | boolean |
+ * | `watch` | `agentEpoch` | count from 1 |
+ * | `tick` | `sequence` | count |
+ * | `helm` | `fencingToken` | revision of the state service; 0: none seen |
+ * | `recallS` | `preemptionNoticeS` | s, or null |
+ * | `pieces` | `tasks` | list, see below |
  *
  * A task in a heartbeat:
  *
- * | wire | in the code | unit | | --- | --- | --- | | `piece` | `job`, `index` | `<job>/<number of the task
- * from 0>` | | `try` | `attempt` | count from 1 | | `status` | `state` | name | | `cause` | `cause` | name;
- * only of an ended task |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `piece` | `job`, `index` | `<job>/<number of the task from 0>` |
+ * | `try` | `attempt` | count from 1 |
+ * | `status` | `state` | name |
+ * | `cause` | `cause` | name; only of an ended task |
  *
  * The response of the controller that owns the machine (200):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `helm` | `fencingToken` | revision of the state service
- * | | `orders` | `commands` | list, see below; carried out in this order |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `helm` | `fencingToken` | revision of the state service |
+ * | `orders` | `commands` | list, see below; carried out in this order |
  *
  * A command in a response:
  *
- * | wire | in the code | unit | | --- | --- | --- | | `verb` | `kind` | `run`: `start`, `halt`: `stop`,
- * `reap`: `forget` | | `piece`, `try` | `job`, `index`, `attempt` | as above | | `leewayS` | `graceS` | s;
- * only of a stop |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `verb` | `kind` | `run`: `start`, `halt`: `stop`, `reap`: `forget` |
+ * | `piece`, `try` | `job`, `index`, `attempt` | as above |
+ * | `leewayS` | `graceS` | s; only of a stop |
  *
  * The response of a controller that may not send commands to the machine (421; 503 if no owner is known):
  *
- * | wire | in the code | unit | | --- | --- | --- | | `skipper` | `label` | name of the controller to report
- * to; missing if there is none to name |
+ * | wire | in the code | unit |
+ * | --- | --- | --- |
+ * | `skipper` | `label` | name of the controller to report to; missing if there is none to name |
  */
 import type { Heartbeat, ReportedTask, TaskRef, TaskState, WorkerCommand } from '../model/types.js';
 import { type Fields, isFields, list, number, text } from './codec.js';
@@ -108,10 +123,7 @@
   return { helm: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/**
- * The body of a 421 or 503 response: the label of the controller to report to, or an empty map if there is
- * none.
- */
+/** The body of a 421 or 503 response: the label of the controller to report to, or empty without one. */
 export function redirectResponse(label: string | undefined): unknown {
   return label === undefined ? {} : { skipper: label };
 }
