--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -82,7 +82,7 @@
 /** The record under `job/<id>`: a job that has no outcome yet. */
 export interface JobRecord {
   spec: JobSpec;
-  /** The dispatched tasks. The leader has yet to dispatch all others: no block has had room for them so far. */
+  /** The dispatched tasks. The leader has yet to dispatch all others: no block has had room for them. */
   taskRanges: TaskRange[];
 }
 
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -25,7 +25,7 @@
 export const machinesPrefix = (block: number): string => `machines/${block}/`;
 /** A page of a block's machines. Pages are numbered from 0. */
 export const machinesKey = (block: number, page: number): string => `${machinesPrefix(block)}${page}`;
-/** The record format that a controller's version uses; kept permanently once the controller has run. */
+/** The record format that a controller reads and writes; kept permanently once the controller has run. */
 export const formatKey = (label: string): string => `formats/${label}`;
 /** The moved thresholds of a pool; a pool is one machine type, spot or not. */
 export const ladderKey = (pool: string): string => `ladder/${pool}`;
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -62,7 +62,7 @@
   return 'drop' in write ? write.drop : write.put;
 }
 
-/** Bytes that a transaction's writes and conditions may take as JSON: the limit less room for framing. */
+/** Bytes of JSON for a transaction's writes and conditions: the service's limit less room for framing. */
 export const maxTransactionBytes = 60 * 1024;
 
 /** A key with its value and the revision of its last change. */
