--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -1,4 +1,7 @@
-/** Every form in the state service, against samples that an earlier version wrote: there as well as back. */
+/**
+ * Compares every stored record form with samples that an earlier version wrote, for writing and for reading.
+ * Guards against a change of a stored form, which other versions of the controller could then not read.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -55,10 +58,10 @@
 
 const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
 
-const lead: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
+const leader: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
 const alive: AliveRecord = { incarnation: boot, zone: 'zone-b' };
 
-const modestSpec: JobSpec = {
+const minimalSpec: JobSpec = {
   id: 'req-000017',
   jobClass: 'nightly-render',
   team: 'red',
@@ -81,7 +84,7 @@
   acceptedAt: 1_790_000_123_456,
 };
 
-const demandingSpec: JobSpec = {
+const fullSpec: JobSpec = {
   id: 'req-123456789012345678',
   jobClass: 'training',
   team: 'blue',
@@ -105,25 +108,25 @@
   dependencies: ['req-000017', 'req-000018'],
 };
 
-const parts: TaskRange[] = [
+const ranges: TaskRange[] = [
   { block: 0, first: 0, count: 12 },
   { block: 2, first: 12, count: 28 },
 ];
 
 const jobs: Record<string, JobRecord> = {
-  'job, no ranges': { spec: modestSpec, taskRanges: [] },
-  'job, ranges': { spec: modestSpec, taskRanges: parts },
-  'job, dependencies': { spec: demandingSpec, taskRanges: [] },
-  'job, dependencies and ranges': { spec: demandingSpec, taskRanges: parts },
+  'job, no ranges': { spec: minimalSpec, taskRanges: [] },
+  'job, ranges': { spec: minimalSpec, taskRanges: ranges },
+  'job, dependencies': { spec: fullSpec, taskRanges: [] },
+  'job, dependencies and ranges': { spec: fullSpec, taskRanges: ranges },
 };
 
-const ends: Record<string, OutcomeRecord> = {
+const outcomes: Record<string, OutcomeRecord> = {
   'end, done': { outcome: 'done', tasks: 40, endedAt: 1_790_000_223_456 },
   'end, cancelled': { outcome: 'cancelled', tasks: 100_000, endedAt: 1_790_000_223_457 },
   'end, without time': { outcome: 'cancelled', tasks: 0 },
 };
 
-function machine(id: string, token: number, change: Partial<LeasedMachine> = {}): LeasedMachine {
+function machine(id: string, token: number, overrides: Partial<LeasedMachine> = {}): LeasedMachine {
   return {
     id,
     fencingToken: token,
@@ -132,7 +135,7 @@
     spot: false,
     draining: false,
     rentedAt: 1_790_000_100_000,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -157,7 +160,7 @@
   memoryGb: 3.2,
 };
 
-const presentEntries: LedgerEntry[] = [
+const plainEntries: LedgerEntry[] = [
   {
     ...ledgerBase,
     id: 'req-000017',
@@ -189,31 +192,31 @@
   { ...ledgerBase, id: 'req-000018', chunk: 0, chunkTasks: 40, active: [], waiting: [[1, 1]], done: [] },
 ];
 
-test('who leads, who is alive and who reads which format are stored as ever', () => {
-  samples.assertWritten('lead', leaderRecord(lead));
-  samples.assertRead('lead', parseLeader, lead);
+test('the records of the leader, of live controllers and of formats match the kept samples', () => {
+  samples.assertWritten('lead', leaderRecord(leader));
+  samples.assertRead('lead', parseLeader, leader);
   samples.assertWritten('alive', aliveRecord(alive));
   samples.assertRead('alive', parseAlive, alive);
   samples.assertWritten('formats', formatRecord());
   samples.assertRead('formats', parseFormat, currentFormat);
 });
 
-test('jobs are stored as ever', () => {
+test('the records of open jobs match the kept samples', () => {
   for (const [name, job] of Object.entries(jobs)) {
     samples.assertWritten(name, jobRecord(job));
     samples.assertRead(name, parseJobRecord, job);
   }
 });
 
-test('ends of jobs are stored as ever', () => {
-  for (const [name, end] of Object.entries(ends)) {
-    samples.assertWritten(name, outcomeRecord(end));
-    samples.assertRead(name, parseOutcome, end);
-    assert.deepEqual(outcomeTransaction('req-000017', 9, end).writes[0].value, outcomeRecord(end));
+test('the records of job outcomes match the kept samples', () => {
+  for (const [name, outcome] of Object.entries(outcomes)) {
+    samples.assertWritten(name, outcomeRecord(outcome));
+    samples.assertRead(name, parseOutcome, outcome);
+    assert.deepEqual(outcomeTransaction('req-000017', 9, outcome).writes[0].value, outcomeRecord(outcome));
   }
 });
 
-test('a block that names its machines is stored as ever', () => {
+test('the record of a block that lists its machines matches the kept sample', () => {
   samples.assertWritten('block, machines', blockRecord(block));
   samples.assertRead('block, machines', (value) => parseBlock(value, version), {
     ...block,
@@ -221,7 +224,7 @@
   });
 });
 
-test('a token of 0 is stored for that of the revision as ever', () => {
+test('a fencing token of 0, which stands for the revision of the record, matches the kept sample', () => {
   const [first] = firstPage;
   const fresh = { ...block, machines: [{ ...first, fencingToken: 0 } as LeasedMachine] };
   samples.assertWritten('block, fresh machine', blockRecord(fresh));
@@ -231,7 +234,7 @@
   });
 });
 
-test('a block whose machines are on pages is stored as ever', () => {
+test('the record and the pages of a block whose machines are on pages match the kept samples', () => {
   const pages: [number, LeasedMachine[]][] = [
     [0, firstPage],
     [3, secondPage],
@@ -241,33 +244,37 @@
     const { value } = samples.plain(`machines/${page}`) as { value: unknown };
     return [page, { value, version }];
   });
-  const machinesFrom = (token: number): LeasedMachine[] =>
+  const machinesWithMinToken = (token: number): LeasedMachine[] =>
     pages.flatMap(([page, machines]) =>
       machines.map((each) => ({ ...each, fencingToken: Math.max(each.fencingToken, token), page })),
     );
   const read = (value: unknown): unknown => parseBlock(value, version, stored);
   samples.assertWritten('block, pages', pagedBlockRecord(block));
-  samples.assertRead('block, pages', read, { ...block, machines: machinesFrom(1), leaseFencingToken: 1 });
+  samples.assertRead('block, pages', read, {
+    ...block,
+    machines: machinesWithMinToken(1),
+    leaseFencingToken: 1,
+  });
   samples.assertWritten('block, pages and token', pagedBlockRecord({ ...block, leaseFencingToken: 400 }));
-  const raised = { ...block, machines: machinesFrom(400), leaseFencingToken: 400 };
+  const raised = { ...block, machines: machinesWithMinToken(400), leaseFencingToken: 400 };
   samples.assertRead('block, pages and token', read, raised);
   samples.assertWritten('block, pages and fresh token', pagedBlockRecord({ ...block, leaseFencingToken: 0 }));
-  const renewed = { ...block, machines: machinesFrom(version), leaseFencingToken: version };
+  const renewed = { ...block, machines: machinesWithMinToken(version), leaseFencingToken: version };
   samples.assertRead('block, pages and fresh token', read, renewed);
 });
 
-test('pages of a ledger are stored as ever, in both sizes of entries', () => {
+test('ledger pages with plain and with compact entries match the kept samples', () => {
   for (const [name, entries] of [
-    ['run, present size', presentEntries],
+    ['run, present size', plainEntries],
     ['run, compact', compactEntries],
-    ['run, both', [...presentEntries, ...compactEntries]],
+    ['run, both', [...plainEntries, ...compactEntries]],
   ] as const) {
     samples.assertWritten(name, ledgerPage([...entries]));
     samples.assertRead(name, parseLedgerPage, entries);
   }
 });
 
-test('ladders are stored as ever', () => {
+test('the records of moved thresholds match the kept samples', () => {
   const moved: [number, number][] = [
     [1, 7],
     [12, 0.125],
@@ -279,7 +286,7 @@
   samples.assertRead('ladder, cut', parseLadder, moved.slice(1));
 });
 
-test('everything is stored where it always was', () => {
+test('all keys match the kept samples', () => {
   const keys = {
     lead: leaderKey,
     alive: aliveKey('keel-1'),
@@ -295,6 +302,6 @@
   samples.assertPlain('keys', keys);
 });
 
-test('no sample of a stored form is left out', () => {
+test('every sample of a stored form is compared by a test', () => {
   assert.deepEqual(samples.unread, []);
 });
