--- a/src/testing/async-costs.ts
+++ b/src/testing/async-costs.ts
@@ -1,22 +1,25 @@
-/** Counts what a piece of work leaves to the event loop, for tests that bound the cost of hot paths. */
+/**
+ * Counts the promises, timers and event loop callbacks that a function causes, to bound the cost of hot
+ * paths.
+ */
 import { AsyncResource, createHook, executionAsyncId } from 'node:async_hooks';
 
-/** What was created by the work, and by everything that followed from it. */
+/** Asynchronous resources created by a function and by all callbacks that descend from it. */
 export interface AsyncCosts {
-  /** Promises, those of `await` and `then` among them. */
+  /** Promises, including those that `await` and `then` create. */
   promises: number;
   /** Timers of any kind. */
   timers: number;
-  /** Callbacks that the event loop ran: continuations of promises, timers, immediates and ticks. */
+  /** Callbacks run by the event loop: promise continuations, timers, immediates and `process.nextTick`. */
   turns: number;
 }
 
-/** Kinds of resources that are timers; `Immediate` and `TickObject` show as turns. */
+/** Resource types counted as timers. `Immediate` and `TickObject` are counted only as turns. */
 const timerKinds = new Set(['Timeout', 'Timer']);
 
 /**
- * Runs `work` and counts the asynchronous resources that descend from it until `settled` has resolved. What other code does
- * meanwhile is left out, so the figures are exact and the same on every run.
+ * Runs `work` and counts the asynchronous resources that descend from it until `settled` has resolved.
+ * Resources of other code are not counted, so the counts are exact and the same on every run.
  */
 export async function countAsyncCosts(
   work: () => void,
--- a/src/testing/block-records.ts
+++ b/src/testing/block-records.ts
@@ -1,7 +1,7 @@
-/** Block records and their machines, as tests use them. */
+/** Creates block records and leased machines for tests. */
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 
-/** A machine of 8 CPUs in a block, leased with fencing token 5. */
+/** A machine of type `c8` (8 CPUs) in a block, leased with fencing token 5. */
 export function leasedMachine(id: string, zone = 'a', change: Partial<LeasedMachine> = {}): LeasedMachine {
   return {
     id,
@@ -15,7 +15,7 @@
   };
 }
 
-/** A block without quota shares, leased to incarnation `b` of its owner. */
+/** A block without quota shares, owned by incarnation `b` of the controller `owner`. */
 export function ownedBlock(owner: string, ...machines: LeasedMachine[]): BlockRecord {
   return { owner, incarnation: 'b', quotaShares: {}, machines };
 }
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -1,4 +1,4 @@
-/** One block under test: the state of a block and a scheduler whose commits are answered by the test. */
+/** Test fixture: the state of one block and its scheduler. The test supplies the outcome of each commit. */
 import { nextTurn } from '../base/turns.js';
 import { silentLog } from '../base/log.js';
 import type { JobSpec, Heartbeat } from '../model/types.js';
@@ -18,9 +18,9 @@
 import { machineType } from './cloud-standin.js';
 import { testSettings } from './settings.js';
 
-/** Largest value of the state service in these tests, in bytes. */
+/** Maximum size of a value in the state service in these tests, in bytes. */
 export const valueBytes = 32 * 1024;
-/** A page of the ledger is a value. */
+/** Ledger layout in which a page has the maximum size of a value. */
 export const valueLayout: LedgerLayout = {
   pageBytes: valueBytes,
   chunkTasks: tasksPerChunk(valueBytes),
@@ -28,10 +28,10 @@
 };
 const jobId = 'req-1';
 const firstBlockVersion = 7;
-/** The fencing token of both machines. */
+/** The fencing token of the machines m1 and m2. */
 export const machineToken = 7;
 
-/** A job of the limited team `red` whose tasks take 2 CPUs each. */
+/** A job of team `red`, which has a quota. Each task needs 2 CPUs. */
 export function jobSpec(id: string, tasks: number): JobSpec {
   return {
     id,
@@ -57,7 +57,7 @@
   };
 }
 
-/** A report of a machine without tasks. */
+/** A heartbeat of a machine without tasks. */
 export function emptyHeartbeat(machine: string, seq: number): Omit<Heartbeat, 'fencingToken'> {
   const place = { address: 'x', type: 'c8', zone: 'a', spot: false, preemptionNoticeS: null };
   return { machine, ...place, agentEpoch: 1, sequence: seq, tasks: [] };
@@ -66,24 +66,31 @@
 export interface BlockStage {
   blockState: BlockState;
   scheduler: Scheduler;
-  /** Writes the job's record with this version. */
+  /** Applies the job's record to the block's state, with this version. */
   putJob: (version: number) => void;
-  /** Writes the block's record with this version, leaving the machines as they are unless others are given. */
+  /**
+   * Applies the block's record to the block's state, with this version. `leaving` lists the draining
+   * machines; the shares are those of the fixture's options unless `shares` is given.
+   */
   putBlock: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
-  /** Has the machine report, so that it may be used, and places tasks on it. */
+  /** Applies a heartbeat of the machine, which makes it usable, and then places tasks on it. */
   place: (machine: string) => Promise<void>;
   stop: AbortController;
   task: (index?: number) => Task | undefined;
 }
 
 export interface BlockStageOptions {
-  /** `blue` has no limit, `red` has one. */
+  /** The job's team: `blue` has no quota, `red` has one. */
   team?: string;
   tasks?: number;
   shares?: QuotaShares;
 }
 
-/** A block with the machines m1 and m2 and one job. */
+/**
+ * Creates a block with the machines m1 and m2 and the job `req-1`.
+ *
+ * @param answer returns the outcome of a commit with these conditions; it may change the block first
+ */
 export function createBlockStage(
   answer: (conditions: Condition[], stage: BlockStage) => CommitOutcome,
   { team = 'blue', tasks = 1, shares = {} }: BlockStageOptions = {},
--- a/src/testing/checker.test.ts
+++ b/src/testing/checker.test.ts
@@ -1,234 +1,287 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
-import { type CheckFacts, check } from './checker.js';
-import type { Dated, Happening, JobFacts, Told } from './history.js';
+import { type CheckOptions, check } from './checker.js';
+import type { TimedEvent, HistoryEvent, JobRequest, UserAnswer } from './history.js';
 
-const job: JobFacts = {
+const job: JobRequest = {
   team: 'red',
   tasks: 2,
   cpus: 4,
-  types: null,
+  machineTypes: null,
   zone: null,
-  oneZone: false,
+  colocated: false,
   spread: false,
   spot: false,
   dependencies: [],
 };
-const facts: CheckFacts = {
-  limits: new Map([['red', 8]]),
+const options: CheckOptions = {
+  teamCpuLimits: new Map([['red', 8]]),
   cancelDeadlineMs: 5000,
   startGraceMs: 500,
-  forgottenMs: 7500,
-  waitsMs: 9000,
-  calmAt: 0,
-  endsAt: 7000,
+  maxUnansweredMs: 7500,
+  maxWaitMs: 9000,
+  faultsEndedAt: 0,
+  historyEndsAt: 7000,
 };
 
-type ToldHappening = Extract<Happening, { kind: 'told' }>;
-/** A request is sent at the time given, or as late as its answer. */
-type MadeUpAnswer = Omit<ToldHappening, 'sentAt'> & { sentAt?: number };
-type MadeUp = (Exclude<Happening, ToldHappening> | MadeUpAnswer) & { at?: number };
+type AnswerEvent = Extract<HistoryEvent, { kind: 'told' }>;
+/** An answer whose request was sent at `sentAt`, by default at the time of the answer. */
+type TestAnswer = Omit<AnswerEvent, 'sentAt'> & { sentAt?: number };
+type TestEvent = (Exclude<HistoryEvent, AnswerEvent> | TestAnswer) & { at?: number };
 
-/** A history in which a happening comes every 100 ms, or at the time given. */
-function rulesOf(happenings: MadeUp[], change: Partial<CheckFacts> = {}): string[] {
-  const dated = happenings.map((happening, i): Dated => {
-    const at = happening.at ?? i * 100;
-    return happening.kind === 'told' ? { sentAt: at, ...happening, at } : { ...happening, at };
+/** Returns the violations in a history of these events. Events are 100 ms apart unless they have a time. */
+function violationsOf(events: TestEvent[], change: Partial<CheckOptions> = {}): string[] {
+  const timedEvents = events.map((event, i): TimedEvent => {
+    const at = event.at ?? i * 100;
+    return event.kind === 'told' ? { sentAt: at, ...event, at } : { ...event, at };
   });
-  return check(dated, { ...facts, ...change }).map(({ rule, subject }) => `${rule} ${subject}`);
+  return check(timedEvents, { ...options, ...change }).map(({ rule, subject }) => `${rule} ${subject}`);
 }
 
-const machine = (id: string, zone = 'a', spot = false, type = 'c8'): Happening => {
+const machine = (id: string, zone = 'a', spot = false, type = 'c8'): HistoryEvent => {
   return { kind: 'machine', machine: id, type, zone, spot };
 };
-const submitted = (id: string, change: Partial<JobFacts> = {}): Happening => {
+const submitted = (id: string, change: Partial<JobRequest> = {}): HistoryEvent => {
   return { kind: 'submitted', id, job: { ...job, ...change } };
 };
-const told = (id: string, by: 'submission' | 'question' | 'cancel', what: Told): MadeUpAnswer => {
-  return { kind: 'told', id, by, what };
+const answered = (
+  id: string,
+  requestKind: 'submission' | 'question' | 'cancel',
+  answer: UserAnswer,
+): TestAnswer => {
+  return { kind: 'told', id, requestKind, answer };
 };
-const started = (task: string, on: string): Happening => ({ kind: 'started', task, machine: on });
-const left = (task: string, on: string, completed = false): Happening => {
-  return { kind: 'left', task, machine: on, completed };
+const started = (task: string, machineId: string): HistoryEvent => ({
+  kind: 'started',
+  task,
+  machine: machineId,
+});
+const left = (task: string, machineId: string, completed = false): HistoryEvent => {
+  return { kind: 'left', task, machine: machineId, completed };
 };
-const ground: MadeUp[] = [
+const baseEvents: TestEvent[] = [
   machine('m1'),
   machine('m2', 'b'),
   submitted('a'),
-  told('a', 'submission', 'pending'),
+  answered('a', 'submission', 'pending'),
 ];
 
-describe('a made-up history that breaks a rule is caught', () => {
-  const caught = (name: string, happenings: MadeUp[], expected: string[]): void => {
-    test(name, () => assert.deepEqual(rulesOf([...ground, ...happenings]), expected));
+describe('the checker reports each violated rule in a constructed history', () => {
+  const testViolations = (name: string, events: TestEvent[], expected: string[]): void => {
+    test(name, () => assert.deepEqual(violationsOf([...baseEvents, ...events]), expected));
   };
-  caught(
-    'none is broken',
+  testViolations(
+    'no violation in a history that keeps all rules',
     [
       ...[started('a/0', 'm1'), started('a/1', 'm2'), left('a/0', 'm1'), started('a/0', 'm2')],
-      ...[left('a/0', 'm2', true), told('a', 'question', 'running'), left('a/1', 'm2', true)],
-      ...[told('a', 'question', 'done'), told('a', 'submission', 'done'), told('b', 'question', 'unknown')],
+      ...[left('a/0', 'm2', true), answered('a', 'question', 'running'), left('a/1', 'm2', true)],
+      ...[
+        answered('a', 'question', 'done'),
+        answered('a', 'submission', 'done'),
+        answered('b', 'question', 'unknown'),
+      ],
     ],
     [],
   );
-  caught('ran_twice', [started('a/0', 'm1'), started('a/0', 'm2')], ['ran_twice a/0']);
-  caught(
+  testViolations('ran_twice', [started('a/0', 'm1'), started('a/0', 'm2')], ['ran_twice a/0']);
+  testViolations(
     'quota',
     [submitted('b', { tasks: 3 }), ...['b/0', 'b/1', 'b/2'].map((t) => started(t, 'm1'))],
     ['quota b/2'],
   );
-  const bound = (change: Partial<JobFacts>): Happening => submitted('b', { ...change, tasks: 3, cpus: 1 });
-  caught('wrong_place: type', [bound({ types: ['g8'] }), started('b/0', 'm1')], ['wrong_place b/0']);
-  caught('wrong_place: zone', [bound({ zone: 'b' }), started('b/0', 'm1')], ['wrong_place b/0']);
-  caught(
-    'wrong_place: kind',
-    [machine('m3', 'a', true), bound({}), started('b/0', 'm3')],
+  const constrainedJob = (change: Partial<JobRequest>): HistoryEvent =>
+    submitted('b', { ...change, tasks: 3, cpus: 1 });
+  testViolations(
+    'wrong_place: machine type',
+    [constrainedJob({ machineTypes: ['g8'] }), started('b/0', 'm1')],
+    ['wrong_place b/0'],
+  );
+  testViolations(
+    'wrong_place: zone',
+    [constrainedJob({ zone: 'b' }), started('b/0', 'm1')],
+    ['wrong_place b/0'],
+  );
+  testViolations(
+    'wrong_place: spot machine',
+    [machine('m3', 'a', true), constrainedJob({}), started('b/0', 'm3')],
     ['wrong_place b/0'],
   );
-  caught(
-    'wrong_place: one zone',
-    [bound({ oneZone: true }), started('b/0', 'm1'), started('b/1', 'm2')],
+  testViolations(
+    'wrong_place: a colocated job in two zones',
+    [constrainedJob({ colocated: true }), started('b/0', 'm1'), started('b/1', 'm2')],
     ['wrong_place b/1'],
   );
-  caught(
-    'wrong_place: apart',
-    [bound({ spread: true }), started('b/0', 'm1'), started('b/1', 'm1'), started('b/2', 'm1')],
+  testViolations(
+    'wrong_place: too many tasks of a spread job in one zone',
+    [constrainedJob({ spread: true }), started('b/0', 'm1'), started('b/1', 'm1'), started('b/2', 'm1')],
     ['wrong_place b/2'],
   );
-  const cancelled: MadeUp[] = [{ kind: 'asked to cancel', id: 'a' }, told('a', 'cancel', 'cancelled')];
-  caught(
-    'ran_cancelled: it stays',
-    [started('a/0', 'm1'), ...cancelled, { ...left('a/0', 'm1'), at: 5601 }],
+  const cancelEvents: TestEvent[] = [
+    { kind: 'asked to cancel', id: 'a' },
+    answered('a', 'cancel', 'cancelled'),
+  ];
+  testViolations(
+    'ran_cancelled: a task still executes after the cancel deadline',
+    [started('a/0', 'm1'), ...cancelEvents, { ...left('a/0', 'm1'), at: 5601 }],
+    ['ran_cancelled a/0'],
+  );
+  testViolations(
+    'ran_cancelled: a task executes until the history ends',
+    [started('a/0', 'm1'), ...cancelEvents],
     ['ran_cancelled a/0'],
   );
-  caught('ran_cancelled: it never leaves', [started('a/0', 'm1'), ...cancelled], ['ran_cancelled a/0']);
-  caught(
-    'ran_cancelled: it starts late',
-    [...cancelled, { ...started('a/0', 'm1'), at: 6000 }, { ...left('a/0', 'm1'), at: 6100 }],
+  testViolations(
+    'ran_cancelled: a task starts after the cancel deadline',
+    [...cancelEvents, { ...started('a/0', 'm1'), at: 6000 }, { ...left('a/0', 'm1'), at: 6100 }],
     ['ran_cancelled a/0'],
   );
-  caught(
-    'a start after a confirmed cancellation',
-    [...cancelled, { ...started('a/0', 'm1'), at: 1100 }, { ...left('a/0', 'm1'), at: 1200 }],
+  testViolations(
+    'started_cancelled: a task starts after the grace time and within the cancel deadline',
+    [...cancelEvents, { ...started('a/0', 'm1'), at: 1100 }, { ...left('a/0', 'm1'), at: 1200 }],
     ['started_cancelled a/0'],
   );
-  caught('gone in time', [started('a/0', 'm1'), ...cancelled, { ...left('a/0', 'm1'), at: 5599 }], []);
-  caught('forgotten: unknown', [started('a/0', 'm1'), told('a', 'question', 'unknown')], ['forgotten a']);
-  caught('forgotten: refused', [started('a/0', 'm1'), told('a', 'submission', 'refused')], ['forgotten a']);
-  caught(
-    'forgotten: no question is answered',
+  testViolations(
+    'no violation: a cancelled task ends within the cancel deadline',
+    [started('a/0', 'm1'), ...cancelEvents, { ...left('a/0', 'm1'), at: 5599 }],
+    [],
+  );
+  testViolations(
+    'forgotten: a query for an accepted job is answered with unknown',
+    [started('a/0', 'm1'), answered('a', 'question', 'unknown')],
+    ['forgotten a'],
+  );
+  testViolations(
+    'forgotten: a repeated submission of an accepted job is refused',
+    [started('a/0', 'm1'), answered('a', 'submission', 'refused')],
+    ['forgotten a'],
+  );
+  testViolations(
+    'forgotten: queries for one job stay unanswered while queries for another are answered',
     [
-      ...[submitted('b'), told('b', 'submission', 'pending'), started('a/0', 'm1'), started('b/0', 'm2')],
-      { ...told('a', 'question', 'turned away'), at: 1000 },
-      { ...told('b', 'question', 'running'), at: 8000 },
-      { ...told('a', 'question', 'turned away'), at: 8501 },
+      ...[submitted('b'), answered('b', 'submission', 'pending'), started('a/0', 'm1'), started('b/0', 'm2')],
+      { ...answered('a', 'question', 'turned away'), at: 1000 },
+      { ...answered('b', 'question', 'running'), at: 8000 },
+      { ...answered('a', 'question', 'turned away'), at: 8501 },
     ],
     ['forgotten a'],
   );
-  caught('invented', [started('a/0', 'm1'), told('z', 'question', 'pending')], ['invented z']);
-  caught(
+  testViolations('invented', [started('a/0', 'm1'), answered('z', 'question', 'pending')], ['invented z']);
+  testViolations(
     'not_done',
-    [started('a/0', 'm1'), left('a/0', 'm1', true), told('a', 'question', 'done')],
+    [started('a/0', 'm1'), left('a/0', 'm1', true), answered('a', 'question', 'done')],
     ['not_done a'],
   );
-  caught('went_back: from cancelled', [...cancelled, told('a', 'question', 'pending')], ['went_back a']);
-  caught(
-    'went_back: a repetition that was sent after the end was told, and answered much later',
-    [...cancelled, { ...told('a', 'submission', 'pending'), sentAt: 501, at: 2000 }],
+  testViolations(
+    'went_back: a cancelled job is reported as pending',
+    [...cancelEvents, answered('a', 'question', 'pending')],
     ['went_back a'],
   );
-  caught(
-    'no rule: requests that were under way when the end was told, in whatever order their answers come',
+  testViolations(
+    'went_back: a submission repeated after the confirmed cancellation is answered with pending',
+    [...cancelEvents, { ...answered('a', 'submission', 'pending'), sentAt: 501, at: 2000 }],
+    ['went_back a'],
+  );
+  testViolations(
+    'no violation: requests in flight when the cancellation is confirmed are answered with pending',
     [
-      ...[...cancelled, { ...told('a', 'question', 'pending'), sentAt: 499, at: 2000 }],
-      { ...told('a', 'submission', 'pending'), sentAt: 450, at: 2001 },
+      ...[...cancelEvents, { ...answered('a', 'question', 'pending'), sentAt: 499, at: 2000 }],
+      { ...answered('a', 'submission', 'pending'), sentAt: 450, at: 2001 },
     ],
     [],
   );
-  caught(
-    'went_back: two ends, though the requests were under way together',
+  testViolations(
+    'went_back: a job is reported as both cancelled and done by requests that were in flight together',
     [
       ...[started('a/0', 'm1'), started('a/1', 'm1'), left('a/0', 'm1', true), left('a/1', 'm1', true)],
-      ...[...cancelled, { ...told('a', 'question', 'done'), sentAt: 0 }],
+      ...[...cancelEvents, { ...answered('a', 'question', 'done'), sentAt: 0 }],
     ],
     ['went_back a'],
   );
-  caught(
-    'forgotten: unknown, asked after the acceptance; not where it was asked before',
+  testViolations(
+    'forgotten: only a query that is sent after the acceptance must not be answered with unknown',
     [
       started('a/0', 'm1'),
-      ...[submitted('b'), told('b', 'submission', 'pending'), started('b/0', 'm2')],
-      { ...told('a', 'question', 'unknown'), sentAt: 301 },
-      { ...told('b', 'question', 'unknown'), sentAt: 599 },
+      ...[submitted('b'), answered('b', 'submission', 'pending'), started('b/0', 'm2')],
+      { ...answered('a', 'question', 'unknown'), sentAt: 301 },
+      { ...answered('b', 'question', 'unknown'), sentAt: 599 },
     ],
     ['forgotten a'],
   );
-  caught('went_back: nobody asked', [told('a', 'question', 'cancelled')], ['went_back a']);
-  caught(
-    'went_back: from done',
+  testViolations(
+    'went_back: a job is reported as cancelled without a cancel request',
+    [answered('a', 'question', 'cancelled')],
+    ['went_back a'],
+  );
+  testViolations(
+    'went_back: a done job is reported as pending',
     [
       ...[started('a/0', 'm1'), started('a/1', 'm1'), left('a/0', 'm1', true), left('a/1', 'm1', true)],
-      ...[told('a', 'question', 'done'), told('a', 'submission', 'pending')],
+      ...[answered('a', 'question', 'done'), answered('a', 'submission', 'pending')],
     ],
     ['went_back a'],
   );
-  const needsA = (id: string, ...dependencies: string[]): MadeUp[] => [
+  const dependentJob = (id: string, ...dependencies: string[]): TestEvent[] => [
     submitted(id, { tasks: 1, cpus: 1, dependencies }),
-    told(id, 'submission', 'pending'),
+    answered(id, 'submission', 'pending'),
   ];
-  const doneA = [
+  const completedA = [
     started('a/0', 'm1'),
     started('a/1', 'm1'),
     left('a/0', 'm1', true),
     left('a/1', 'm1', true),
   ];
-  caught(
-    'no rule: it starts after all that it needs are done',
-    [...needsA('b', 'a'), ...doneA, started('b/0', 'm1')],
+  testViolations(
+    'no violation: a job starts after its dependencies are done',
+    [...dependentJob('b', 'a'), ...completedA, started('b/0', 'm1')],
     [],
   );
-  caught(
-    'too_early: one of two tasks of the job that it needs is done',
-    [...needsA('b', 'a'), ...doneA.slice(0, 3), started('b/0', 'm2')],
+  testViolations(
+    'too_early: a job starts when one of two tasks of its dependency is done',
+    [...dependentJob('b', 'a'), ...completedA.slice(0, 3), started('b/0', 'm2')],
     ['too_early b/0'],
   );
-  caught(
-    'too_early: a job that it needs is not known at all',
-    [...needsA('b', 'z'), started('a/0', 'm1'), started('b/0', 'm1')],
+  testViolations(
+    'too_early: a job starts although its dependency was never submitted',
+    [...dependentJob('b', 'z'), started('a/0', 'm1'), started('b/0', 'm1')],
     ['too_early b/0'],
   );
-  caught(
-    'orphaned: a job that needs the cancelled one through another is still called pending',
+  testViolations(
+    'orphaned: an indirect dependent of a cancelled job is still pending after the cancel deadline',
     [
-      ...[...needsA('b', 'a'), ...needsA('c', 'b'), ...cancelled],
-      { ...told('c', 'question', 'pending'), at: 5900 },
-      { ...told('c', 'question', 'pending'), at: 5901 },
+      ...[...dependentJob('b', 'a'), ...dependentJob('c', 'b'), ...cancelEvents],
+      { ...answered('c', 'question', 'pending'), at: 5900 },
+      { ...answered('c', 'question', 'pending'), at: 5901 },
     ],
     ['orphaned c'],
   );
-  caught(
-    'no rule: a job is cancelled with the one that it needs, and nobody asked for that',
-    [...needsA('b', 'a'), ...cancelled, told('b', 'question', 'cancelled')],
+  testViolations(
+    'no violation: a dependent of a cancelled job is cancelled without a cancel request of its own',
+    [...dependentJob('b', 'a'), ...cancelEvents, answered('b', 'question', 'cancelled')],
     [],
   );
-  caught(
-    'went_back: a job is called cancelled where the one that it needs was not',
-    [...needsA('b', 'a'), started('a/0', 'm1'), told('b', 'question', 'cancelled')],
+  testViolations(
+    'went_back: a job is reported as cancelled without a cancel request for the job or its dependency',
+    [...dependentJob('b', 'a'), started('a/0', 'm1'), answered('b', 'question', 'cancelled')],
     ['went_back b'],
   );
-  caught(
-    'a job that lacks a field is accepted',
+  testViolations(
+    'accepted_bad: an invalid submission is accepted',
     [
       started('a/0', 'm1'),
       { kind: 'submitted', id: 'b', job: undefined },
-      told('b', 'submission', 'pending'),
+      answered('b', 'submission', 'pending'),
     ],
     ['accepted_bad b'],
   );
-  test('a job is left waiting beside room', () => {
-    assert.deepEqual(rulesOf(ground, { endsAt: 9301 }), ['left_waiting a']);
-    assert.deepEqual(rulesOf(ground, { endsAt: 9301, calmAt: 1000 }), []);
-    const needsA = [submitted('b', { tasks: 1, dependencies: ['a'] }), told('b', 'submission', 'pending')];
-    assert.deepEqual(rulesOf([...ground, ...needsA], { endsAt: 19_301 }), ['left_waiting a']);
+  test('left_waiting: an accepted job that fits is not started within the maximum wait', () => {
+    assert.deepEqual(violationsOf(baseEvents, { historyEndsAt: 9301 }), ['left_waiting a']);
+    assert.deepEqual(violationsOf(baseEvents, { historyEndsAt: 9301, faultsEndedAt: 1000 }), []);
+    const dependentJob = [
+      submitted('b', { tasks: 1, dependencies: ['a'] }),
+      answered('b', 'submission', 'pending'),
+    ];
+    assert.deepEqual(violationsOf([...baseEvents, ...dependentJob], { historyEndsAt: 19_301 }), [
+      'left_waiting a',
+    ]);
   });
 });
--- a/src/testing/checker.ts
+++ b/src/testing/checker.ts
@@ -1,18 +1,22 @@
-import type { Dated, JobFacts, Told } from './history.js';
+/** Checks a recorded history of a test cluster against the rules of the protocol. */
+import type { TimedEvent, JobRequest, UserAnswer } from './history.js';
 
-export interface CheckFacts {
-  /** CPUs that each team may use at most; none is no limit. */
-  limits: ReadonlyMap<string, number>;
+export interface CheckOptions {
+  /** Maximum number of CPUs in use for each team. A team without an entry has no limit. */
+  teamCpuLimits: ReadonlyMap<string, number>;
   cancelDeadlineMs: number;
-  /** How long after a cancel was confirmed a start that was under way may still take effect. */
+  /** Time after a confirmed cancellation within which a start that was already under way may take effect. */
   startGraceMs: number;
-  /** A job about which no question is answered for so long, while others are, is forgotten. */
-  forgottenMs: number;
-  /** How long a job that fits may wait beside room, once all troubles are over. */
-  waitsMs: number;
-  /** When the last trouble was over, and when the history ends. */
-  calmAt: number;
-  endsAt: number;
+  /**
+   * A job counts as forgotten if no query for it is answered for longer than this, while queries for other
+   * jobs are answered.
+   */
+  maxUnansweredMs: number;
+  /** Maximum time that a job waits to start after all faults have ended, if it fits on free machines. */
+  maxWaitMs: number;
+  /** When the last injected fault ended. */
+  faultsEndedAt: number;
+  historyEndsAt: number;
 }
 
 export interface Violation {
@@ -21,237 +25,260 @@
   at: number;
 }
 
-interface Running {
+/** A task that is executing on a machine. */
+interface Execution {
   machine: string;
   since: number;
 }
 
-interface Job {
-  facts: JobFacts | undefined;
+/** What the history shows of a job so far. */
+interface JobHistory {
+  request: JobRequest | undefined;
   submitted: boolean;
   acceptedAt?: number;
-  askedToCancel: boolean;
+  cancelRequested: boolean;
   cancelledAt?: number;
   doneAt?: number;
-  /** When a question about it was last answered, or first went unanswered since. */
+  /** When the first query since the last answered query went unanswered. Unset while queries are answered. */
   unansweredSince?: number;
-  startedEver: boolean;
+  hasStarted: boolean;
   readonly completed: Set<number>;
 }
 
-/** Every rule of the protocol, judged by what the stand-ins saw and what users were told. */
-export function check(history: readonly Dated[], facts: CheckFacts): Violation[] {
-  return new Checker(facts).judge(history);
+/**
+ * Returns all violations of the rules of the protocol, derived from the events that the stand-ins observed
+ * and the answers that users received.
+ */
+export function check(history: readonly TimedEvent[], options: CheckOptions): Violation[] {
+  return new Checker(options).run(history);
 }
 
 class Checker {
   private readonly violations: Violation[] = [];
-  private readonly jobs = new Map<string, Job>();
-  private readonly running = new Map<string, Running[]>();
+  private readonly jobs = new Map<string, JobHistory>();
+  private readonly executions = new Map<string, Execution[]>();
   private readonly machines = new Map<string, { type: string; zone: string; spot: boolean }>();
-  private at = 0;
-  private answeredAt = -Infinity;
+  private now = 0;
+  private lastQueryAnsweredAt = -Infinity;
 
-  constructor(private readonly facts: CheckFacts) {}
+  constructor(private readonly options: CheckOptions) {}
 
-  judge(history: readonly Dated[]): Violation[] {
-    for (const happening of [...history].sort((a, b) => a.at - b.at)) {
-      this.at = happening.at;
-      this.take(happening);
+  run(history: readonly TimedEvent[]): Violation[] {
+    for (const event of [...history].sort((a, b) => a.at - b.at)) {
+      this.now = event.at;
+      this.apply(event);
     }
-    this.at = this.facts.endsAt;
-    for (const [id, job] of this.jobs) this.judgeEnd(id, job);
-    for (const [task, places] of this.running) for (const { since } of places) this.judgeStay(task, since);
+    this.now = this.options.historyEndsAt;
+    for (const [id, job] of this.jobs) this.checkLeftWaiting(id, job);
+    for (const [task, executions] of this.executions)
+      for (const { since } of executions) this.checkRanCancelled(task, since);
     return this.violations;
   }
 
-  private take(happening: Dated): void {
-    switch (happening.kind) {
+  private apply(event: TimedEvent): void {
+    switch (event.kind) {
       case 'machine':
-        this.machines.set(happening.machine, happening);
+        this.machines.set(event.machine, event);
         return;
       case 'submitted': {
-        const job = this.job(happening.id);
-        job.facts ??= happening.job;
+        const job = this.job(event.id);
+        job.request ??= event.job;
         job.submitted = true;
         return;
       }
       case 'asked to cancel':
-        this.job(happening.id).askedToCancel = true;
+        this.job(event.id).cancelRequested = true;
         return;
       case 'started':
-        return this.start(happening.task, happening.machine);
+        return this.applyStart(event.task, event.machine);
       case 'left':
-        return this.leave(happening.task, happening.machine, happening.completed);
+        return this.applyExit(event.task, event.machine, event.completed);
       case 'told':
-        return this.tell(happening);
+        return this.applyAnswer(event);
     }
   }
 
   /**
-   * "Once any node has told a user that a job is accepted, done or cancelled, no node may give that user an older answer":
-   * an answer is older where its request was sent after the other answer had come. Of two requests that were under way at
-   * the same time nobody can say whose answer is the older one, since the network may overtake either, so they are not
-   * held against each other.
+   * Applies the rule: "Once any node has told a user that a job is accepted, done or cancelled, no node may
+   * give that user an older answer": if a request is sent after an answer has arrived, its own answer must
+   * not be older than that answer. If two requests are in flight at the same time, the network may reorder
+   * them, so the order of their answers is undefined and they are not compared.
    */
-  private tell({ id, by, what, sentAt }: Extract<Dated, { kind: 'told' }>): void {
+  private applyAnswer({ id, requestKind, answer, sentAt }: Extract<TimedEvent, { kind: 'told' }>): void {
     const job = this.job(id);
-    const sentAfter = (told: number | undefined): boolean => told !== undefined && told < sentAt;
-    if (by === 'question') this.noteQuestion(id, job, what);
-    if (what === 'turned away') return;
-    if (what === 'unknown') {
-      if (sentAfter(job.acceptedAt) && by !== 'submission') this.report('forgotten', id);
+    const sentAfter = (at: number | undefined): boolean => at !== undefined && at < sentAt;
+    if (requestKind === 'question') this.trackQuery(id, job, answer);
+    if (answer === 'turned away') return;
+    if (answer === 'unknown') {
+      if (sentAfter(job.acceptedAt) && requestKind !== 'submission') this.report('forgotten', id);
       return;
     }
-    if (what === 'refused') {
+    if (answer === 'refused') {
       if (sentAfter(job.acceptedAt)) this.report('forgotten', id);
       return;
     }
     if (!job.submitted) this.report('invented', id);
-    if (by === 'submission' && !job.facts) this.report('accepted_bad', id);
-    if (by === 'submission') job.acceptedAt ??= this.at;
-    const backFromDone = sentAfter(job.doneAt) && what !== 'done';
-    const backFromCancelled = sentAfter(job.cancelledAt) && what !== 'cancelled';
-    if (backFromDone || backFromCancelled || hasTwoEnds(job, what)) this.report('went_back', id);
-    if (what === 'pending' || what === 'running') this.judgeOrphan(id, sentAt);
-    if (what === 'cancelled') {
-      const isAsked = job.askedToCancel || this.ancestors(id).some((one) => one.askedToCancel);
-      if (!isAsked) this.report('went_back', id);
-      job.cancelledAt ??= this.at;
+    if (requestKind === 'submission' && !job.request) this.report('accepted_bad', id);
+    if (requestKind === 'submission') job.acceptedAt ??= this.now;
+    const reopensDone = sentAfter(job.doneAt) && answer !== 'done';
+    const reopensCancelled = sentAfter(job.cancelledAt) && answer !== 'cancelled';
+    if (reopensDone || reopensCancelled || contradictsOutcome(job, answer)) this.report('went_back', id);
+    if (answer === 'pending' || answer === 'running') this.checkOrphaned(id, sentAt);
+    if (answer === 'cancelled') {
+      const isCancelRequested =
+        job.cancelRequested || this.ancestors(id).some((ancestor) => ancestor.cancelRequested);
+      if (!isCancelRequested) this.report('went_back', id);
+      job.cancelledAt ??= this.now;
     }
-    if (what === 'done') {
-      if (job.completed.size < (job.facts?.tasks ?? Infinity)) this.report('not_done', id);
-      job.doneAt ??= this.at;
+    if (answer === 'done') {
+      if (job.completed.size < (job.request?.tasks ?? Infinity)) this.report('not_done', id);
+      job.doneAt ??= this.now;
     }
   }
 
-  /** It counts as forgotten only while questions about others are answered: nothing is asked of a dead service. */
-  private noteQuestion(id: string, job: Job, what: string): void {
-    if (what !== 'turned away') {
-      this.answeredAt = this.at;
+  /**
+   * Reports a job as forgotten if its queries stay unanswered while queries for other jobs are answered.
+   * During an outage of the whole service no answer is expected.
+   */
+  private trackQuery(id: string, job: JobHistory, answer: string): void {
+    if (answer !== 'turned away') {
+      this.lastQueryAnsweredAt = this.now;
       delete job.unansweredSince;
       return;
     }
-    job.unansweredSince ??= this.at;
-    const { forgottenMs, calmAt } = this.facts;
-    const since = Math.max(job.unansweredSince, calmAt);
-    if (job.acceptedAt === undefined || this.at - since <= forgottenMs || this.answeredAt < since) return;
+    job.unansweredSince ??= this.now;
+    const { maxUnansweredMs, faultsEndedAt } = this.options;
+    const unansweredFrom = Math.max(job.unansweredSince, faultsEndedAt);
+    if (
+      job.acceptedAt === undefined ||
+      this.now - unansweredFrom <= maxUnansweredMs ||
+      this.lastQueryAnsweredAt < unansweredFrom
+    )
+      return;
     this.report('forgotten', id);
-    job.unansweredSince = this.at;
+    job.unansweredSince = this.now;
   }
 
-  private start(task: string, machine: string): void {
+  private applyStart(task: string, machine: string): void {
     const [id = ''] = task.split('/');
     const job = this.job(id);
-    const places = this.running.get(task) ?? [];
-    if (places.length > 0) this.report('ran_twice', task);
+    const executions = this.executions.get(task) ?? [];
+    if (executions.length > 0) this.report('ran_twice', task);
     if (job.cancelledAt !== undefined) {
-      const late = this.at - job.cancelledAt;
-      if (late > this.facts.cancelDeadlineMs) this.report('ran_cancelled', task);
-      else if (late > this.facts.startGraceMs) this.report('started_cancelled', task);
+      const sinceCancelMs = this.now - job.cancelledAt;
+      if (sinceCancelMs > this.options.cancelDeadlineMs) this.report('ran_cancelled', task);
+      else if (sinceCancelMs > this.options.startGraceMs) this.report('started_cancelled', task);
     }
-    const unmet = (job.facts?.dependencies ?? []).some((dependency) => !this.isComplete(dependency));
-    if (unmet) this.report('too_early', task);
-    if (!this.maySit(id, job, machine)) this.report('wrong_place', task);
-    job.startedEver = true;
-    places.push({ machine, since: this.at });
-    this.running.set(task, places);
-    const limit = job.facts && this.facts.limits.get(job.facts.team);
-    if (limit !== undefined && this.used(job.facts?.team) > limit + 1e-6) this.report('quota', task);
+    const hasUnmetDependency = (job.request?.dependencies ?? []).some(
+      (dependency) => !this.isComplete(dependency),
+    );
+    if (hasUnmetDependency) this.report('too_early', task);
+    if (!this.isPlacementAllowed(id, job, machine)) this.report('wrong_place', task);
+    job.hasStarted = true;
+    executions.push({ machine, since: this.now });
+    this.executions.set(task, executions);
+    const limit = job.request && this.options.teamCpuLimits.get(job.request.team);
+    if (limit !== undefined && this.usedCpus(job.request?.team) > limit + 1e-6) this.report('quota', task);
   }
 
   private isComplete(id: string): boolean {
     const job = this.jobs.get(id);
-    return job?.facts !== undefined && job.completed.size >= job.facts.tasks;
+    return job?.request !== undefined && job.completed.size >= job.request.tasks;
   }
 
-  /** All jobs that have to be done before the job, directly or through others. */
-  private ancestors(id: string): Job[] {
+  /** All jobs on which the job depends, directly or through other jobs. */
+  private ancestors(id: string): JobHistory[] {
     const found = new Set<string>();
-    const next = [id];
-    for (let at = next.pop(); at !== undefined; at = next.pop()) {
-      for (const dependency of this.jobs.get(at)?.facts?.dependencies ?? []) {
+    const queue = [id];
+    for (let current = queue.pop(); current !== undefined; current = queue.pop()) {
+      for (const dependency of this.jobs.get(current)?.request?.dependencies ?? []) {
         if (found.has(dependency)) continue;
         found.add(dependency);
-        next.push(dependency);
+        queue.push(dependency);
       }
     }
     return [...found].map((ancestor) => this.job(ancestor));
   }
 
-  /** The job is still called open, by an answer whose request was sent long after a job before it was told as cancelled. */
-  private judgeOrphan(id: string, sentAt: number): void {
-    const isLate = ({ cancelledAt }: Job): boolean =>
-      cancelledAt !== undefined && sentAt - cancelledAt > this.facts.cancelDeadlineMs;
+  /**
+   * Reports the job, which an answer has just called pending or running, if the request was sent more than
+   * the cancel deadline after the cancellation of a direct or indirect dependency had been confirmed.
+   */
+  private checkOrphaned(id: string, sentAt: number): void {
+    const isLate = ({ cancelledAt }: JobHistory): boolean =>
+      cancelledAt !== undefined && sentAt - cancelledAt > this.options.cancelDeadlineMs;
     if (this.ancestors(id).some(isLate)) this.report('orphaned', id);
   }
 
-  private leave(task: string, machine: string, completed: boolean): void {
+  private applyExit(task: string, machine: string, completed: boolean): void {
     const [id = '', index] = task.split('/');
-    const places = this.running.get(task) ?? [];
-    const place = places.find((p) => p.machine === machine);
-    if (!place) return;
-    this.running.set(
+    const executions = this.executions.get(task) ?? [];
+    const execution = executions.find((e) => e.machine === machine);
+    if (!execution) return;
+    this.executions.set(
       task,
-      places.filter((p) => p !== place),
+      executions.filter((e) => e !== execution),
     );
-    this.judgeStay(task, place.since);
+    this.checkRanCancelled(task, execution.since);
     if (completed) this.job(id).completed.add(Number(index));
   }
 
-  private judgeStay(task: string, since: number): void {
+  private checkRanCancelled(task: string, since: number): void {
     const cancelledAt = this.jobs.get(task.split('/')[0] ?? '')?.cancelledAt;
-    if (cancelledAt === undefined || since - cancelledAt > this.facts.cancelDeadlineMs) return;
-    if (this.at - cancelledAt > this.facts.cancelDeadlineMs) this.report('ran_cancelled', task);
+    if (cancelledAt === undefined || since - cancelledAt > this.options.cancelDeadlineMs) return;
+    if (this.now - cancelledAt > this.options.cancelDeadlineMs) this.report('ran_cancelled', task);
   }
 
-  private maySit(id: string, { facts }: Job, machine: string): boolean {
-    const place = this.machines.get(machine);
-    if (!facts || !place) return false;
-    if (facts.types && !facts.types.includes(place.type)) return false;
-    if (facts.zone !== null && facts.zone !== place.zone) return false;
-    if (place.spot && !facts.spot) return false;
+  private isPlacementAllowed(id: string, { request }: JobHistory, machineId: string): boolean {
+    const machine = this.machines.get(machineId);
+    if (!request || !machine) return false;
+    if (request.machineTypes && !request.machineTypes.includes(machine.type)) return false;
+    if (request.zone !== null && request.zone !== machine.zone) return false;
+    if (machine.spot && !request.spot) return false;
     const zones = this.zonesOf(id);
-    if (facts.oneZone && zones.some((zone) => zone !== place.zone)) return false;
-    const here = zones.filter((zone) => zone === place.zone).length;
-    return !facts.spread || here < Math.ceil(facts.tasks / 2);
+    if (request.colocated && zones.some((zone) => zone !== machine.zone)) return false;
+    const tasksInZone = zones.filter((zone) => zone === machine.zone).length;
+    return !request.spread || tasksInZone < Math.ceil(request.tasks / 2);
   }
 
   private zonesOf(id: string): (string | undefined)[] {
     const zones: (string | undefined)[] = [];
-    for (const [task, places] of this.running) {
-      if (task.startsWith(`${id}/`)) zones.push(...places.map((p) => this.machines.get(p.machine)?.zone));
+    for (const [task, executions] of this.executions) {
+      if (task.startsWith(`${id}/`)) zones.push(...executions.map((e) => this.machines.get(e.machine)?.zone));
     }
     return zones;
   }
 
-  private used(team: string | undefined): number {
+  private usedCpus(team: string | undefined): number {
     let used = 0;
-    for (const [task, places] of this.running) {
-      const facts = this.jobs.get(task.split('/')[0] ?? '')?.facts;
-      if (facts?.team === team) used += (facts?.cpus ?? 0) * places.length;
+    for (const [task, executions] of this.executions) {
+      const request = this.jobs.get(task.split('/')[0] ?? '')?.request;
+      if (request?.team === team) used += (request?.cpus ?? 0) * executions.length;
     }
     return used;
   }
 
-  /** Every accepted job that was not cancelled has run, or at least begun, once the troubles are long over. */
-  private judgeEnd(id: string, job: Job): void {
-    const { endsAt, calmAt, waitsMs } = this.facts;
-    const waitedFrom = Math.max(job.acceptedAt ?? Infinity, calmAt);
-    const isReady = (job.facts?.dependencies ?? []).every((dependency) => this.isComplete(dependency));
+  /**
+   * Reports an accepted job that has neither started nor ended although its dependencies are complete and the
+   * maximum wait after the last fault has passed.
+   */
+  private checkLeftWaiting(id: string, job: JobHistory): void {
+    const { historyEndsAt, faultsEndedAt, maxWaitMs } = this.options;
+    const waitedFrom = Math.max(job.acceptedAt ?? Infinity, faultsEndedAt);
+    const isReady = (job.request?.dependencies ?? []).every((dependency) => this.isComplete(dependency));
     const isUndecided = job.cancelledAt === undefined && job.doneAt === undefined;
-    const open = isUndecided && !job.startedEver && isReady;
-    if (open && endsAt - waitedFrom > waitsMs) this.report('left_waiting', id);
+    const isWaiting = isUndecided && !job.hasStarted && isReady;
+    if (isWaiting && historyEndsAt - waitedFrom > maxWaitMs) this.report('left_waiting', id);
   }
 
-  private job(id: string): Job {
+  private job(id: string): JobHistory {
     let job = this.jobs.get(id);
     if (!job) {
       job = {
-        facts: undefined,
+        request: undefined,
         submitted: false,
-        askedToCancel: false,
-        startedEver: false,
+        cancelRequested: false,
+        hasStarted: false,
         completed: new Set(),
       };
       this.jobs.set(id, job);
@@ -260,12 +287,15 @@
   }
 
   private report(rule: string, subject: string): void {
-    this.violations.push({ rule, subject, at: this.at });
+    this.violations.push({ rule, subject, at: this.now });
   }
 }
 
-/** An end is decided once: no order of answers makes both of them true. */
-function hasTwoEnds(job: Job, what: Told): boolean {
-  if (what === 'done') return job.cancelledAt !== undefined;
-  return what === 'cancelled' && job.doneAt !== undefined;
+/**
+ * Whether the answer contradicts the outcome already confirmed. The outcome of a job is decided once, so
+ * `done` and `cancelled` contradict each other in whatever order the answers arrive.
+ */
+function contradictsOutcome(job: JobHistory, answer: UserAnswer): boolean {
+  if (answer === 'done') return job.cancelledAt !== undefined;
+  return answer === 'cancelled' && job.doneAt !== undefined;
 }
--- a/src/testing/cloud-standin.ts
+++ b/src/testing/cloud-standin.ts
@@ -1,7 +1,9 @@
+/** Simulates the cloud for tests: an HTTP server with the cloud's API. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { type Fields, decodeFields, list, number, text } from '../wire/codec.js';
 import { reply } from './store-standin.js';
 
+/** A machine that the simulated cloud has rented out; `rentedAt` is the time of day in ms. */
 export interface RentedMachine {
   id: string;
   type: string;
@@ -10,25 +12,31 @@
   rentedAt: number;
 }
 
-/** A stand-in for the cloud: one machine type in two zones, request names that rent once, and a limit a zone. */
+/**
+ * A stand-in for the cloud with one machine type in two zones. Rental requests are idempotent by name, and
+ * the number of machines in each zone is limited.
+ */
 export class CloudStandIn {
   readonly machines = new Map<string, RentedMachine>();
   readonly released: string[] = [];
   readonly rentals = new Map<string, string[]>();
-  /** Machines that a zone has to give, by kind. */
+  /** Maximum number of rented machines of each kind (spot and ordinary) in each zone. */
   capacity = 4;
-  /** The list tells what was so long ago. */
+  /** The list of machines shows the state of this long ago. */
   listLagMs = 0;
-  /** The next so many rentals are carried out and answered to nobody. */
+  /** This many of the next rentals are executed, but the connection is closed without an answer. */
   losesRentals = 0;
-  /** The next so many releases are answered to nobody and carried out that much later. */
+  /**
+   * For the next `count` releases, the connection is closed without an answer and the release is executed
+   * `ms` milliseconds later.
+   */
   lateReleases = { count: 0, ms: 0 };
-  /** 503 for every request, as in an outage. */
+  /** Answers every request with 503, as in an outage. */
   down = false;
   onRent: (machine: RentedMachine) => void = () => undefined;
   onRelease: (id: string) => void = () => undefined;
-  private readonly lately = new Map<string, { machine: RentedMachine; goneAt: number }>();
-  private serial = 0;
+  private readonly recentlyReleased = new Map<string, { machine: RentedMachine; releasedAt: number }>();
+  private lastMachineNumber = 0;
   private readonly server: Server;
 
   constructor() {
@@ -62,11 +70,13 @@
       this.release(hosts);
       return reply(response, 200, {});
     }
-    if (request.method === 'GET') return reply(response, 200, { hosts: this.listing(), hasNext: false });
+    if (request.method === 'GET') return reply(response, 200, { hosts: this.listMachines(), hasNext: false });
     this.rent(body, response);
   }
 
-  /** Stops on its own, with all that is on it; the list goes on naming it for a while. */
+  /**
+   * Ends a machine and all tasks on it without a release. The list of machines still contains the machine.
+   */
   die(id: string): void {
     this.onRelease(id);
   }
@@ -76,18 +86,18 @@
       const machine = this.machines.get(id);
       if (!machine) continue;
       this.machines.delete(id);
-      this.lately.set(id, { machine, goneAt: Date.now() });
+      this.recentlyReleased.set(id, { machine, releasedAt: Date.now() });
       this.released.push(id);
       this.onRelease(id);
     }
   }
 
-  private listing(): Fields[] {
+  private listMachines(): Fields[] {
     const asOf = Date.now() - this.listLagMs;
-    const gone = [...this.lately.values()]
-      .filter(({ goneAt }) => goneAt > asOf)
+    const stillListed = [...this.recentlyReleased.values()]
+      .filter(({ releasedAt }) => releasedAt > asOf)
       .map(({ machine }) => machine);
-    const listed = [...this.machines.values(), ...gone].filter((m) => m.rentedAt <= asOf);
+    const listed = [...this.machines.values(), ...stillListed].filter((m) => m.rentedAt <= asOf);
     listed.sort((a, b) => (a.id < b.id ? -1 : 1));
     return listed.map((m) => ({
       id: m.id,
@@ -102,16 +112,16 @@
 
   private rent(body: Fields, response: ServerResponse): void {
     const name = text(body['charter']);
-    const before = this.rentals.get(name);
-    if (before) return reply(response, 200, { hosts: before });
+    const earlierHosts = this.rentals.get(name);
+    if (earlierHosts) return reply(response, 200, { hosts: earlierHosts });
     const zone = text(body['berth']);
     const spot = body['loaners'] === true;
-    const taken = [...this.machines.values()].filter((m) => m.zone === zone && m.spot === spot).length;
-    const count = Math.min(number(body['howMany']), this.capacity - taken);
+    const rentedCount = [...this.machines.values()].filter((m) => m.zone === zone && m.spot === spot).length;
+    const count = Math.min(number(body['howMany']), this.capacity - rentedCount);
     if (count <= 0) return reply(response, 503, { error: 'no capacity' });
     const hosts: string[] = [];
     for (let i = 0; i < count; i++) {
-      const id = `vm-${String(++this.serial).padStart(6, '0')}`;
+      const id = `vm-${String(++this.lastMachineNumber).padStart(6, '0')}`;
       const machine = { id, type: text(body['hull']), zone, spot, rentedAt: Date.now() };
       this.machines.set(id, machine);
       hosts.push(id);
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,3 +1,4 @@
+/** Runs three controllers against stand-ins for the state service, the cloud, the workers and the users. */
 import { fileURLToPath } from 'node:url';
 import { HttpPeer, type Answer } from '../base/http.js';
 import { createLog } from '../base/log.js';
@@ -9,7 +10,7 @@
 import { check } from './checker.js';
 import { CloudStandIn, type RentedMachine, machineType } from './cloud-standin.js';
 import { ControllerProcesses } from './controller-processes.js';
-import { History, type JobFacts, type Told } from './history.js';
+import { History, type JobRequest, type UserAnswer } from './history.js';
 import { Link } from './link.js';
 import { seeded } from './seeded.js';
 import { settingsJson, testSettings } from './settings.js';
@@ -19,61 +20,82 @@
 
 export { labels };
 
-/** The times of the workers, by the settings' names. */
+/** Times of the workers in seconds, under the names that the settings file uses. */
 export interface WorkerTimes {
   report_s: number;
   lease_s: number;
   cancel_s: number;
 }
 
-/** The deployment's times, scaled: everything that a test waits for is a multiple of them. */
-const usualTimes: WorkerTimes = { report_s: 0.2, lease_s: 2, cancel_s: 5 };
-export const heartbeatIntervalMs = usualTimes.report_s * 1000;
-export const workerLeaseMs = usualTimes.lease_s * 1000;
-export const cancelDeadlineMs = usualTimes.cancel_s * 1000;
-/** What the protocol allows for a job about which nothing is answered, as a multiple of the time for a cancellation. */
-const forgottenCancels = 1.5;
-/** What a user waits for an answer. */
-const userMs = 5000;
-/** Red may use less than the machines have, so that its limit is what holds it back. */
-const limits = new Map([['red', 32]]);
+/** The times of a real deployment, scaled down. All waits of the tests are multiples of these times. */
+const defaultTimes: WorkerTimes = { report_s: 0.2, lease_s: 2, cancel_s: 5 };
+export const heartbeatIntervalMs = defaultTimes.report_s * 1000;
+export const workerLeaseMs = defaultTimes.lease_s * 1000;
+export const cancelDeadlineMs = defaultTimes.cancel_s * 1000;
+/** How long the protocol lets queries for a job stay unanswered, as a multiple of the cancel deadline. */
+const unansweredCancelDeadlines = 1.5;
+/** How long a user waits for an answer. */
+const userTimeoutMs = 5000;
+/**
+ * CPU limits of the teams. The limit of `red` is below the CPUs of all machines, so that the limit takes
+ * effect.
+ */
+const teamCpuLimits = new Map([['red', 32]]);
 
 export interface ClusterOptions {
-  /** The first of a range of ports of its own: test files run side by side. */
+  /**
+   * First port of the range that this cluster uses. Test files run in parallel, so the ranges must not
+   * overlap.
+   */
   port: number;
+  /** Run time of every task, or of the given task (`<job>/<index>`). */
   taskMs: number | ((piece: string) => number);
   fetchMs?: number;
-  /** Where the usual ones would keep this process busy with reports alone. */
+  /** Replaces the default times, for fleets whose heartbeats alone would keep this process busy. */
   times?: WorkerTimes;
   seed?: number;
-  /** Machines that each zone has to give. */
+  /** Maximum number of rented machines of each kind (spot and ordinary) in each zone. */
   capacity?: number;
-  /** Controllers that run in processes of their own, so that a test can stop and continue them. */
+  /** Labels of the controllers that run in a separate process, so that a test can pause and continue them. */
   processes?: string[];
-  /** Controllers that begin with the program at this path, each in a process of its own: an earlier version. */
+  /**
+   * Path of an earlier version of the program, and the controllers that start with it, each in its own
+   * process.
+   */
   earlier?: { program: string; labels: string[] };
-  /** Limits that the state service will have, by the settings' names. */
+  /** Coming limits of the state service that the settings announce, under the names of the settings file. */
   nextLimits?: Record<string, number>;
 }
 
 const mainModule = fileURLToPath(new URL('../main.js', import.meta.url));
 
-/** Three controllers in this process, with stand-ins for all that is outside. */
+/**
+ * A cluster of three controllers, by default all in this process. The state service, the cloud, the workers
+ * and the users are stand-ins.
+ */
 export class Cluster {
   readonly store: StoreStandIn;
   readonly cloud = new CloudStandIn();
   readonly workers = new Map<string, WorkerStandIn>();
   readonly history = new History();
-  /** Zones that are cut off from all that is outside of them. */
+  /**
+   * Partitioned zones: no worker reaches a controller across the border of such a zone, in either direction.
+   */
   readonly cutZones = new Set<string>();
-  /** Called as a task completes, before anybody has heard of it. */
+  /** Called when a task completes, before any controller receives a heartbeat that reports the completion. */
   onDone: (piece: string) => void = () => undefined;
-  /** Tasks that run until the test lets them go, so that none ends before it is looked for; their time counts from then. */
+  /**
+   * Whether a task keeps running until the test releases it, so that it cannot end before the test checks for
+   * it. The run time of the task counts from its release.
+   */
   holdsTask: (task: string) => boolean = noTask;
-  /** Tasks that share an entry in the ledger of each block, as of the last lease that began in this process. */
+  /**
+   * For each block, the number of tasks in a ledger entry, as of the last block lease that started in this
+   * process.
+   */
   readonly chunkTasks = new Map<number, number>();
-  private calmAt = Date.now();
-  private readonly running = new Map<string, AbortController>();
+  private faultsEndedAt = Date.now();
+  private readonly controllerStops = new Map<string, AbortController>();
   readonly processes = new ControllerProcesses();
   private readonly users: HttpPeer[];
   private readonly links = new Map<string, Link>();
@@ -81,16 +103,16 @@
   private readonly times: WorkerTimes;
 
   constructor(private readonly options: ClusterOptions) {
-    this.times = options.times ?? usualTimes;
+    this.times = options.times ?? defaultTimes;
     this.random = seeded(options.seed ?? 1);
     this.store = new StoreStandIn({ rps: 400, writeRps: 200, txnOps: 20 }, options.seed);
     this.users = labels.map((_, i) => new HttpPeer(this.address(i, 0), 16));
     this.cloud.capacity = options.capacity ?? this.cloud.capacity;
-    this.cloud.onRent = (machine) => this.boot(machine);
-    this.cloud.onRelease = (id) => this.takeAway(id);
+    this.cloud.onRent = (machine) => this.startWorker(machine);
+    this.cloud.onRelease = (id) => this.endWorker(id);
   }
 
-  /** Starts everything and waits until users are served everywhere. */
+  /** Starts all parts and waits until every controller serves users and one controller leads. */
   async start(): Promise<void> {
     const { port } = this.options;
     await Promise.all([
@@ -104,7 +126,7 @@
       else if (this.options.processes?.includes(label)) this.startProcess(label);
       else this.startController(label);
     }
-    await this.until('all controllers are up', async () => {
+    await this.until('all controllers answer GET /up with 200', async () => {
       const answers = await Promise.all([0, 1, 2].map((node) => this.user(node, 'GET', '/up')));
       return answers.every((answer) => answer.status === 200);
     });
@@ -113,36 +135,43 @@
 
   startController(label: string): void {
     const stop = new AbortController();
-    this.running.set(label, stop);
-    // Who looks for a cause sets LOG_LEVEL, as for the service itself.
+    this.controllerStops.set(label, stop);
+    // As for the service itself, LOG_LEVEL sets the level. The log is printed only if LOG_LEVEL is set.
     const level = process.env['LOG_LEVEL'];
-    const log = createLog(label, level, { write: (line) => this.heed(line, level !== undefined) });
+    const log = createLog(label, level, { write: (line) => this.handleLogLine(line, level !== undefined) });
     void new Controller(this.settings(label), defaultOperatorSettings, log, stop.signal).run();
   }
 
   /** The settings of one controller of this cluster. */
   settings(label: string): Settings {
-    return testSettings((file) => this.adapt(file, label));
+    return testSettings((file) => this.applyClusterSettings(file, label));
   }
 
-  /** Some of what the controllers in this process log is known in no other way. */
-  private heed(line: string, prints: boolean): void {
-    if (prints) process.stderr.write(line);
+  /**
+   * Reads the number of tasks in a ledger entry from the log, since the controllers expose it nowhere else.
+   */
+  private handleLogLine(line: string, isPrinted: boolean): void {
+    if (isPrinted) process.stderr.write(line);
     if (!line.includes('"lease-started"')) return;
     const { block, chunkTasks } = JSON.parse(line) as { block: number; chunkTasks: number };
     this.chunkTasks.set(block, chunkTasks);
   }
 
-  /** The program as it is deployed, but for its bundling. */
+  /**
+   * Starts a controller in a process of its own. By default it runs the deployed program, but not bundled.
+   */
   startProcess(label: string, program = mainModule): void {
     this.processes.start(
       label,
       program,
-      settingsJson((file) => this.adapt(file, label)),
+      settingsJson((file) => this.applyClusterSettings(file, label)),
     );
   }
 
-  /** The controller ends, whatever it runs as, and comes back as this version. */
+  /**
+   * Ends the controller, whether it runs in this process or its own, and restarts it here with the current
+   * version.
+   */
   async upgrade(label: string, afterMs = 300): Promise<void> {
     this.processes.kill(label);
     this.stopController(label);
@@ -150,82 +179,98 @@
     this.startController(label);
   }
 
-  /** The same, but it comes back as the earlier version. */
+  /**
+   * Ends the controller, whether it runs in this process or its own, and restarts it with the earlier
+   * version.
+   *
+   * @throws Error if the options name no earlier version
+   */
   async downgrade(label: string, afterMs = 300): Promise<void> {
     const { earlier } = this.options;
-    if (!earlier) throw new Error('there is no earlier version');
+    if (!earlier) throw new Error('the cluster options name no earlier version');
     this.processes.kill(label);
     this.stopController(label);
     await pause(afterMs);
     this.startProcess(label, earlier.program);
   }
 
-  /** The state service has the limits that the settings announce. */
+  /** Applies the announced limits to the state service. */
   lowerLimits(): void {
     const { value_kb, txn_ops, write_rps } = this.options.nextLimits ?? {};
-    this.store.lower({
+    this.store.changeLimits({
       ...(value_kb === undefined ? {} : { valueBytes: value_kb * 1024 }),
       ...(txn_ops === undefined ? {} : { txnOps: txn_ops }),
       ...(write_rps === undefined ? {} : { writeRps: write_rps }),
     });
   }
 
-  /** As with no signal: nothing is said to anybody, its connections end. */
+  /** Stops a controller without notice: it sends nothing more to anyone, and its connections end. */
   stopController(label: string): void {
-    this.running.get(label)?.abort();
-    this.running.delete(label);
+    this.controllerStops.get(label)?.abort();
+    this.controllerStops.delete(label);
   }
 
-  /** Ended and back within a fraction of a second, with the life before still on record. */
+  /**
+   * Stops and restarts a controller so soon that the store still holds the records of the previous
+   * incarnation.
+   */
   async restart(label: string, afterMs = 100): Promise<void> {
     this.stopController(label);
     await pause(afterMs);
     this.startController(label);
   }
 
-  /** Waits until a controller leads, another than the one given, and says which. */
-  async leading(not = ''): Promise<string> {
+  /** Waits until a controller other than `excluded` leads, and returns its label. */
+  async leading(excluded = ''): Promise<string> {
     let label = '';
-    await this.until('another leads', () => {
+    await this.until('a controller leads', () => {
       label = (this.store.value('lead') as { label?: string } | undefined)?.label ?? '';
-      return label !== '' && label !== not;
+      return label !== '' && label !== excluded;
     });
     return label;
   }
 
-  /** The version of the leader's key, which every term has to itself; 0 while nobody leads. */
+  /** The version of the leader's key, which is different for every term. 0 while no controller leads. */
   leaderToken(): number {
     return this.store.version('lead');
   }
 
-  /** A block as the state service has it, with the machines that its pages name. */
+  /**
+   * The record of a block in the state service, with the machines listed in its pages.
+   *
+   * @throws Error if the state service holds no record of the block
+   */
   block(block: number): BlockRecord {
     const { store } = this;
-    const pages = machinePages(block, store.below(machinesPrefix(block)));
+    const pages = machinePages(block, store.entriesBelow(machinesPrefix(block)));
     const record = parseBlock(store.value(blockKey(block)), store.version(blockKey(block)), pages);
     if (!record) throw new Error(`no block ${block}`);
     return record;
   }
 
-  /** The owners of all blocks, in their order. */
+  /** The owners of all blocks, in the order of the blocks. */
   owners(): string[] {
     return labels.map((_, block) => this.block(block).owner);
   }
 
-  /** The controller that a machine's block is leased to. */
+  /** The controller that owns the block of a machine; empty if no block contains the machine. */
   ownerOf(machine: string): string {
     const blocks = labels.map((_, block) => this.block(block));
     return blocks.find(({ machines }) => machines.some(({ id }) => id === machine))?.owner ?? '';
   }
 
-  /** The link over which one controller tells the other of itself. */
+  /**
+   * The link over which the controller `from` sends its status to its peer `to`.
+   *
+   * @throws Error if there is no such link
+   */
   link(from: string, to: string): Link {
     const link = this.links.get(`${from}>${to}`);
     if (!link) throw new Error(`no link from ${from} to ${to}`);
     return link;
   }
 
-  /** Both ways between a controller and all its peers. */
+  /** The links between a controller and all its peers, in both directions. */
   peersOf(label: string): Link[] {
     return [...this.links].filter(([key]) => key.split('>').includes(label)).map(([, link]) => link);
   }
@@ -233,81 +278,90 @@
   user(node: number, method: string, path: string, body?: unknown): Promise<Answer> {
     const user = this.users[node];
     if (!user) throw new Error(`no controller ${node}`);
-    return user.exchange(method, path, body, { timeoutMs: userMs });
+    return user.exchange(method, path, body, { timeoutMs: userTimeoutMs });
   }
 
-  /** One try of a submission. */
+  /** Submits a job once to one controller and returns the HTTP status, 0 if there was no answer. */
   async submit(node: number, job: Submission): Promise<number> {
     const { id } = job;
-    this.history.add({ kind: 'submitted', id: String(id), job: factsOf(job) });
+    this.history.add({ kind: 'submitted', id: String(id), job: requestOf(job) });
     const sentAt = this.history.now();
-    const { status, body } = await this.try(node, 'POST', '/v2/runs', job);
+    const { status, body } = await this.exchange(node, 'POST', '/v2/runs', job);
     const accepted = status === 200 || status === 201;
-    const what = accepted ? toldIn(body) : status === 400 || status === 422 ? 'refused' : 'turned away';
-    this.history.add({ kind: 'told', id: String(id), by: 'submission', what, sentAt });
+    const answer = accepted ? statusIn(body) : status === 400 || status === 422 ? 'refused' : 'turned away';
+    this.history.add({ kind: 'told', id: String(id), requestKind: 'submission', answer, sentAt });
     return status;
   }
 
-  async ask(node: number, id: string): Promise<Told> {
+  async ask(node: number, id: string): Promise<UserAnswer> {
     const sentAt = this.history.now();
-    const { status, body } = await this.try(node, 'GET', `/v2/runs/${id}`);
-    const what = status === 200 ? toldIn(body) : status === 404 ? 'unknown' : 'turned away';
-    this.history.add({ kind: 'told', id, by: 'question', what, sentAt });
-    return what;
+    const { status, body } = await this.exchange(node, 'GET', `/v2/runs/${id}`);
+    const answer = status === 200 ? statusIn(body) : status === 404 ? 'unknown' : 'turned away';
+    this.history.add({ kind: 'told', id, requestKind: 'question', answer, sentAt });
+    return answer;
   }
 
-  async cancel(node: number, id: string): Promise<Told> {
+  async cancel(node: number, id: string): Promise<UserAnswer> {
     this.history.add({ kind: 'asked to cancel', id });
     const sentAt = this.history.now();
-    const { status, body } = await this.try(node, 'POST', `/v2/runs/${id}/cancel`, {});
-    const what = status === 200 ? toldIn(body) : status === 404 ? 'unknown' : 'turned away';
-    this.history.add({ kind: 'told', id, by: 'cancel', what, sentAt });
-    return what;
+    const { status, body } = await this.exchange(node, 'POST', `/v2/runs/${id}/cancel`, {});
+    const answer = status === 200 ? statusIn(body) : status === 404 ? 'unknown' : 'turned away';
+    this.history.add({ kind: 'told', id, requestKind: 'cancel', answer, sentAt });
+    return answer;
   }
 
-  /** As users do: tries one controller after the other until it is accepted. */
+  /** Submits a job to one controller after the other, as users do, until one of them accepts the job. */
   async submitSurely(job: Submission, from = 0): Promise<void> {
     let node = from;
-    await this.until(`${String(job.id)} is accepted`, async () => {
+    await this.until(`job ${String(job.id)} is accepted`, async () => {
       const status = await this.submit(node++ % 3, job);
       return status === 200 || status === 201;
     });
   }
 
-  async cancelSurely(id: string, nodes: number[] = [0, 1, 2]): Promise<Told> {
-    let told: Told = 'turned away';
-    let at = 0;
-    await this.until(`${id} is ended`, async () => {
-      told = await this.cancel(nodes[at++ % nodes.length] ?? 0, id);
-      return told === 'cancelled' || told === 'done';
+  async cancelSurely(id: string, nodes: number[] = [0, 1, 2]): Promise<UserAnswer> {
+    let answer: UserAnswer = 'turned away';
+    let attempt = 0;
+    await this.until(`job ${id} is cancelled or done`, async () => {
+      answer = await this.cancel(nodes[attempt++ % nodes.length] ?? 0, id);
+      return answer === 'cancelled' || answer === 'done';
     });
-    return told;
-  }
-
-  /** As users do: asks again until the answer is what they wait for. */
-  async until(what: string, ask: () => Promise<boolean> | boolean, withinMs = 15_000): Promise<void> {
+    return answer;
+  }
+
+  /**
+   * Evaluates the condition every 50 ms until it holds, as users do who wait for an answer. A rejection
+   * counts as a condition that does not hold.
+   *
+   * @throws Error if the condition does not hold within the time
+   */
+  async until(
+    description: string,
+    condition: () => Promise<boolean> | boolean,
+    withinMs = 15_000,
+  ): Promise<void> {
     const deadline = Date.now() + withinMs;
     for (;;) {
-      if (await Promise.resolve(ask()).catch(() => false)) return;
-      if (Date.now() > deadline) throw new Error(`not within ${withinMs} ms: ${what}`);
+      if (await Promise.resolve(condition()).catch(() => false)) return;
+      if (Date.now() > deadline) throw new Error(`timed out after ${withinMs} ms: ${description}`);
       await pause(50);
     }
   }
 
-  /** All troubles are over: whatever is accepted and not cancelled comes to its end, and every controller says so. */
+  /** Marks the end of all faults, and waits until every controller reports each of the jobs as done. */
   async allDone(ids: string[], withinMs = 25_000): Promise<void> {
-    this.calmAt = Date.now();
+    this.faultsEndedAt = Date.now();
     await this.toldEverywhere(ids, 'done', withinMs);
   }
 
-  /** Every controller says this of each of the jobs. */
-  async toldEverywhere(ids: string[], what: Told, withinMs: number): Promise<void> {
+  /** Waits until every controller gives the expected answer for each of the jobs. */
+  async toldEverywhere(ids: string[], expected: UserAnswer, withinMs: number): Promise<void> {
     for (const id of ids) {
       await this.until(
-        `${id} is ${what} for all`,
+        `job ${id} is ${expected} at all controllers`,
         async () => {
-          const told = await Promise.all([0, 1, 2].map((node) => this.ask(node, id)));
-          return told.every((one) => one === what);
+          const answers = await Promise.all([0, 1, 2].map((node) => this.ask(node, id)));
+          return answers.every((answer) => answer === expected);
         },
         withinMs,
       );
@@ -319,37 +373,37 @@
     return answer.status === 200 ? String((answer.body as { status: string }).status) : String(answer.status);
   }
 
-  /** Tasks of the job that are on machines, as the machines know. */
+  /** The tasks of the job that the workers are executing, according to the workers themselves. */
   runningOf(id: string): string[] {
     return [...this.workers.values()].flatMap((w) => w.running.filter((p) => p.startsWith(`${id}/`)));
   }
 
-  /** How many tasks of the job have run to their end, once or more often. */
+  /** The number of tasks of the job that have completed; a task that completed more than once counts once. */
   completedOf(id: string): number {
     const isOfJob = tasksOf(id);
-    const left = this.history.happenings.filter((one) => one.kind === 'left');
-    const completed = left.filter((one) => one.completed && isOfJob(one.task));
-    return new Set(completed.map((one) => one.task)).size;
+    const exits = this.history.happenings.filter((event) => event.kind === 'left');
+    const completed = exits.filter((exit) => exit.completed && isOfJob(exit.task));
+    return new Set(completed.map((exit) => exit.task)).size;
   }
 
-  /** Every broken rule so far. */
+  /** All violations of the protocol so far, each as the rule and its subject. */
   violations(): string[] {
     const cancelDeadlineMs = this.times.cancel_s * 1000;
     const startGraceMs = (this.times.lease_s * 1000) / 2;
-    const found = check(this.history.happenings, {
-      limits,
+    const violations = check(this.history.happenings, {
+      teamCpuLimits,
       cancelDeadlineMs,
       startGraceMs,
-      forgottenMs: forgottenCancels * cancelDeadlineMs,
-      waitsMs: 2 * cancelDeadlineMs,
-      calmAt: this.calmAt,
-      endsAt: Date.now(),
+      maxUnansweredMs: unansweredCancelDeadlines * cancelDeadlineMs,
+      maxWaitMs: 2 * cancelDeadlineMs,
+      faultsEndedAt: this.faultsEndedAt,
+      historyEndsAt: Date.now(),
     });
-    return found.map(({ rule, subject }) => `${rule} ${subject}`);
+    return violations.map(({ rule, subject }) => `${rule} ${subject}`);
   }
 
   stop(): void {
-    for (const stop of this.running.values()) stop.abort();
+    for (const stop of this.controllerStops.values()) stop.abort();
     this.processes.killAll();
     for (const worker of this.workers.values()) worker.end();
     for (const user of this.users) user.close();
@@ -358,15 +412,15 @@
     this.cloud.close();
   }
 
-  /** Makes the settings those of one controller of this cluster. */
-  private adapt(file: Record<string, unknown>, label: string): void {
+  /** Changes a settings file to that of one controller of this cluster. */
+  private applyClusterSettings(file: Record<string, unknown>, label: string): void {
     applyAddresses(file, labels.indexOf(label), this.addresses);
-    const inner = file['settings'] as Record<string, unknown>;
-    inner['workers'] = this.times;
+    const deploymentSettings = file['settings'] as Record<string, unknown>;
+    deploymentSettings['workers'] = this.times;
     const { nextLimits } = this.options;
-    const next = nextLimits ? { next: nextLimits } : {};
-    inner['state'] = { rps: 400, write_rps: 200, value_kb: 32, txn_ops: 20, ...next };
-    inner['cloud'] = { rps: 50, list_lag_s: 0.1 };
+    const announced = nextLimits ? { next: nextLimits } : {};
+    deploymentSettings['state'] = { rps: 400, write_rps: 200, value_kb: 32, txn_ops: 20, ...announced };
+    deploymentSettings['cloud'] = { rps: 50, list_lag_s: 0.1 };
   }
 
   private get addresses(): Addresses {
@@ -380,7 +434,7 @@
     };
   }
 
-  private async try(node: number, method: string, path: string, body?: unknown): Promise<Answer> {
+  private async exchange(node: number, method: string, path: string, body?: unknown): Promise<Answer> {
     return this.user(node, method, path, body).catch(() => ({ status: 0, body: undefined }));
   }
 
@@ -399,7 +453,7 @@
     return link.listen(this.linkPort(i, j));
   }
 
-  private boot(machine: RentedMachine): void {
+  private startWorker(machine: RentedMachine): void {
     const { taskMs, fetchMs } = this.options;
     const { id, type, zone, spot } = machine;
     const heartbeatIntervalMs = this.times.report_s * 1000;
@@ -408,7 +462,7 @@
     const worker = new WorkerStandIn(machine, {
       heartbeatIntervalMs,
       workerLeaseMs,
-      answerMs: workerLeaseMs / 2,
+      answerTimeoutMs: workerLeaseMs / 2,
       fetchMs: fetchMs ?? 0,
       saveMs: 0,
       taskMs: typeof taskMs === 'number' ? () => taskMs : taskMs,
@@ -426,7 +480,7 @@
     void worker.run();
   }
 
-  private takeAway(id: string): void {
+  private endWorker(id: string): void {
     this.workers.get(id)?.end();
     this.workers.delete(id);
   }
@@ -434,6 +488,7 @@
 
 export type Submission = Record<string, unknown>;
 
+/** The body of a submission for team `red`, in the form of the users' API. */
 export function submission(id: string, tasks: number, change: Submission = {}): Submission {
   return {
     id,
@@ -460,10 +515,10 @@
   };
 }
 
-/** The time of tasks that end only because they are stopped. */
+/** Run time of tasks that run until they are stopped. */
 export const untilStopped = Infinity;
 
-/** Says of a task whether it belongs to one of the jobs. */
+/** Returns a predicate: whether a task belongs to one of the jobs. */
 export function tasksOf(...ids: string[]): (task: string) => boolean {
   return (task) => ids.some((id) => task.startsWith(`${id}/`));
 }
@@ -475,23 +530,23 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-function toldIn(body: unknown): Told {
-  return (body as { status: Told }).status;
+function statusIn(body: unknown): UserAnswer {
+  return (body as { status: UserAnswer }).status;
 }
 
-const fields = Object.keys(submission('', 0));
+const submissionFields = Object.keys(submission('', 0));
 
-/** What a submission asks for; none where it lacks a field or asks for what no machine has. */
-function factsOf(job: Submission): JobFacts | undefined {
-  const whole = fields.every((field) => field in job);
-  if (!whole || Number(job['cpus']) > machineType.cpus) return undefined;
+/** What a submission asks for; undefined if it lacks a field or asks for more CPUs than a machine has. */
+function requestOf(job: Submission): JobRequest | undefined {
+  const isComplete = submissionFields.every((field) => field in job);
+  if (!isComplete || Number(job['cpus']) > machineType.cpus) return undefined;
   return {
     team: String(job['owner']),
     tasks: Number(job['pieces']),
     cpus: Number(job['cpus']),
-    types: job['hulls'] as string[] | null,
+    machineTypes: job['hulls'] as string[] | null,
     zone: job['berth'] as string | null,
-    oneZone: job['together'] === true,
+    colocated: job['together'] === true,
     spread: job['apart'] === true,
     spot: job['loaners'] === true,
     dependencies: (job['moorings'] ?? []) as string[],
--- a/src/testing/controller-processes.ts
+++ b/src/testing/controller-processes.ts
@@ -1,17 +1,17 @@
-/** Controllers that run in processes of their own, so that a test can stop and continue them. */
+/** Runs controllers in separate processes, so that a test can pause and continue them. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-interface RunningController {
+interface ControllerProcess {
   child: ChildProcess;
-  /** Holds its settings. */
+  /** Temporary directory with the settings file of the controller. */
   directory: string;
 }
 
 export class ControllerProcesses {
-  private readonly running = new Map<string, RunningController>();
+  private readonly controllers = new Map<string, ControllerProcess>();
 
   start(label: string, program: string, settings: string): void {
     const directory = mkdtempSync(join(tmpdir(), 'shalekeel-'));
@@ -19,28 +19,28 @@
     writeFileSync(path, settings);
     const env = { ...process.env, LOG_LEVEL: process.env['LOG_LEVEL'] ?? 'error' };
     const child = spawn(process.execPath, [program, '--config', path], { stdio: 'inherit', env });
-    this.running.set(label, { child, directory });
+    this.controllers.set(label, { child, directory });
   }
 
-  /** It stands still: what is sent to it waits, and its clock runs on. */
+  /** Pauses the process: data that is sent to it waits in the network buffers, and its clock continues. */
   pause(label: string): void {
-    this.running.get(label)?.child.kill('SIGSTOP');
+    this.controllers.get(label)?.child.kill('SIGSTOP');
   }
 
   continue(label: string): void {
-    this.running.get(label)?.child.kill('SIGCONT');
+    this.controllers.get(label)?.child.kill('SIGCONT');
   }
 
-  /** With no signal that it could heed. */
+  /** Ends the process with SIGKILL, which it cannot handle. */
   kill(label: string): void {
-    const controller = this.running.get(label);
+    const controller = this.controllers.get(label);
     if (!controller) return;
     controller.child.kill('SIGKILL');
     rmSync(controller.directory, { recursive: true, force: true });
-    this.running.delete(label);
+    this.controllers.delete(label);
   }
 
   killAll(): void {
-    for (const label of [...this.running.keys()]) this.kill(label);
+    for (const label of [...this.controllers.keys()]) this.kill(label);
   }
 }
--- a/src/testing/document-names.test.ts
+++ b/src/testing/document-names.test.ts
@@ -1,3 +1,4 @@
+/** Checks that the documents name only modules, tests, log events, settings and symbols that exist. */
 import assert from 'node:assert/strict';
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
@@ -12,8 +13,8 @@
   unknownNames,
 } from './document-names.js';
 
-/** Histories of what was measured and found at the time keep the names of their time. */
-const histories = ['docs/measurements.md'];
+/** Documents with past measurements and findings, which keep the names that were in use at the time. */
+const historicalDocuments = ['docs/measurements.md'];
 
 const settingNames = {
   ladder: ['start', 'cheapStart', 'target', 'slotShare', 'periodS', 'windowS'],
@@ -47,7 +48,10 @@
   'README.md',
   ...filesBelow('docs'),
   ...readdirSync('.').filter((file) => file === 'CONTRIBUTING.md'),
-].filter((file) => file.endsWith('.md') && !file.startsWith('docs/incidents/') && !histories.includes(file));
+].filter(
+  (file) =>
+    file.endsWith('.md') && !file.startsWith('docs/incidents/') && !historicalDocuments.includes(file),
+);
 
 for (const document of documents) {
   test(`${document} names only modules, tests, settings and symbols that exist`, () => {
@@ -55,7 +59,7 @@
   });
 }
 
-test('the settings that documents may name are those that the operators file takes', async () => {
+test("every setting that documents may name is accepted in the operators' settings file", async () => {
   for (const [element, names] of Object.entries(settingNames)) {
     for (const name of names) {
       await parseOperatorSettings(`<shalekeel><${element} ${name}="0.5"/></shalekeel>`);
@@ -64,7 +68,7 @@
   await assert.rejects(parseOperatorSettings('<shalekeel><ladder novelty="0.5"/></shalekeel>'));
 });
 
-test('the runbook lists every event that operators see by default, and none that does not exist', () => {
+test('the runbook lists every event logged at a default level, and no event that does not exist', () => {
   const listed = listedEvents(readFileSync('docs/runbook.md', 'utf8'));
   const logged = new Set(sources.flatMap(loggedEvents));
   const unlisted = [...new Set(sources.flatMap(operatorEvents))].filter((event) => !listed.includes(event));
@@ -76,7 +80,7 @@
   assert.equal(new Set(listed).size, listed.length);
 });
 
-test('a name that stands for nothing is found, whatever it seems to name', () => {
+test('unknown files, directories, classes, methods and settings are found in a document', () => {
   const document = [
     '`no-such.ts`, `src/nowhere/`, `NoSuchClass`, `Election.noSuchMethod`, `ladder/novelty`',
     'and `election.ts`, `src/leadership/`, `Election.run`, `ladder/start`, `POST /hello`, `run`',
--- a/src/testing/document-names.ts
+++ b/src/testing/document-names.ts
@@ -1,12 +1,15 @@
-/** Finds the names of modules, tests, log events, settings and symbols that a document puts in code spans. */
+/**
+ * Finds unknown names of files, settings and symbols in the code spans of a document, and collects log
+ * events.
+ */
 
-/** What the source tree offers to be named. */
+/** The names that exist in the source tree and that documents may use. */
 export interface KnownNames {
   /** Paths of all files below `src`, relative to the root of the repository. */
   files: readonly string[];
-  /** Every word of the sources that may be an identifier. */
+  /** All words of the sources that may be identifiers. */
   identifiers: ReadonlySet<string>;
-  /** Settings of the operators' file, as `element/attribute`. */
+  /** Settings of the operators' settings file, as `element/attribute`. */
   settings: ReadonlySet<string>;
 }
 
@@ -15,7 +18,7 @@
 const directory = /^src\/[\w/-]+\/?$/;
 const symbol = /^(?:[A-Z][a-z]+(?:[A-Z][a-z]+)+|[A-Z][A-Za-z]+\.[a-z]\w*)(?:\(\))?$/;
 const setting = /^(?:ladder|blocks|leadership|workers)\/[A-Za-z]+$/;
-const eventRow = /^\| ((?:`[a-z-]+`(?:, )?)+) +\|/gm;
+const eventTableRow = /^\| ((?:`[a-z-]+`(?:, )?)+) +\|/gm;
 
 function codeSpans(text: string): string[] {
   return [...text.matchAll(codeSpan)].map(([, span = '']) => span);
@@ -33,28 +36,31 @@
   return true;
 }
 
-/** The names in a document that stand for nothing in the sources. */
+/** Returns the names in the code spans of a document that do not exist in the sources. */
 export function unknownNames(document: string, known: KnownNames): string[] {
   return codeSpans(document).filter((span) => !isKnown(span, known));
 }
 
-/** The events that the first column of a document's tables lists. */
+/** Returns the log events in the first column of the tables of a document. */
 export function listedEvents(document: string): string[] {
-  return [...document.matchAll(eventRow)].flatMap(([, cell = '']) => codeSpans(cell));
+  return [...document.matchAll(eventTableRow)].flatMap(([, cell = '']) => codeSpans(cell));
 }
 
-/** The words of a source file outside its comments. */
+/** Returns the words of a source file, except those in comments. */
 export function identifiersIn(source: string): string[] {
   const code = source.replace(/\/\*[\s\S]*?\*\/|\/\/.*/g, '');
   return code.match(/[A-Za-z]\w*/g) ?? [];
 }
 
-/** All events that a source file may log. */
+/** Returns all events that a source file may log. */
 export function loggedEvents(source: string): string[] {
   return [...source.matchAll(/event: '([a-z-]+)'/g)].map(([, event = '']) => event);
 }
 
-/** Those that it logs at a level that operators see by default; the level stands right before the event. */
+/**
+ * Returns the events that a source file logs at the levels `info` and `error`, which operators see by
+ * default. Finds only log calls in which the event is the first field.
+ */
 export function operatorEvents(source: string): string[] {
   return [...source.matchAll(/\.(?:info|error)\(\s*\{\s*event: '([a-z-]+)'/g)].map(([, event = '']) => event);
 }
--- a/src/testing/earlier-build.ts
+++ b/src/testing/earlier-build.ts
@@ -1,4 +1,4 @@
-/** Earlier versions of the program, built from the history of the repository. */
+/** Builds earlier versions of the program from the history of the repository. */
 import { execFileSync } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, symlinkSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -6,20 +6,26 @@
 
 const deployFile = 'deploy/service.toml';
 
-/** The commit that the deploy file names as the version in production. */
+/**
+ * Returns the commit that the deploy file names as the version in production.
+ *
+ * @throws Error if the deploy file names no commit
+ */
 export function productionCommit(): string {
   const commit = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync(deployFile, 'utf8'))?.[1];
-  if (commit === undefined) throw new Error(`${deployFile} names no commit in production`);
+  if (commit === undefined) throw new Error(`${deployFile} contains no line 'production = "<commit>"'`);
   return commit;
 }
 
+/** The build of an earlier version in a temporary directory. */
 export interface EarlierBuild {
-  /** The path of the program. */
+  /** Path of the built program. */
   program: string;
+  /** Deletes the temporary directory. */
   remove(): void;
 }
 
-/** Builds a commit in a directory of its own, with the libraries of this checkout. */
+/** Builds a commit in a temporary directory, with the installed dependencies of this checkout. */
 export function buildCommit(commit: string): EarlierBuild {
   const directory = mkdtempSync(join(tmpdir(), 'shalekeel-earlier-'));
   const archive = execFileSync('git', ['archive', commit], { maxBuffer: 2 ** 30 });
--- a/src/testing/heartbeat-fixture.ts
+++ b/src/testing/heartbeat-fixture.ts
@@ -1,4 +1,4 @@
-/** A heartbeat handler under test, before a block whose commits are answered by the test. */
+/** Test fixture: a heartbeat handler for one block. The test supplies the outcome of each commit. */
 import { silentLog } from '../base/log.js';
 import type { Reply } from '../base/replies.js';
 import type { CommitOutcome } from '../store/transactions.js';
@@ -9,7 +9,7 @@
 } from '../workers/heartbeat-handler.js';
 import { type BlockStage, createBlockStage, machineToken } from './block-stage.js';
 
-/** What a worker says of one of its tasks of the job `req-1`. */
+/** What a worker reports in a heartbeat of one of its tasks of the job `req-1`. */
 export interface WorkerTask {
   index: number;
   status: string;
@@ -19,20 +19,23 @@
 /** A block with a handler for the heartbeats of its machines m1 and m2. */
 export interface HeartbeatFixture extends BlockStage {
   handler: HeartbeatHandler;
-  /** All replies so far, in their order. */
+  /** All replies so far, in the order in which they were sent. */
   replies: Reply[];
-  /** Sends the machine's next heartbeat, under the block's fencing token unless another is given. */
+  /** Sends the next heartbeat of the machine, by default with the fencing token of the block. */
   heartbeat: (machine: string, tasks?: WorkerTask[], fencingToken?: number) => void;
 }
 
-/** What a test may set of the stage. */
+/** The options of a fixture: ports of the handler, the number of tasks, and the outcome of commits. */
 export interface HeartbeatFixtureOptions extends Partial<HeartbeatHandlerPorts> {
-  /** Tasks of the job. */
+  /** Number of tasks of the job. */
   tasks: number;
   commit?: () => CommitOutcome;
 }
 
-/** Unless the options say otherwise, the handler owns m1 and m2 and may start tasks, and every commit is applied. */
+/**
+ * Creates a fixture. By default the controller owns the block of m1 and m2, it may start tasks and answer
+ * heartbeats, and every commit is applied.
+ */
 export function createHeartbeatFixture({
   tasks,
   commit,
@@ -73,7 +76,7 @@
   return { ...stage, handler, replies, heartbeat };
 }
 
-/** Ends what is held, so that no timer outlives the test for long. */
+/** Sends all held responses, so that their timers do not keep the test process running. */
 export function sendHeldResponses({ blockState }: BlockStage): void {
   for (const machine of blockState.machines.values()) machine.sendHeldResponse?.();
 }
--- a/src/testing/held-store.ts
+++ b/src/testing/held-store.ts
@@ -1,4 +1,4 @@
-/** An in-memory state service whose answers the test holds back and releases one by one. */
+/** Test double of the state service in memory. A test can hold its answers and release them one by one. */
 import { nextTurn } from '../base/turns.js';
 import { StoreConnectionError } from '../store/errors.js';
 import type { CommitOutcome } from '../store/transactions.js';
@@ -8,26 +8,31 @@
 import { type Condition, type Item, type ListPage, type Write, writtenKey } from '../wire/state.js';
 
 /**
- * Executes every request the moment it is sent. Where `holdsAnswers` is set, its answer stays on the way until `release`
- * is called, which is how an answer that was true when it was given becomes old.
+ * Executes every request as soon as it is sent. While `holdsAnswers` is set, each answer is held until
+ * `release` is called. A held answer was correct when the request was executed and becomes stale through
+ * later requests.
  */
 export class HeldStore {
   holdsAnswers = false;
-  /** Lists get no answer. */
+  /** Requests for pages of lists fail as if no answer had arrived in time. */
   failsLists = false;
-  /** Requests executed so far: transactions with writes, those that only compare, and pages of lists. */
+  /**
+   * Numbers of executed requests: transactions with writes, transactions without writes, and pages of lists.
+   */
   readonly executed = { writing: 0, comparing: 0, listing: 0 };
-  /** The most changes that one transaction asked for, and the largest value in bytes. */
+  /** Largest number of writes in one transaction. */
   largestWrites = 0;
+  /** Size of the largest stored value in bytes. */
   largestValue = 0;
-  /** Called after every transaction that wrote; `checked` settles with the last of these calls. */
+  /** Called after every applied transaction with writes. */
   onWrite: () => Promise<void> = () => Promise.resolve();
+  /** The promise that the last call of `onWrite` returned. */
   checked: Promise<void> = Promise.resolve();
   private readonly keys = new Map<string, StoredValue>();
   private readonly heldAnswers: (() => void)[] = [];
   private revision = 0;
 
-  /** Answers that are on their way. */
+  /** Number of answers that are held. */
   get held(): number {
     return this.heldAnswers.length;
   }
@@ -41,32 +46,34 @@
     return this.answer(stored && { key, ...stored });
   }
 
-  /** Delivers the oldest answer that is held, and lets its receiver go on as far as it can. */
+  /** Delivers the oldest held answer and waits until its receiver has processed it. */
   async release(): Promise<void> {
     this.heldAnswers.shift()?.();
     await settled();
   }
 
-  listPage(prefix: string, after: string, most: number): Promise<ListPage> {
+  listPage(prefix: string, after: string, limit: number): Promise<ListPage> {
     this.executed.listing++;
     if (this.failsLists)
       return Promise.reject(new StoreConnectionError('list', new Error('no answer in time')));
-    const found = [...this.keys]
+    const matches = [...this.keys]
       .filter(([key]) => key.startsWith(prefix) && key > after)
       .sort(([a], [b]) => (a < b ? -1 : 1));
-    const items = found.slice(0, most).map(([key, stored]) => ({ key, ...stored }));
-    return this.answer({ items, hasMore: found.length > most, revision: this.revision });
+    const items = matches.slice(0, limit).map(([key, stored]) => ({ key, ...stored }));
+    return this.answer({ items, hasMore: matches.length > limit, revision: this.revision });
   }
 
-  /** The job ends by the hand of nobody whom the test plays. */
+  /** Stores the outcome `done` of a job, as another controller would. */
   endAsDone(id: string): Promise<CommitOutcome> {
-    return this.end(id, 'done');
+    return this.writeOutcome(id, 'done');
   }
 
+  /** Stores the outcome `cancelled` of a job, as another controller would. */
   endAsCancelled(id: string): Promise<CommitOutcome> {
-    return this.end(id, 'cancelled');
+    return this.writeOutcome(id, 'cancelled');
   }
 
+  /** Resets `largestWrites` and `largestValue`. */
   forgetSizes(): void {
     this.largestWrites = 0;
     this.largestValue = 0;
@@ -80,8 +87,8 @@
     return this.keys.has(key);
   }
 
-  private end(id: string, end: Outcome): Promise<CommitOutcome> {
-    const put = { put: outcomeKey(id), value: outcomeRecord({ outcome: end, tasks: 1, endedAt: 0 }) };
+  private writeOutcome(id: string, outcome: Outcome): Promise<CommitOutcome> {
+    const put = { put: outcomeKey(id), value: outcomeRecord({ outcome: outcome, tasks: 1, endedAt: 0 }) };
     return Promise.resolve(this.execute([], [put, { drop: jobKey(id) }]));
   }
 
@@ -117,7 +124,7 @@
   }
 }
 
-/** Everything that can go on without a new answer has gone on. */
+/** Waits a few turns of the event loop, so that all work that needs no further answer is done. */
 export async function settled(): Promise<void> {
   const turns = 5;
   for (let turn = 0; turn < turns; turn++) await nextTurn();
--- a/src/testing/history.ts
+++ b/src/testing/history.ts
@@ -1,49 +1,69 @@
-/** What a user was told of a job, or that the request came to nothing. */
-export type Told = 'pending' | 'running' | 'done' | 'cancelled' | 'unknown' | 'turned away' | 'refused';
+/** Records what happens in a test cluster: requests, their answers, and tasks on machines. */
 
-/** What happened, as the stand-ins themselves know it: no controller's word is taken for it. */
-export type Happening =
-  /** A submission as its user sent it; `job` is what it asks for, where it is valid. */
-  | { kind: 'submitted'; id: string; job: JobFacts | undefined }
+/**
+ * The status of a job in the answer to a user's request. `refused`: the submission was rejected as invalid.
+ * `unknown`: no such job. `turned away`: the request failed or got no answer.
+ */
+export type UserAnswer = 'pending' | 'running' | 'done' | 'cancelled' | 'unknown' | 'turned away' | 'refused';
+
+/**
+ * An event observed by the stand-ins for workers, cloud and users. No event relies on the internal state of a
+ * controller.
+ */
+export type HistoryEvent =
+  /**
+   * A user sent a submission. `job` is the requested job. It is undefined if the submission is invalid or
+   * asks for more than any machine has.
+   */
+  | { kind: 'submitted'; id: string; job: JobRequest | undefined }
   | { kind: 'asked to cancel'; id: string }
   /**
-   * `by`: submissions are accepted or refused, questions and cancels are answered. `sentAt`: when the request was sent; the
-   * happening itself is dated by the answer.
+   * A user received an answer, or the request failed. `sentAt` is when the request was sent; the time of the
+   * event is when the answer arrived.
    */
-  | { kind: 'told'; id: string; by: 'submission' | 'question' | 'cancel'; what: Told; sentAt: number }
-  /** It has its image: it is on the machine from now on. */
+  | {
+      kind: 'told';
+      id: string;
+      requestKind: 'submission' | 'question' | 'cancel';
+      answer: UserAnswer;
+      sentAt: number;
+    }
+  /** A worker has fetched the image of a task and has begun to execute the task. */
   | { kind: 'started'; task: string; machine: string }
   | { kind: 'left'; task: string; machine: string; completed: boolean }
   | { kind: 'machine'; machine: string; type: string; zone: string; spot: boolean };
 
-export interface JobFacts {
+/** What a submission asks for. */
+export interface JobRequest {
   team: string;
   tasks: number;
   cpus: number;
-  types: string[] | null;
+  machineTypes: string[] | null;
   zone: string | null;
-  oneZone: boolean;
+  colocated: boolean;
   spread: boolean;
   spot: boolean;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Ids of the jobs that must be done before any task of this job starts. */
   dependencies: string[];
 }
 
-export type Dated = Happening & { at: number };
+/** An event and its time in ms. */
+export type TimedEvent = HistoryEvent & { at: number };
 
-/** Time of day in ms with fractions: requests follow each other within less than a millisecond. */
-const fineClock = (): number => performance.timeOrigin + performance.now();
+/** Time of day in ms with fractions, since consecutive requests may be less than a millisecond apart. */
+const submillisecondClock = (): number => performance.timeOrigin + performance.now();
 
+/** The events of a test cluster in the order in which they were recorded. */
 export class History {
-  readonly happenings: Dated[] = [];
+  readonly happenings: TimedEvent[] = [];
 
-  constructor(private readonly clock: () => number = fineClock) {}
+  constructor(private readonly clock: () => number = submillisecondClock) {}
 
   now(): number {
     return this.clock();
   }
 
-  add(happening: Happening): void {
-    this.happenings.push({ ...happening, at: this.clock() });
+  add(event: HistoryEvent): void {
+    this.happenings.push({ ...event, at: this.clock() });
   }
 }
--- a/src/testing/job-states.ts
+++ b/src/testing/job-states.ts
@@ -1,4 +1,4 @@
-/** Jobs, machines and blocks whose state a test holds in its hands, without a scheduler. */
+/** Creates the state of jobs, machines and blocks for tests that need no scheduler. */
 import type { JobSpec } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
 import { type EntryLayout, JobRecorder } from '../placement/job-recorder.js';
@@ -7,7 +7,7 @@
 import { MachineState } from '../placement/machine-state.js';
 import { machineToken, valueBytes, valueLayout } from './block-stage.js';
 
-/** A job all of whose tasks are block 0's; by default it is recorded in a ledger of its own. */
+/** Creates a job with all tasks assigned to block 0. By default the job has a ledger of its own. */
 export function createJobState(
   spec: JobSpec,
   ledger: Ledger = new Ledger(valueBytes),
@@ -26,14 +26,14 @@
   for (let task = job.nextWaitingTask(); task; task = job.nextWaitingTask()) job.placeTask(task, machine, 0);
 }
 
-/** A machine with 8 CPUs. */
+/** Creates a machine of type `c8`, which has 8 CPUs. */
 export function createMachineState(id: string, { zone = 'a', spot = false } = {}): MachineState {
   const machine = new MachineState(id, 0);
   machine.info = { id, type: 'c8', zone, spot };
   return machine;
 }
 
-/** Block 0 with the machine m1. */
+/** Creates block 0 with the machine m1. */
 export function createBlockWithMachine(clock: () => number): {
   blockState: BlockState;
   machine: MachineState;
@@ -58,7 +58,7 @@
   return { blockState, machine: blockState.machines.get('m1') as MachineState };
 }
 
-/** Adds a job to the block, all of whose tasks are committed to be on the machine. */
+/** Adds a job to the block and places all its tasks on the machine, as if the placements were committed. */
 export function addPlacedJob(blockState: BlockState, spec: JobSpec, machine: MachineState): JobState {
   const job = createJobState(spec, blockState.ledger);
   blockState.jobs.set(job.id, job);
--- a/src/testing/known-red.test.ts
+++ b/src/testing/known-red.test.ts
@@ -1,30 +1,38 @@
+/** Guards the comparison that lets CI pass over known failures, but over no other failure. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { judge } from './known-red.js';
+import { compareWithKnownFailures } from './known-red.js';
 
-const ran = 'pass a\nfail b, with a comma\npass c\n';
-const line = 'b, with a comma | the clock drifts | #13\n';
+const outcomesOfRun = 'pass a\nfail b, with a comma\npass c\n';
+const knownFailure = 'b, with a comma | the clock drifts | #13\n';
 
-test('exactly the listed tests may fail, and they are printed', () => {
-  assert.deepEqual(judge(line, ran, true), { passes: true, lines: [`known to fail: ${line.trim()}`] });
-  assert.deepEqual(judge('', 'pass a\n', false), { passes: true, lines: [] });
-  assert.deepEqual(judge('', ran, true), { passes: false, lines: ['error: failed: b, with a comma'] });
+test('only listed tests may fail, and the listed tests are printed', () => {
+  assert.deepEqual(compareWithKnownFailures(knownFailure, outcomesOfRun, true), {
+    passes: true,
+    lines: [`known to fail: ${knownFailure.trim()}`],
+  });
+  assert.deepEqual(compareWithKnownFailures('', 'pass a\n', false), { passes: true, lines: [] });
+  assert.deepEqual(compareWithKnownFailures('', outcomesOfRun, true), {
+    passes: false,
+    lines: ['error: failed: b, with a comma'],
+  });
 });
 
-test('a list that does not fit the run fails it', () => {
-  const refused = (list: string, outcomes = ran): boolean => !judge(list, outcomes, true).passes;
-  assert.ok(refused(`${line}a | it passes | #13\n`));
-  assert.ok(refused(`${line}z | it does not exist | #13\n`));
-  assert.ok(refused('b, with a comma | no issue\n'));
-  assert.ok(refused('b, with a comma\n'));
-  const four = ['d', 'e', 'f', 'g'];
-  const list = four.map((name) => `${name} | cause | #13\n`);
-  const outcomes = four.map((name) => `fail ${name}\n`);
-  assert.ok(refused(list.join(''), outcomes.join('')));
-  assert.ok(!refused(list.slice(1).join(''), outcomes.slice(1).join('')));
+test('a run fails if the list of known failures is malformed, too long or contradicts the outcomes', () => {
+  const fails = (list: string, outcomes = outcomesOfRun): boolean =>
+    !compareWithKnownFailures(list, outcomes, true).passes;
+  assert.ok(fails(`${knownFailure}a | it passes | #13\n`));
+  assert.ok(fails(`${knownFailure}z | it does not exist | #13\n`));
+  assert.ok(fails('b, with a comma | no issue\n'));
+  assert.ok(fails('b, with a comma\n'));
+  const fourTests = ['d', 'e', 'f', 'g'];
+  const list = fourTests.map((name) => `${name} | cause | #13\n`);
+  const outcomes = fourTests.map((name) => `fail ${name}\n`);
+  assert.ok(fails(list.join(''), outcomes.join('')));
+  assert.ok(!fails(list.slice(1).join(''), outcomes.slice(1).join('')));
 });
 
-test('a run without a test, or that failed without one, does not pass', () => {
-  assert.equal(judge('', '', false).passes, false);
-  assert.equal(judge('', 'pass a\n', true).passes, false);
+test('a run fails if no test ran, or if the runner failed although no test failed', () => {
+  assert.equal(compareWithKnownFailures('', '', false).passes, false);
+  assert.equal(compareWithKnownFailures('', 'pass a\n', true).passes, false);
 });
--- a/src/testing/known-red.ts
+++ b/src/testing/known-red.ts
@@ -1,37 +1,47 @@
+/** Compares the outcomes of a test run with the list of tests that are known to fail. CI runs this file. */
 import { readFileSync } from 'node:fs';
 import { argv } from 'node:process';
 import { fileURLToPath } from 'node:url';
 
-const most = 3;
+const maxKnownFailures = 3;
 
+/** The result of a comparison, with the lines to print. */
 export interface Verdict {
   passes: boolean;
   lines: string[];
 }
 
 /**
- * What a run of the tests means with the tests that are known to fail: exactly these may. Each line of the list names a
- * test, the cause and the issue: `name | cause | #issue`. A listed test that passes, or that did not run, is an error, and so
- * are more than three.
+ * Decides whether a test run passes: every listed test must fail, and every other test must pass. Each line
+ * of the list contains a test, the cause and the issue: `name | cause | #issue`. A listed test that passes or
+ * did not run is an error. More than three listed tests are an error.
+ *
+ * @param list content of the list of known failures
+ * @param outcomes one line for each test, `pass` or `fail` and the name of the test
+ * @param runnerFailed whether the test runner ended with a status other than 0
  */
-export function judge(list: string, outcomes: string, runnerFailed: boolean): Verdict {
-  const known = list.split('\n').filter((line) => line.trim() !== '');
+export function compareWithKnownFailures(list: string, outcomes: string, runnerFailed: boolean): Verdict {
+  const knownFailures = list.split('\n').filter((line) => line.trim() !== '');
   const lines: string[] = [];
-  const fault = (line: string): void => void lines.push(`error: ${line}`);
-  if (known.length > most) fault(`${known.length} tests are listed as known to fail, ${most} at most may be`);
+  const addError = (line: string): void => void lines.push(`error: ${line}`);
+  if (knownFailures.length > maxKnownFailures)
+    addError(
+      `${knownFailures.length} tests are listed as known to fail, but at most ${maxKnownFailures} are allowed`,
+    );
   const results = outcomes.split('\n').filter((line) => line !== '');
   const failed = new Set(results.flatMap((line) => (line.startsWith('fail ') ? [line.slice(5)] : [])));
   const passed = new Set(results.flatMap((line) => (line.startsWith('pass ') ? [line.slice(5)] : [])));
-  if (results.length === 0) fault('no test was run');
-  if (runnerFailed && failed.size === 0) fault('the runner failed, and not for a test');
-  for (const line of known) {
+  if (results.length === 0) addError('no test was run');
+  if (runnerFailed && failed.size === 0) addError('the test runner failed although no test failed');
+  for (const line of knownFailures) {
     const [name = '', cause = '', issue = ''] = line.split('|').map((part) => part.trim());
-    if (name === '' || cause === '' || !/^#\d+$/.test(issue)) fault(`not "test | cause | #issue": ${line}`);
-    else if (passed.has(name)) fault(`listed as known to fail, and passes: ${name}`);
-    else if (!failed.delete(name)) fault(`listed as known to fail, and does not exist: ${name}`);
+    if (name === '' || cause === '' || !/^#\d+$/.test(issue))
+      addError(`expected "test | cause | #issue", got: ${line}`);
+    else if (passed.has(name)) addError(`listed as known to fail, but passed: ${name}`);
+    else if (!failed.delete(name)) addError(`listed as known to fail, but did not run: ${name}`);
     else lines.push(`known to fail: ${line}`);
   }
-  for (const name of failed) fault(`failed: ${name}`);
+  for (const name of failed) addError(`failed: ${name}`);
   return { passes: !lines.some((line) => line.startsWith('error: ')), lines };
 }
 
@@ -44,7 +54,7 @@
       return '';
     }
   };
-  const { passes, lines } = judge(read(list), read(outcomes), status !== '0');
+  const { passes, lines } = compareWithKnownFailures(read(list), read(outcomes), status !== '0');
   for (const line of lines) console.log(line);
   process.exitCode = passes ? 0 : 1;
 }
--- a/src/testing/link.ts
+++ b/src/testing/link.ts
@@ -1,15 +1,19 @@
+/** A network link for tests: a TCP proxy that can simulate a partition or refuse connections. */
 import { type Server, type Socket, createConnection, createServer } from 'node:net';
 
-/** A way between two parties that a test can cut, with what is sent held back and delivered late, or refuse. */
+/**
+ * Forwards TCP connections to a local port. While the link is cut, data is held and delivered later; while it
+ * refuses, connections are reset.
+ */
 export class Link {
-  private held = false;
-  private refusing = false;
-  private readonly waiting: (() => void)[] = [];
+  private isCut = false;
+  private isRefusing = false;
+  private readonly undelivered: (() => void)[] = [];
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
-  constructor(private readonly target: number) {
-    this.server = createServer((socket) => this.join(socket));
+  constructor(private readonly targetPort: number) {
+    this.server = createServer((socket) => this.connect(socket));
   }
 
   listen(port: number): Promise<void> {
@@ -21,43 +25,47 @@
     this.server.close();
   }
 
-  /** Nothing passes and nobody is told; once it is over, what was sent arrives in order. */
+  /**
+   * Partitions the link: no data passes, and neither side notices. After `heal`, the held data arrives in
+   * order.
+   */
   cut(): void {
-    this.held = true;
+    this.isCut = true;
   }
 
-  /** Connections are reset, and new ones fail at once. */
+  /** Resets all connections. New connections fail at once until `heal`. */
   refuse(): void {
-    this.refusing = true;
+    this.isRefusing = true;
     for (const socket of this.sockets) socket.destroy();
   }
 
+  /** Ends a partition or refusal, and delivers the held data. */
   heal(): void {
-    this.held = false;
-    this.refusing = false;
-    for (const deliver of this.waiting.splice(0)) deliver();
+    this.isCut = false;
+    this.isRefusing = false;
+    for (const deliver of this.undelivered.splice(0)) deliver();
   }
 
-  private join(near: Socket): void {
-    if (this.refusing) return void near.destroy();
-    const far = createConnection({ host: '127.0.0.1', port: this.target });
+  private connect(clientSocket: Socket): void {
+    if (this.isRefusing) return void clientSocket.destroy();
+    const targetSocket = createConnection({ host: '127.0.0.1', port: this.targetPort });
     for (const [from, to] of [
-      [near, far],
-      [far, near],
+      [clientSocket, targetSocket],
+      [targetSocket, clientSocket],
     ] as const) {
       this.sockets.add(from);
-      from.on('data', (bytes) => this.pass(() => !to.destroyed && to.write(bytes)));
-      from.on('end', () => this.pass(() => to.end()));
+      from.on('data', (bytes) => this.forward(() => !to.destroyed && to.write(bytes)));
+      from.on('end', () => this.forward(() => to.end()));
       from.on('error', () => undefined);
       from.on('close', () => {
         this.sockets.delete(from);
-        this.pass(() => to.destroySoon());
+        this.forward(() => to.destroySoon());
       });
     }
   }
 
-  private pass(deliver: () => void): void {
-    if (this.held) this.waiting.push(deliver);
+  private forward(deliver: () => void): void {
+    if (this.isCut) this.undelivered.push(deliver);
     else deliver();
   }
 }
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -1,6 +1,7 @@
 /**
- * Load driver: three controllers as processes of their own, and stand-ins for the state service, the cloud, workers and
- * users in this one. Prints what each controller needed of processor time and memory. For maintainers:
+ * Load driver for maintainers: runs three controllers in separate processes, and stand-ins for the state
+ * service, the cloud, the workers and the users in this process. Prints the CPU time and memory that each
+ * controller used:
  *
  *     node target/test/testing/load.js [--machines 632] [--seconds 60] [--jobs-per-second 4] [--profile DIR]
  */
@@ -49,27 +50,36 @@
       state: () => `127.0.0.1:${firstPort}`,
       cloud: `127.0.0.1:${firstPort + 5}`,
     });
-    const inner = file['settings'] as Record<string, unknown>;
-    inner['teams'] = [{ name: 'red', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
-    inner['workers'] = { report_s: heartbeatIntervalMs / 1000, lease_s: workerLeaseMs / 1000, cancel_s: 50 };
-    inner['state'] = { rps: 250, write_rps: 100, value_kb: 32, txn_ops: 32 };
-    inner['cloud'] = { rps: 50, list_lag_s: 1 };
-    inner['quota'] = { cores: 0.043, mem_mb: 165, max_sockets: 1500 };
+    const deploymentSettings = file['settings'] as Record<string, unknown>;
+    deploymentSettings['teams'] = [{ name: 'red', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }];
+    deploymentSettings['workers'] = {
+      report_s: heartbeatIntervalMs / 1000,
+      lease_s: workerLeaseMs / 1000,
+      cancel_s: 50,
+    };
+    deploymentSettings['state'] = { rps: 250, write_rps: 100, value_kb: 32, txn_ops: 32 };
+    deploymentSettings['cloud'] = { rps: 50, list_lag_s: 1 };
+    deploymentSettings['quota'] = { cores: 0.043, mem_mb: 165, max_sockets: 1500 };
   });
   const path = join(directory, `${labels[node]}.json`);
   writeFileSync(path, json);
   return path;
 }
 
-/** The program as `deploy/service.toml` starts it, with a CPU profile where one is asked for. */
+/**
+ * Starts the program with the command in `deploy/service.toml`, and with CPU profiling if `--profile` is
+ * given.
+ */
 function startController(settingsPath: string): ChildProcess {
   const deployment = readFileSync('deploy/service.toml', 'utf8');
-  const [program = '', ...words] = /^run = "(.*)"$/m.exec(deployment)?.[1]?.split(' ') ?? [];
+  const [program = '', ...programArguments] = /^run = "(.*)"$/m.exec(deployment)?.[1]?.split(' ') ?? [];
   const profile = values.profile === undefined ? [] : ['--cpu-prof', `--cpu-prof-dir=${values.profile}`];
-  return spawn(program, [...profile, ...words, settingsPath], { stdio: ['ignore', 'ignore', 'inherit'] });
+  return spawn(program, [...profile, ...programArguments, settingsPath], {
+    stdio: ['ignore', 'ignore', 'inherit'],
+  });
 }
 
-/** Processor time so far in seconds, and the memory that the process holds now and held at most, in MB. */
+/** The CPU time of a process in seconds, and its current and peak resident memory in MB. */
 function usageOf(pid: number): { cpuS: number; rssMb: number; peakMb: number } {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
@@ -79,7 +89,7 @@
   return { cpuS, rssMb: megabytes('VmRSS'), peakMb: megabytes('VmHWM') };
 }
 
-/** Submits jobs at an even rate, and asks for each until it has ended. */
+/** Simulated users: submit jobs at a constant rate, and poll each job until it is done. */
 class Users {
   readonly counts = { accepted: 0, turnedAway: 0, done: 0 };
   private readonly peers = labels.map((_, node) => new HttpPeer(servingAddress(node), 100));
@@ -96,26 +106,26 @@
     while (!stop.aborted && !(await this.submit(id))) await pause(1000);
     for (let status = ''; !stop.aborted && status !== 'done';) {
       await pause(pollMs);
-      status = await this.ask(id);
+      status = await this.queryStatus(id);
     }
     this.counts.done++;
   }
 
   private async submit(id: string): Promise<boolean> {
     const job = submission(id, tasksPerJob, { loaners: true, cpus: 2.5, expectS: taskMs / 1000 });
-    const answer = await this.call('POST', '/v2/runs', job);
+    const answer = await this.requestStatus('POST', '/v2/runs', job);
     const accepted = answer === 200 || answer === 201;
     this.counts[accepted ? 'accepted' : 'turnedAway']++;
     return accepted;
   }
 
-  private async call(method: string, path: string, body?: unknown): Promise<number> {
+  private async requestStatus(method: string, path: string, body?: unknown): Promise<number> {
     const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpPeer;
     const answer = await peer.exchange(method, path, body, { timeoutMs: 5000 }).catch(() => undefined);
     return answer?.status ?? 0;
   }
 
-  private async ask(id: string): Promise<string> {
+  private async queryStatus(id: string): Promise<string> {
     const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpPeer;
     const answer = await peer
       .exchange('GET', `/v2/runs/${id}`, undefined, { timeoutMs: 2000 })
@@ -136,7 +146,7 @@
     const worker = new WorkerStandIn(machine, {
       heartbeatIntervalMs,
       workerLeaseMs,
-      answerMs: 4000,
+      answerTimeoutMs: 4000,
       fetchMs: 500,
       saveMs: 0,
       taskMs: () => taskMs * (0.5 + random()),
--- a/src/testing/outcomes.test.ts
+++ b/src/testing/outcomes.test.ts
@@ -1,4 +1,4 @@
-/** What the tests' outcomes are judged by has to be whole, however the runner ends. */
+/** Checks that the file of test outcomes is complete even if the test runner is forced to exit. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -12,18 +12,19 @@
 
 const fixture = (name: string): string =>
   `import { test } from 'node:test';
-test('${name} fails', () => { throw new Error('as it is meant to'); });
+test('${name} fails', () => { throw new Error('this test is meant to fail'); });
 test('${name} passes', () => {});
 `;
 
-// Guards against a red test whose outcome is lost as the runner is forced to end: CI then blamed the runner, and a test
-// on the known-red list would have been called one that does not exist.
-test('the outcome of every test is on record when the runner is forced to end', () => {
+// Guards against a failed test whose outcome is lost because the runner is forced to exit before the outcome
+// is written. CI then reported a failure of the runner, and would have reported a test on the list of known
+// failures as one that did not run.
+test('the outcome of every test is written although the runner is forced to exit', () => {
   const directory = mkdtempSync(join(tmpdir(), 'shalekeel-outcomes-'));
   const files = ['a', 'b'].map((name) => join(directory, `${name}.test.mjs`));
   for (const [i, file] of files.entries()) writeFileSync(file, fixture(`test ${i}`));
   const flags = ['--test', '--test-force-exit', `--test-reporter=${reporter}`];
-  // A runner within a runner would report to the outer one.
+  // With NODE_TEST_CONTEXT set, the nested test runner would report to the outer runner.
   const env = { ...process.env };
   delete env['NODE_TEST_CONTEXT'];
   try {
--- a/src/testing/pools.ts
+++ b/src/testing/pools.ts
@@ -1,4 +1,4 @@
-/** Machines, pools and jobs for the tests of the ladder. */
+/** Creates machine types, machines, pools and jobs for the tests of the autoscaler. */
 import type { Pool } from '../ladder/pools.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
@@ -46,7 +46,10 @@
   };
 }
 
-/** A job of the team `red` whose tasks take two slots of an eighth on a machine of the type above. */
+/**
+ * A job of team `red`. On a machine of the type above, a slot is an eighth of the machine, and each task
+ * takes two.
+ */
 export function jobSpec(id: string, change: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
--- a/src/testing/samples.ts
+++ b/src/testing/samples.ts
@@ -1,6 +1,7 @@
 /**
- * Kept samples of what this program stores, sends and receives. They were written by the version that first had them here
- * and stay as they are: controllers of several versions share their data, so a form that changes is lost data.
+ * Reads samples of the data that this program stores, sends and receives. Each sample was written by the
+ * version that introduced it and must not change: controllers of several versions share their data, so data
+ * in a changed format would be lost.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -9,7 +10,7 @@
 
 const directory = 'src/wire/samples';
 
-/** A value as plain data, and the bytes in which this program writes it. */
+/** A value as plain data, and its encoding by this program as hexadecimal digits. */
 interface Sample {
   value: unknown;
   hex: string;
@@ -19,7 +20,7 @@
   return readFileSync(join(directory, file), 'utf8');
 }
 
-/** The samples of one file; each of them has to be compared with something, see `unread`. */
+/** The samples of one file. A test compares every sample and then checks that `unread` is empty. */
 export class Samples {
   private readonly samples: Record<string, unknown>;
   private readonly compared = new Set<string>();
@@ -28,38 +29,42 @@
     this.samples = JSON.parse(readSampleFile(file)) as Record<string, unknown>;
   }
 
-  /** Names of samples that nothing was compared with so far. */
+  /** Names of the samples that have not been compared so far. */
   get unread(): string[] {
     return Object.keys(this.samples).filter((name) => !this.compared.has(name));
   }
 
-  /** A sample of something that others write, or of text. */
+  /** A sample without bytes: data that other programs write, or text. */
   plain(name: string): unknown {
     assert.ok(name in this.samples, `${this.file} has no sample ${name}`);
     this.compared.add(name);
     return this.samples[name];
   }
 
-  /** The bytes of a sample that this program writes. */
+  /** The encoded bytes of a sample that this program writes. */
   bytes(name: string): Buffer {
     return Buffer.from((this.plain(name) as Sample).hex, 'hex');
   }
 
-  /** What is told as text now is the sample. */
+  /** Asserts that the value equals the sample, which has no bytes. */
   assertPlain(name: string, written: unknown): void {
-    assert.deepEqual(written, this.plain(name), `${name} differs`);
+    assert.deepEqual(written, this.plain(name), `${name} differs from its sample`);
   }
 
-  /** What is written now is the sample, field by field and byte by byte. */
+  /** Asserts that the value has the same fields as the sample and that its encoding has the same bytes. */
   assertWritten(name: string, written: unknown): void {
     const { value, hex } = this.plain(name) as Sample;
-    assert.deepEqual(written, value, `${name} has other fields`);
-    assert.equal(encode(written).toString('hex'), hex, `${name} has other bytes`);
+    assert.deepEqual(written, value, `fields of ${name} differ from its sample`);
+    assert.equal(encode(written).toString('hex'), hex, `bytes of ${name} differ from its sample`);
   }
 
-  /** The sample is read as `model`, from its fields as well as from its bytes. */
+  /** Asserts that `read` returns `model`, both for the fields of the sample and for its decoded bytes. */
   assertRead(name: string, read: (value: unknown) => unknown, model: unknown): void {
-    assert.deepEqual(read((this.plain(name) as Sample).value), model, `${name} reads otherwise`);
-    assert.deepEqual(read(decode(this.bytes(name))), model, `the bytes of ${name} read otherwise`);
+    assert.deepEqual(read((this.plain(name) as Sample).value), model, `${name} is read as a different value`);
+    assert.deepEqual(
+      read(decode(this.bytes(name))),
+      model,
+      `the bytes of ${name} are read as a different value`,
+    );
   }
 }
--- a/src/testing/scenario.ts
+++ b/src/testing/scenario.ts
@@ -1,18 +1,22 @@
+/** Registers fault scenarios as tests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster, type ClusterOptions } from './cluster.js';
 
-/** One meeting of troubles, played with a cluster of its own; in the end no rule may be broken. */
+/**
+ * Registers a test that runs a combination of faults on a new cluster. The test fails if a rule of the
+ * protocol was violated by the end.
+ */
 export function scenario(
   name: string,
   options: ClusterOptions,
-  play: (cluster: Cluster) => Promise<void>,
+  run: (cluster: Cluster) => Promise<void>,
 ): void {
   test(name, async () => {
     const cluster = new Cluster(options);
     try {
       await cluster.start();
-      await play(cluster);
+      await run(cluster);
       assert.deepEqual(cluster.violations(), []);
     } finally {
       cluster.stop();
--- a/src/testing/settings.ts
+++ b/src/testing/settings.ts
@@ -1,6 +1,7 @@
+/** Settings of a small deployment for tests. */
 import { type Settings, parseSettings } from '../settings/settings.js';
 
-/** A small deployment for tests, with figures of its own. */
+/** The settings file of a small deployment, as JSON, after `change` has been applied to its content. */
 export function settingsJson(change: (file: Record<string, unknown>) => unknown = () => undefined): string {
   const file: Record<string, unknown> = {
     label: 'keel-0',
@@ -31,6 +32,7 @@
   return JSON.stringify(file);
 }
 
+/** The parsed settings of the same deployment. */
 export function testSettings(change: (file: Record<string, unknown>) => unknown = () => undefined): Settings {
   return parseSettings(settingsJson(change));
 }
--- a/src/testing/store-standin.ts
+++ b/src/testing/store-standin.ts
@@ -1,3 +1,4 @@
+/** Simulates the state service for tests: an HTTP server with its API, and faults that a test can inject. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { seeded } from './seeded.js';
 import { decodeFields, encode, isFields, list, number, sizeOf, text, type Fields } from '../wire/codec.js';
@@ -9,66 +10,83 @@
   valueBytes: number;
 }
 
-const usualLimits: StoreLimits = { rps: 400, writeRps: 200, txnOps: 20, valueBytes: 32 * 1024 };
+const defaultLimits: StoreLimits = { rps: 400, writeRps: 200, txnOps: 20, valueBytes: 32 * 1024 };
 
-interface Stored {
+interface StoredEntry {
   value: unknown;
   version: number;
   lease: number | undefined;
 }
 
-/** The root below which we keep all our keys. */
-const root = 'sk/';
-const storedAt = (key: string): string => `${root}${key}`;
+/** Prefix of all keys that controllers store. */
+const rootPrefix = 'sk/';
+const fullKey = (key: string): string => `${rootPrefix}${key}`;
 
 /**
- * A stand-in for the state service, written from the protocol: versions, conditions, grants, watches, limits. Each client
- * has a port of its own, so that one of them alone can be refused or cut off.
+ * A stand-in for the state service that follows the protocol: versions, conditions, leases (`grants`),
+ * watches and limits. Each client has a port of its own, so that a test can refuse or partition a single
+ * client.
  */
 export class StoreStandIn {
   revision = 0;
-  readonly keys = new Map<string, Stored>();
-  /** 503 for every request, as in an outage. */
+  readonly keys = new Map<string, StoredEntry>();
+  /** Answers every request with 503, as in an outage. */
   down = false;
-  /** These alone get 503; their watches wait and their grants run out. */
+  /** Clients whose requests are answered with 503. Their open watches wait, and their leases expire. */
   readonly refused = new Set<string>();
-  /** What these send is held back, and delivered when their cut is over: carried out late, and answered to nobody. */
+  /**
+   * Partitioned clients. Their requests are held until the partition ends, and are then executed late, when
+   * the client no longer waits for an answer.
+   */
   readonly held = new Set<string>();
-  /** How long every answer takes. */
+  /** Additional time in ms from a request to its answer, half of it before the execution. */
   delayMs = 0;
-  /** Answers to such transactions are held back once these are carried out, until `releaseAnswers` is called. */
+  /**
+   * Whether the answer to a transaction of this client with these keys is held. The transaction is executed
+   * at once; its answer is sent when `releaseAnswers` is called.
+   */
   holdsAnswers: ((client: string, keys: string[]) => boolean) | undefined;
-  /** This share of the transactions is answered up to that much later than it is carried out. */
+  /** This share of the transactions is answered up to `toMs` milliseconds after its execution. */
   lateAnswers: { share: number; toMs: number } | undefined;
   private readonly heldAnswers: (() => void)[] = [];
-  /** Carries the next commits out and never answers: their fate is unknown to whoever sent them. */
+  /**
+   * This many of the next transactions are applied without an answer, so that the client does not know their
+   * outcome.
+   */
   losesAnswers = 0;
-  /** This share of the transactions that write gets no answer and is carried out that much later, after newer ones. */
+  /**
+   * This share of the transactions with writes gets no answer and is executed `fromMs` to `toMs` milliseconds
+   * later, after newer transactions.
+   */
   late: { share: number; fromMs: number; toMs: number } | undefined;
-  /** How many were. */
+  /** Number of transactions that were executed late because of `late`. */
   carriedOutLate = 0;
-  /** The next transaction that writes such a key gets no answer, and is carried out when it is delivered. */
+  /** The next transaction that writes such a key gets no answer, and is executed when `deliver` is called. */
   keeps: ((key: string) => boolean) | undefined;
-  private readonly kept: Fields[] = [];
+  private readonly withheldCommits: Fields[] = [];
+  /** Number of requests and transactions that exceeded a rate limit. */
   refusals = 0;
-  /** Transactions that were refused for their size, or for that of a value, each with the keys that it wrote. */
+  /**
+   * Transactions that were refused because they had too many writes or too large a value: the reason, and the
+   * keys of all writes or of the too large values.
+   */
   readonly sizeRefusals: string[] = [];
   private readonly changes: Fields[] = [];
   private readonly leases = new Map<number, { ttlMs: number; endsAt: number }>();
   private nextLease = 1;
-  private readonly waiters = new Set<() => void>();
+  private readonly openWatches = new Set<() => void>();
   private readonly servers: Server[] = [];
-  private readonly timer: NodeJS.Timeout;
-  private seconds = { at: 0, requests: 0, writes: 0 };
+  private readonly expiryTimer: NodeJS.Timeout;
+  private currentSecond = { at: 0, requests: 0, writes: 0 };
 
   private readonly random: () => number;
 
   private readonly limits: StoreLimits;
 
   constructor(limits: Partial<StoreLimits>, seed = 1) {
-    this.limits = { ...usualLimits, ...limits };
+    this.limits = { ...defaultLimits, ...limits };
     this.random = seeded(seed);
-    this.timer = setInterval(() => this.expire(), 20);
+    this.expiryTimer = setInterval(() => this.endExpiredLeases(), 20);
   }
 
   listen(port: number, client = ''): Promise<void> {
@@ -77,34 +95,34 @@
     return new Promise((resolve) => server.listen(port, '127.0.0.1', () => resolve()));
   }
 
-  /** The limits change without notice; what is stored stays. */
-  lower(limits: Partial<StoreLimits>): void {
+  /** Changes limits without notice. Stored values are kept, even if they exceed the new limits. */
+  changeLimits(limits: Partial<StoreLimits>): void {
     Object.assign(this.limits, limits);
   }
 
   close(): void {
-    clearInterval(this.timer);
+    clearInterval(this.expiryTimer);
     for (const server of this.servers) {
       server.closeAllConnections();
       server.close();
     }
   }
 
-  /** For assertions: the value of a key, below our root. */
+  /** For assertions: the value of a key, which is given without the root prefix. */
   value(key: string): unknown {
-    return this.keys.get(storedAt(key))?.value;
+    return this.keys.get(fullKey(key))?.value;
   }
 
-  /** For assertions: all keys below a prefix of ours, by our names. */
-  *below(prefix: string): Iterable<[string, Stored]> {
+  /** For assertions: all entries with a key prefix; prefix and keys are without the root prefix. */
+  *entriesBelow(prefix: string): Iterable<[string, StoredEntry]> {
     for (const [key, stored] of this.keys) {
-      if (key.startsWith(storedAt(prefix))) yield [key.slice(root.length), stored];
+      if (key.startsWith(fullKey(prefix))) yield [key.slice(rootPrefix.length), stored];
     }
   }
 
-  /** The revision of its last change; 0 where there is no such key. */
+  /** For assertions: the revision of the last change of a key; 0 if the key does not exist. */
   version(key: string): number {
-    return this.keys.get(storedAt(key))?.version ?? 0;
+    return this.keys.get(fullKey(key))?.version ?? 0;
   }
 
   private async serve(request: IncomingMessage, response: ServerResponse, client: string): Promise<void> {
@@ -122,15 +140,15 @@
     if (this.down || this.refused.has(client)) return reply(response, 503, {});
     if (!this.admit('requests', 1, this.limits.rps)) return reply(response, 429, {});
     if (url.pathname === '/changes') return this.watch(url, response, client);
-    if (url.pathname === '/commit' && this.keeps && writtenBy(body).some(this.keeps)) {
+    if (url.pathname === '/commit' && this.keeps && writtenKeys(body).some(this.keeps)) {
       this.keeps = undefined;
-      this.kept.push(body);
+      this.withheldCommits.push(body);
       return void response.destroy();
     }
     if (url.pathname === '/commit' && this.late && list(body['writes']).length > 0) {
       const { share, fromMs, toMs } = this.late;
       if (this.random() < share) {
-        // Whoever sent it gives it up and goes on; by the time that it is carried out there are newer ones.
+        // The client abandons the transaction, and sends newer ones before this transaction is executed.
         response.destroy();
         await pause(fromMs + this.random() * (toMs - fromMs));
         while (this.down) await pause(20);
@@ -144,43 +162,44 @@
       this.losesAnswers--;
       return void response.destroy();
     }
-    if (url.pathname === '/commit') await this.holdAnswer(client, body);
+    if (url.pathname === '/commit') await this.delayAnswer(client, body);
     if (this.delayMs > 0) await pause(this.delayMs / 2);
-    // The cut began meanwhile: the answer goes nowhere.
+    // If a partition began during the execution, the answer is held as well and does not arrive in time.
     while (this.held.has(client)) await pause(20);
     reply(response, status, answer);
   }
 
-  /** Answers that are held back now. */
+  /** Number of answers that are held. */
   get answersHeld(): number {
     return this.heldAnswers.length;
   }
 
+  /** Stops holding answers, and sends all held answers. */
   releaseAnswers(): void {
     this.holdsAnswers = undefined;
     for (const release of this.heldAnswers.splice(0)) release();
   }
 
-  private async holdAnswer(client: string, body: Fields): Promise<void> {
-    if (this.holdsAnswers?.(client, keysIn(body))) {
+  private async delayAnswer(client: string, body: Fields): Promise<void> {
+    if (this.holdsAnswers?.(client, namedKeys(body))) {
       await new Promise<void>((release) => this.heldAnswers.push(release));
     }
     const { lateAnswers } = this;
     if (lateAnswers && this.random() < lateAnswers.share) await pause(this.random() * lateAnswers.toMs);
   }
 
-  /** Carries out what was kept, after all that was committed meanwhile; says how much that was. */
+  /** Executes the transactions withheld by `keeps`, after all later commits, and returns their number. */
   deliver(): number {
-    const kept = this.kept.splice(0);
-    for (const body of kept) this.commit(body);
-    return kept.length;
+    const commits = this.withheldCommits.splice(0);
+    for (const body of commits) this.commit(body);
+    return commits.length;
   }
 
   private admit(kind: 'requests' | 'writes', units: number, limit: number): boolean {
     const second = Math.floor(Date.now() / 1000);
-    if (second !== this.seconds.at) this.seconds = { at: second, requests: 0, writes: 0 };
-    this.seconds[kind] += units;
-    const admitted = this.seconds[kind] <= limit;
+    if (second !== this.currentSecond.at) this.currentSecond = { at: second, requests: 0, writes: 0 };
+    this.currentSecond[kind] += units;
+    const admitted = this.currentSecond[kind] <= limit;
     if (!admitted) this.refusals++;
     return admitted;
   }
@@ -205,7 +224,7 @@
     const id = Number(path.split('/')[2]);
     const lease = this.leases.get(id);
     if (!lease) return [404, {}];
-    if (method === 'DELETE') this.end(id);
+    if (method === 'DELETE') this.endLease(id);
     else lease.endsAt = Date.now() + lease.ttlMs;
     return [200, {}];
   }
@@ -213,12 +232,14 @@
   private list(url: URL): [number, unknown] {
     const prefix = url.searchParams.get('prefix') ?? '';
     const since = url.searchParams.get('since') ?? '';
-    const most = Number(url.searchParams.get('most') ?? 1000);
-    const found = [...this.keys]
+    const limit = Number(url.searchParams.get('most') ?? 1000);
+    const matches = [...this.keys]
       .filter(([key]) => key.startsWith(prefix) && key > since)
       .sort(([a], [b]) => (a < b ? -1 : 1));
-    const items = found.slice(0, most).map(([key, s]) => ({ path: key, value: s.value, stamp: s.version }));
-    return [200, { items, hasNext: found.length > most, logline: this.revision }];
+    const items = matches
+      .slice(0, limit)
+      .map(([key, s]) => ({ path: key, value: s.value, stamp: s.version }));
+    return [200, { items, hasNext: matches.length > limit, logline: this.revision }];
   }
 
   private commit(body: Fields): [number, unknown] {
@@ -239,7 +260,7 @@
       if (typeof write['drop'] === 'string') this.drop(write['drop']);
       else this.set(text(write['set']), write['value'], write['tenure'] as number | undefined);
     }
-    this.wake();
+    this.notifyWatches();
     return [200, { logline: this.revision }];
   }
 
@@ -258,31 +279,34 @@
     if (this.keys.delete(key)) this.changes.push({ drop: key, stamp: this.revision });
   }
 
-  private expire(): void {
+  private endExpiredLeases(): void {
     if (this.down) {
-      // Once an outage ends, every lease has its full time again.
+      // Leases do not expire during an outage; after it, every lease has its full time to live again.
       for (const lease of this.leases.values()) lease.endsAt = Date.now() + lease.ttlMs;
       return;
     }
-    for (const [id, lease] of this.leases) if (lease.endsAt < Date.now()) this.end(id);
+    for (const [id, lease] of this.leases) if (lease.endsAt < Date.now()) this.endLease(id);
   }
 
-  /** As after a standstill that outlasted them all: whatever hangs on them goes. */
+  /**
+   * Ends all leases and deletes their keys, as after a pause of the state service that is longer than every
+   * lease.
+   */
   endAllLeases(): void {
-    for (const id of [...this.leases.keys()]) this.end(id);
+    for (const id of [...this.leases.keys()]) this.endLease(id);
   }
 
-  private end(id: number): void {
+  private endLease(id: number): void {
     this.leases.delete(id);
     const keys = [...this.keys].filter(([, stored]) => stored.lease === id).map(([key]) => key);
     if (keys.length === 0) return;
     this.revision++;
     for (const key of keys) this.drop(key);
-    this.wake();
+    this.notifyWatches();
   }
 
-  private wake(): void {
-    for (const waiter of [...this.waiters]) waiter();
+  private notifyWatches(): void {
+    for (const notify of [...this.openWatches]) notify();
   }
 
   private watch(url: URL, response: ServerResponse, client: string): void {
@@ -290,38 +314,38 @@
     const since = Number(url.searchParams.get('since'));
     const until = Date.now() + Number(url.searchParams.get('holdMs') ?? 0);
     let timer: NodeJS.Timeout;
-    const attempt = (): void => {
-      // In an outage, or while this client alone is refused or cut off, its open watches wait.
+    const answerIfReady = (): void => {
+      // Open watches wait during an outage, and while their client is refused or partitioned.
       const blocked = this.down || this.refused.has(client) || this.held.has(client);
       const news = this.changes.filter(
         (c) => number(c['stamp']) > since && text(c['set'] ?? c['drop']).startsWith(prefix),
       );
       clearTimeout(timer);
       if (blocked || (news.length === 0 && Date.now() < until)) {
-        timer = setTimeout(attempt, blocked ? 20 : Math.max(0, until - Date.now()) + 5);
+        timer = setTimeout(answerIfReady, blocked ? 20 : Math.max(0, until - Date.now()) + 5);
         return;
       }
-      this.waiters.delete(attempt);
+      this.openWatches.delete(answerIfReady);
       reply(response, 200, { logline: this.revision, news });
     };
-    this.waiters.add(attempt);
+    this.openWatches.add(answerIfReady);
     response.on('close', () => {
       clearTimeout(timer);
-      this.waiters.delete(attempt);
+      this.openWatches.delete(answerIfReady);
     });
-    attempt();
+    answerIfReady();
   }
 }
 
-/** Every key that a transaction names, in a condition or a write. */
-function keysIn(body: Fields): string[] {
+/** All keys of a transaction, in its conditions and its writes. */
+function namedKeys(body: Fields): string[] {
   const conditions = list(body['when'])
     .filter(isFields)
     .map((condition) => text(condition['path']));
-  return [...conditions, ...writtenBy(body)];
+  return [...conditions, ...writtenKeys(body)];
 }
 
-function writtenBy(body: Fields): string[] {
+function writtenKeys(body: Fields): string[] {
   return list(body['writes'])
     .filter(isFields)
     .map((write) => text(write['set'] ?? write['drop']));
--- a/src/testing/stored-mirror.ts
+++ b/src/testing/stored-mirror.ts
@@ -1,7 +1,8 @@
-/** A copy of an in-memory state service as of one moment. */
+/** Creates replicas of an in-memory state service. */
 import { Mirror } from '../store/mirror.js';
 import { type HeldStore, settled } from './held-store.js';
 
+/** Creates a replica with the current content of the store. The replica receives no later changes. */
 export async function mirrorOf(store: HeldStore): Promise<Mirror> {
   const mirror = new Mirror(
     {
--- a/src/testing/three-controllers.ts
+++ b/src/testing/three-controllers.ts
@@ -1,21 +1,24 @@
-/** The settings of three controllers on this machine, for all that runs them against stand-ins. */
+/** Settings of three controllers on one machine, for test clusters and the load driver. */
 
 export const labels = ['keel-0', 'keel-1', 'keel-2'];
 export const zones = ['a', 'b', 'b'];
 
-/** Where controllers listen and whom they reach there, by their numbers. */
+/**
+ * Addresses at which controllers listen and reach other services. Controllers are given by their index in
+ * `labels`.
+ */
 export interface Addresses {
-  /** For users, workers and health checks. */
+  /** Where a controller serves users, workers and health checks. */
   serving: (node: number) => string;
-  /** For the other controllers. */
+  /** Where a controller serves the other controllers. */
   peers: (node: number) => string;
-  /** Where one controller reaches another, which may be behind a link. */
+  /** Where one controller reaches another one, directly or through a link that a test controls. */
   link: (from: number, to: number) => string;
   state: (node: number) => string;
   cloud: string;
 }
 
-/** Makes a settings file that of one of three controllers. */
+/** Changes a settings file to that of one of the three controllers. */
 export function applyAddresses(file: Record<string, unknown>, node: number, addresses: Addresses): void {
   const others = labels
     .map((label, i) => ({ label, location: zones[i], address: addresses.link(node, i) }))
--- a/src/testing/ticks.ts
+++ b/src/testing/ticks.ts
@@ -1,13 +1,17 @@
-/** Waiting for what duties under test bring about. */
+/** Waits for the effects of background duties under test. */
 
-const tickMs = 5;
-const mostMs = 5000;
+const pollIntervalMs = 5;
+const timeoutMs = 5000;
 
-/** Settles once the condition holds; fails when that takes far too long. */
+/**
+ * Polls the condition every 5 ms until it holds.
+ *
+ * @throws Error if the condition does not hold within 5 s
+ */
 export async function tick(condition: () => boolean): Promise<void> {
-  const deadline = Date.now() + mostMs;
+  const deadline = Date.now() + timeoutMs;
   while (!condition()) {
-    if (Date.now() > deadline) throw new Error('the condition never came to hold');
-    await new Promise((resolve) => setTimeout(resolve, tickMs));
+    if (Date.now() > deadline) throw new Error('condition did not hold within the time limit');
+    await new Promise((resolve) => setTimeout(resolve, pollIntervalMs));
   }
 }
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -1,4 +1,7 @@
-/** Kept traces: heartbeats and other events of one block in order, with what must come of each. */
+/**
+ * Replays traces: files with heartbeats and other events of one block, and the expected results of each
+ * event.
+ */
 import { readFileSync } from 'node:fs';
 import type { Heartbeat, JobSpec, ReportedTask, TaskState } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
@@ -9,19 +12,19 @@
 const msPerEvent = 100;
 
 /**
- * Plays a trace against the state of a block and returns what the trace expects beside what came of it. A line is an event; a
- * line that starts with `=` is what must come of the event before it. `#` starts a comment. Events:
+ * Replays a trace against the state of a block, and returns the expected and the actual results. Each line is
+ * an event, or, after `=`, an expected result of the event before it. `#` starts a comment. Events:
  *
- *     block 5 m1:10 m2:10!           the block's record at version 5: machines with fencing tokens, `!` is draining
+ *     block 5 m1:10 m2:10!           the block's record at version 5: machines, fencing tokens, `!`: draining
  *     job a v3 0..4                  job a at version 3; this block has tasks 0 to 4
  *     cancel a                       job a has been cancelled
- *     place a/0 m1                   an intent, not committed yet
- *     commit a                       what is placed of job a is committed
+ *     place a/0 m1                   an intent to start task 0 of job a on m1, not committed yet
+ *     commit a                       the intents of job a are committed
  *     heartbeat m1 e1 s2 t10 a/0.1=running b/1.1=done
  *                                    agent epoch 1, sequence 2, fencing token 10; tasks with their attempts
- *     terminated m1                  the cloud has proven the machine terminated
+ *     terminated m1                  the cloud has confirmed that the machine is terminated
  *
- * Throws where a line is not an event.
+ * @throws Error if a line contains an unknown event
  */
 export function runTrace(path: string): { expected: string[]; actual: string[] } {
   let now = 0;
@@ -68,7 +71,7 @@
     case 'heartbeat':
       return applyHeartbeatEvent(blockState, subject, rest);
     default:
-      throw new Error(`no such event: ${event}`);
+      throw new Error(`unknown trace event: ${event}`);
   }
 }
 
@@ -156,7 +159,10 @@
 
 const activeStates = new Set<string>(['fetching', 'running', 'saving'] satisfies TaskState[]);
 
-/** `a/0.1=running`; a state that is not an active one is the cause of the task's end. */
+/**
+ * Parses a task such as `a/0.1=running`. A word after `=` that is not an active state is the cause of the
+ * task's end.
+ */
 function parseReportedTask(word: string): ReportedTask {
   const [, job = '', index, attempt, state = ''] = /^(\w+)\/(\d+)\.(\d+)=(\w+)$/.exec(word) ?? [];
   const ref = { job, index: Number(index), attempt: Number(attempt) };
--- a/src/testing/user-side.ts
+++ b/src/testing/user-side.ts
@@ -1,4 +1,4 @@
-/** The users' side of one controller, for tests without sockets. */
+/** Test fixture: the users' API of one controller, called without HTTP. */
 import type { Reply, Route } from '../base/replies.js';
 import { silentLog } from '../base/log.js';
 import { CancellationCascade } from '../dependencies/cancellation-cascade.js';
@@ -16,21 +16,24 @@
 import { type HeldStore, settled } from './held-store.js';
 import { testSettings } from './settings.js';
 
-const stageBound = 100;
+const maxQueuedCommits = 100;
 
 export interface UserSideOptions {
-  /** How long a commit would wait for its turn, by the controller's share of the store's limits. */
+  /**
+   * How long a commit would wait in the controller's queue because of its share of the store's rate limits,
+   * in ms.
+   */
   writeWaitMs?: number;
-  /** Its copy of the store begins with all jobs that are open. */
+  /** Whether the replica initially contains all open jobs. */
   listsJobs?: boolean;
-  /** All controllers are known to heed dependencies. */
+  /** Whether all controllers are known to support dependencies. */
   supportsDependencies?: boolean;
-  /** The copy of the store is recent enough to say that no job before one is cancelled. */
+  /** Whether the replica is recent enough to rule out that a dependency of a job was cancelled. */
   knowsCancellations?: boolean;
 }
 
-/** What a copy of the store begins with. */
-async function listFor(
+/** The initial content of the replica below a key prefix. */
+async function initialList(
   store: HeldStore,
   prefix: string,
   { listsJobs }: UserSideOptions,
@@ -39,7 +42,10 @@
   return store.listPage(prefix, '', Infinity);
 }
 
-/** Requests, most of them about one job, to one controller, whose copy of the store learns nothing but what it commits itself. */
+/**
+ * Sends requests, by default about one job, to the users' API of one controller. The controller's replica of
+ * the store receives no changes from other controllers, only those that the controller commits itself.
+ */
 export class UserSide {
   private readonly routes: Route[];
 
@@ -54,10 +60,10 @@
   static async create(store: HeldStore, id: string, options: UserSideOptions = {}): Promise<UserSide> {
     const settings = testSettings();
     const { signal } = new AbortController();
-    const stage = (lane: TrafficClass): CommitQueue =>
-      new CommitQueue(store, lane, settings, signal, stageBound);
+    const createQueue = (lane: TrafficClass): CommitQueue =>
+      new CommitQueue(store, lane, settings, signal, maxQueuedCommits);
     const mirror = new Mirror(
-      { list: (prefix) => listFor(store, prefix, options), watch: () => new Promise(() => undefined) },
+      { list: (prefix) => initialList(store, prefix, options), watch: () => new Promise(() => undefined) },
       0,
     );
     const jobIndex = new JobIndex(
@@ -83,7 +89,7 @@
       store: client,
       mirror,
       jobIndex,
-      commits: stage('duty'),
+      commits: createQueue('duty'),
       isLeading: () => true,
       readOutcome: (id) => outcomeReader.read(id),
     });
@@ -93,8 +99,8 @@
       mirror,
       machineTypes: () => types,
       store: client,
-      writes: stage('intake'),
-      comparisons: stage('confirm'),
+      writes: createQueue('intake'),
+      comparisons: createQueue('confirm'),
       initialRanges: () => [],
       isServing: () => true,
       jobIndex,
@@ -106,7 +112,7 @@
     return new UserSide(ports, id, cascade);
   }
 
-  /** A submission of the job; `change` makes it differ from the others. */
+  /** Submits the job; `change` replaces fields of the submission. */
   async submit(change: Record<string, unknown> = {}, id = this.id): Promise<Reply> {
     return this.request(0, submission(id, 1, change), id);
   }
@@ -119,7 +125,7 @@
     return this.request(2, {}, id);
   }
 
-  private async request(route: number, body: unknown, id: string): Promise<Reply> {
-    return (this.routes[route] as Route).handle(body, [id]);
+  private async request(routeIndex: number, body: unknown, id: string): Promise<Reply> {
+    return (this.routes[routeIndex] as Route).handle(body, [id]);
   }
 }
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -1,3 +1,4 @@
+/** Simulates a worker for tests: sends heartbeats to the controllers and executes their commands. */
 import { HttpPeer } from '../base/http.js';
 import { sleep } from '../base/clock.js';
 import { type Fields, isFields, list, number, text } from '../wire/codec.js';
@@ -6,92 +7,101 @@
 
 type Status = 'fetching' | 'running' | 'saving' | 'ended';
 
-interface HeldTask {
+/** A task that the worker holds. `cause` is why it ended. */
+interface HostedTask {
   piece: string;
   attempt: number;
   status: Status;
   cause: string;
-  /** When its present status ends by itself; what hangs is put off. */
-  until: number;
+  /** When the present status ends by itself. While the worker hangs, this time is postponed. */
+  statusEndsAt: number;
 }
 
 export interface WorkerOptions {
   heartbeatIntervalMs: number;
   workerLeaseMs: number;
-  /** How long the worker waits for an answer. */
-  answerMs: number;
+  /** How long the worker waits for the answer to a heartbeat. */
+  answerTimeoutMs: number;
   fetchMs: number;
   taskMs: (piece: string) => number;
-  /** Whether the task runs on whatever its time; once it is let go, `taskMs` counts from then. */
+  /**
+   * Whether the task keeps running whatever its run time. When the task is released, `taskMs` counts from
+   * then.
+   */
   holdsTask: (piece: string) => boolean;
   saveMs: number;
   nodes: { label: string; address: string }[];
-  /** Whether the worker and a controller can reach each other. */
+  /** Whether a worker in this zone and a controller can reach each other. */
   reaches: (zone: string, node: string) => boolean;
   history: History;
   random: () => number;
-  /** The task is about to report that it is over. */
+  /** Called when a task completes, before the worker reports the completion. */
   onDone: (piece: string) => void;
 }
 
-/** What a worker does by itself it looks at so often in a report interval. */
-const ticksPerReport = 20;
-const reportsKept = 40;
+/** How often in a heartbeat interval the worker checks for task and lease time-outs. */
+const ticksPerHeartbeat = 20;
+const maxKeptHeartbeats = 40;
 
-/** A stand-in for a worker: tokens, sessions, leases and commands as the protocol says. */
+/** A stand-in for a worker that follows the protocol for fencing tokens, sessions, leases and commands. */
 export class WorkerStandIn {
-  readonly tasks = new Map<string, HeldTask>();
+  readonly tasks = new Map<string, HostedTask>();
+  /** Largest fencing token received so far. */
   token = 0;
+  /** Agent epoch: grows when the worker has killed its tasks because its lease expired. */
   session = 1;
-  /** Its reports arrive; no answer reaches it. */
+  /** One-way partition: the worker's heartbeats arrive, but no answer reaches the worker. */
   deaf = false;
-  /** It reaches no controller. */
+  /** The worker reaches no controller. */
   mute = false;
-  /** This share of its reports arrives once more, after a time of up to so long. */
+  /** This share of the heartbeats arrives a second time, up to `toMs` milliseconds later. */
   late: { share: number; toMs: number } | undefined;
   private hungSince: number | undefined;
-  private seq = 0;
-  private node = 0;
-  private leaseFrom = Date.now();
-  private readonly sent: Fields[] = [];
+  private sequence = 0;
+  private contactedNode = 0;
+  private leaseStartedAt = Date.now();
+  private readonly sentHeartbeats: Fields[] = [];
   private readonly stop = new AbortController();
   private readonly peers: HttpPeer[];
-  private readonly ticks: NodeJS.Timeout;
+  private readonly tickTimer: NodeJS.Timeout;
 
   constructor(
     readonly machine: RentedMachine,
     private readonly options: WorkerOptions,
   ) {
     this.peers = options.nodes.map((node) => new HttpPeer(node.address, 2));
-    this.ticks = setInterval(() => this.advance(), this.tickMs);
+    this.tickTimer = setInterval(() => this.advance(), this.tickMs);
   }
 
   private get tickMs(): number {
-    return this.options.heartbeatIntervalMs / ticksPerReport;
+    return this.options.heartbeatIntervalMs / ticksPerHeartbeat;
   }
 
   get running(): string[] {
-    return [...this.tasks.values()].filter(isOn).map((t) => t.piece);
+    return [...this.tasks.values()].filter(isExecuting).map((t) => t.piece);
   }
 
   async run(): Promise<void> {
     const { signal } = this.stop;
     while (!signal.aborted) {
-      if (this.hungSince === undefined) await this.reportOnce(signal);
+      if (this.hungSince === undefined) await this.sendHeartbeat(signal);
       await sleep(this.options.heartbeatIntervalMs * (0.75 + this.options.random() / 2), signal);
     }
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the worker as when its machine is terminated: all tasks end. */
   end(): void {
     if (this.stop.signal.aborted) return;
     this.stop.abort();
-    clearInterval(this.ticks);
-    this.dropAll();
+    clearInterval(this.tickTimer);
+    this.killAllTasks();
     for (const peer of this.peers) peer.close();
   }
 
-  /** It executes nothing and says nothing, and goes on as if nothing had been. */
+  /**
+   * Pauses the worker: it makes no progress and sends no heartbeats. After `resume`, it continues as if there
+   * had been no pause.
+   */
   hang(): void {
     this.hungSince ??= Date.now();
   }
@@ -100,50 +110,57 @@
     if (this.hungSince === undefined) return;
     const hungMs = Date.now() - this.hungSince;
     this.hungSince = undefined;
-    for (const task of this.tasks.values()) task.until += hungMs;
+    for (const task of this.tasks.values()) task.statusEndsAt += hungMs;
     this.advance();
   }
 
-  /** A copy of a report that it has sent arrives again; `back`: how many reports ago it was sent, or its first. */
-  repeat(back: number, node: number): void {
-    const body = this.sent.at(-1 - back) ?? this.sent[0];
+  /**
+   * Sends a duplicate of an earlier heartbeat.
+   *
+   * @param heartbeatsAgo how many heartbeats ago it was sent; the oldest kept one if there are not as many
+   * @param node index of the controller that receives the duplicate
+   */
+  repeat(heartbeatsAgo: number, node: number): void {
+    const body = this.sentHeartbeats.at(-1 - heartbeatsAgo) ?? this.sentHeartbeats[0];
     if (!body) return;
-    const call = this.peers[node]?.exchange('POST', '/hello', body, { timeoutMs: this.options.answerMs });
+    const call = this.peers[node]?.exchange('POST', '/hello', body, {
+      timeoutMs: this.options.answerTimeoutMs,
+    });
     call?.catch(() => undefined);
   }
 
   private advance(): void {
     if (this.hungSince !== undefined || this.stop.signal.aborted) return;
     const now = Date.now();
-    if (now - this.leaseFrom > this.options.workerLeaseMs) {
-      this.dropAll();
+    if (now - this.leaseStartedAt > this.options.workerLeaseMs) {
+      this.killAllTasks();
       this.session++;
-      this.seq = 0;
-      this.leaseFrom = now;
+      this.sequence = 0;
+      this.leaseStartedAt = now;
     }
     for (const task of this.tasks.values()) {
       if (task.status === 'running' && this.options.holdsTask(task.piece))
-        task.until = now + this.options.taskMs(task.piece);
-      if (task.status === 'ended' || task.until > now) continue;
+        task.statusEndsAt = now + this.options.taskMs(task.piece);
+      if (task.status === 'ended' || task.statusEndsAt > now) continue;
       if (task.status === 'fetching') {
         task.status = 'running';
-        task.until = now + this.options.taskMs(task.piece);
+        task.statusEndsAt = now + this.options.taskMs(task.piece);
         this.options.history.add({ kind: 'started', task: task.piece, machine: this.machine.id });
       } else {
         const done = task.status === 'running';
-        this.leave(task, done ? 'done' : 'stopped');
+        this.endTask(task, done ? 'done' : 'stopped');
         if (done) this.options.onDone(task.piece);
       }
     }
   }
 
-  private dropAll(): void {
-    for (const task of this.tasks.values()) this.leave(task, 'killed');
+  private killAllTasks(): void {
+    for (const task of this.tasks.values()) this.endTask(task, 'killed');
     this.tasks.clear();
   }
 
-  private leave(task: HeldTask, cause: string): void {
-    if (isOn(task)) {
+  private endTask(task: HostedTask, cause: string): void {
+    if (isExecuting(task)) {
       const [completed, machine] = [cause === 'done', this.machine.id];
       this.options.history.add({ kind: 'left', task: task.piece, machine, completed });
     }
@@ -151,15 +168,15 @@
     task.status = 'ended';
   }
 
-  private async reportOnce(signal: AbortSignal): Promise<void> {
-    const { nodes, reaches, answerMs, random } = this.options;
+  private async sendHeartbeat(signal: AbortSignal): Promise<void> {
+    const { nodes, reaches, answerTimeoutMs, random } = this.options;
     const sentAt = Date.now();
     const { session } = this;
     const { id, type, zone, spot } = this.machine;
-    const node = this.node;
-    const next = (node + 1) % this.peers.length;
+    const node = this.contactedNode;
+    const nextNode = (node + 1) % this.peers.length;
     if (this.mute || !reaches(zone, nodes[node]?.label ?? '')) {
-      this.node = next;
+      this.contactedNode = nextNode;
       return;
     }
     const body = {
@@ -170,7 +187,7 @@
       loaners: spot,
       recallS: null,
       watch: session,
-      tick: ++this.seq,
+      tick: ++this.sequence,
       helm: this.token,
       pieces: [...this.tasks.values()].map(({ piece, attempt, status, cause }) => ({
         piece,
@@ -179,65 +196,69 @@
         ...(status === 'ended' ? { cause } : {}),
       })),
     };
-    this.sent.push(body);
-    if (this.sent.length > reportsKept) this.sent.shift();
+    this.sentHeartbeats.push(body);
+    if (this.sentHeartbeats.length > maxKeptHeartbeats) this.sentHeartbeats.shift();
     if (this.late && random() < this.late.share) {
-      const at = this.sent.length;
+      const sentCount = this.sentHeartbeats.length;
       setTimeout(
-        () => this.repeat(Math.max(0, this.sent.length - at), node),
+        () => this.repeat(Math.max(0, this.sentHeartbeats.length - sentCount), node),
         random() * this.late.toMs,
       ).unref();
     }
     try {
       const answer = await this.peers[node]?.exchange('POST', '/hello', body, {
-        timeoutMs: answerMs,
+        timeoutMs: answerTimeoutMs,
         signal,
       });
       while (this.hungSince !== undefined && !signal.aborted) await sleep(this.tickMs, signal);
-      const dropped = this.deaf || !reaches(zone, nodes[node]?.label ?? '') || Date.now() - sentAt > answerMs;
+      const isAnswerLost =
+        this.deaf || !reaches(zone, nodes[node]?.label ?? '') || Date.now() - sentAt > answerTimeoutMs;
       if (signal.aborted) return;
-      if (dropped) throw new Error('no answer in time');
+      if (isAnswerLost) throw new Error('heartbeat not answered in time');
       const fields = isFields(answer?.body) ? answer.body : {};
-      if (answer?.status === 200) return this.obey(fields, sentAt, session);
-      const named = nodes.findIndex((n) => n.label === text(fields['skipper']));
-      this.node = answer?.status === 421 && named >= 0 && named !== node ? named : next;
+      if (answer?.status === 200) return this.applyAnswer(fields, sentAt, session);
+      const ownerNode = nodes.findIndex((n) => n.label === text(fields['skipper']));
+      this.contactedNode =
+        answer?.status === 421 && ownerNode >= 0 && ownerNode !== node ? ownerNode : nextNode;
     } catch {
-      this.node = next;
+      this.contactedNode = nextNode;
     }
   }
 
-  private obey(answer: Fields, sentAt: number, session: number): void {
+  private applyAnswer(answer: Fields, sentAt: number, session: number): void {
     const token = number(answer['helm']);
-    // A worker that hung past its lease has killed its tasks before it reads anything.
+    // A worker that was paused for longer than its lease kills its tasks before it processes the answer.
     this.advance();
     if (token < this.token || session !== this.session) return;
     this.token = token;
-    this.leaseFrom = sentAt;
-    for (const order of list(answer['orders']).filter(isFields)) this.execute(order);
+    this.leaseStartedAt = sentAt;
+    for (const command of list(answer['orders']).filter(isFields)) this.execute(command);
   }
 
-  private execute(order: Fields): void {
+  private execute(command: Fields): void {
     const { fetchMs, saveMs } = this.options;
-    const piece = text(order['piece']);
-    const attempt = number(order['try']);
-    const held = this.tasks.get(piece);
-    if (order['verb'] === 'run') {
-      // Another attempt that has ended is still on the list until it is reaped.
-      if (held && (held.status !== 'ended' || held.attempt === attempt)) return;
-      const until = Date.now() + fetchMs;
-      this.tasks.set(piece, { piece, attempt, status: 'fetching', cause: '', until });
-    } else if (held?.attempt !== attempt) return;
-    else if (order['verb'] === 'reap') {
-      if (held.status === 'ended') this.tasks.delete(piece);
-    } else if (order['verb'] === 'halt' && held.status !== 'ended') {
-      const saves = held.status === 'running' && saveMs > 0 && number(order['leewayS']) * 1000 >= saveMs;
-      if (!saves && !(held.status === 'saving' && number(order['leewayS']) > 0))
-        return this.leave(held, 'stopped');
-      if (held.status === 'running') Object.assign(held, { status: 'saving', until: Date.now() + saveMs });
+    const piece = text(command['piece']);
+    const attempt = number(command['try']);
+    const task = this.tasks.get(piece);
+    if (command['verb'] === 'run') {
+      // An earlier attempt that has ended stays in the list until a `reap` command.
+      if (task && (task.status !== 'ended' || task.attempt === attempt)) return;
+      const statusEndsAt = Date.now() + fetchMs;
+      this.tasks.set(piece, { piece, attempt, status: 'fetching', cause: '', statusEndsAt });
+    } else if (task?.attempt !== attempt) return;
+    else if (command['verb'] === 'reap') {
+      if (task.status === 'ended') this.tasks.delete(piece);
+    } else if (command['verb'] === 'halt' && task.status !== 'ended') {
+      const startsSaving =
+        task.status === 'running' && saveMs > 0 && number(command['leewayS']) * 1000 >= saveMs;
+      if (!startsSaving && !(task.status === 'saving' && number(command['leewayS']) > 0))
+        return this.endTask(task, 'stopped');
+      if (task.status === 'running')
+        Object.assign(task, { status: 'saving', statusEndsAt: Date.now() + saveMs });
     }
   }
 }
 
-function isOn(task: HeldTask): boolean {
+function isExecuting(task: HostedTask): boolean {
   return task.status === 'running' || task.status === 'saving';
 }
