--- a/src/testing/block-stage.ts
+++ b/src/testing/block-stage.ts
@@ -133,7 +133,7 @@
           owner: 'k',
           incarnation: 'b',
           quotaShares: change.shares ?? shares,
-          machines: machinesOf(change.leaving ?? []),
+          machines: leasedMachines(change.leaving ?? []),
         },
         version,
       ),
@@ -154,7 +154,7 @@
   return stage;
 }
 
-function machinesOf(draining: string[]): LeasedMachine[] {
+function leasedMachines(draining: string[]): LeasedMachine[] {
   return ['m1', 'm2'].map((id) => ({
     id,
     fencingToken: machineToken,
--- a/src/testing/cloud-standin.ts
+++ b/src/testing/cloud-standin.ts
@@ -32,7 +32,7 @@
    */
   lateReleases = { count: 0, ms: 0 };
   /** Answers every request with 503, as in an outage. */
-  down = false;
+  hasOutage = false;
   onRent: (machine: RentedMachine) => void = () => undefined;
   onRelease: (id: string) => void = () => undefined;
   private readonly recentlyReleased = new Map<string, { machine: RentedMachine; releasedAt: number }>();
@@ -58,7 +58,7 @@
     const bytes = Buffer.concat(chunks);
     const body = bytes.length > 0 ? decodeFields(bytes) : {};
     const path = new URL(request.url ?? '/', 'http://cloud').pathname;
-    if (this.down) return reply(response, 503, { error: 'trouble' });
+    if (this.hasOutage) return reply(response, 503, { error: 'trouble' });
     if (path === '/machine_types') return reply(response, 200, { hulls: [machineType] });
     if (path === '/rentals/release') {
       const hosts = list(body['hosts']).map((h) => text(h));
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -474,7 +474,7 @@
       },
       history: this.history,
       random: this.random,
-      onDone: (piece) => this.onDone(piece),
+      onTaskCompleted: (piece) => this.onDone(piece),
     });
     this.workers.set(id, worker);
     void worker.run();
--- a/src/testing/held-store.ts
+++ b/src/testing/held-store.ts
@@ -8,9 +8,9 @@
 import { type Condition, type Item, type ListPage, type Write, writtenKey } from '../wire/state.js';
 
 /**
- * Executes every request as soon as it is sent. While `holdsAnswers` is set, each answer is held until
- * `release` is called. A held answer was correct when the request was executed and becomes stale through
- * later requests.
+ * Executes every request as soon as it is sent. While `holdsAnswers` is set, each answer is held until the
+ * test releases it. A held answer was correct when the request was executed, but later requests can make it
+ * stale.
  */
 export class HeldStore {
   holdsAnswers = false;
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -155,7 +155,7 @@
       reaches: () => true,
       history,
       random,
-      onDone: () => undefined,
+      onTaskCompleted: () => undefined,
     });
     workers.set(machine.id, worker);
     void worker.run();
--- a/src/testing/samples.ts
+++ b/src/testing/samples.ts
@@ -20,7 +20,7 @@
   return readFileSync(join(directory, file), 'utf8');
 }
 
-/** The samples of one file. A test compares every sample and then checks that `unread` is empty. */
+/** The samples of one file. A test compares every sample, and then checks that none was left out. */
 export class Samples {
   private readonly samples: Record<string, unknown>;
   private readonly compared = new Set<string>();
--- a/src/testing/store-standin.ts
+++ b/src/testing/store-standin.ts
@@ -59,9 +59,12 @@
    * later, after newer transactions.
    */
   late: { share: number; fromMs: number; toMs: number } | undefined;
-  /** Number of transactions that were executed late because of `late`. */
+  /** Number of transactions with writes that have been executed late in this way. */
   carriedOutLate = 0;
-  /** The next transaction that writes such a key gets no answer, and is executed when `deliver` is called. */
+  /**
+   * The next transaction that writes such a key gets no answer, and is executed only when the test asks for
+   * it.
+   */
   keeps: ((key: string) => boolean) | undefined;
   private readonly withheldCommits: Fields[] = [];
   /** Number of requests and transactions that exceeded a rate limit. */
@@ -188,7 +191,7 @@
     if (lateAnswers && this.random() < lateAnswers.share) await pause(this.random() * lateAnswers.toMs);
   }
 
-  /** Executes the transactions withheld by `keeps`, after all later commits, and returns their number. */
+  /** Executes the withheld transactions, after all later commits, and returns their number. */
   deliver(): number {
     const commits = this.withheldCommits.splice(0);
     for (const body of commits) this.commit(body);
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -36,27 +36,27 @@
   history: History;
   random: () => number;
   /** Called when a task completes, before the worker reports the completion. */
-  onDone: (piece: string) => void;
+  onTaskCompleted: (piece: string) => void;
 }
 
 /** How often in a heartbeat interval the worker checks for task and lease time-outs. */
 const ticksPerHeartbeat = 20;
 const maxKeptHeartbeats = 40;
 
-/** A stand-in for a worker that follows the protocol for fencing tokens, sessions, leases and commands. */
+/** A stand-in for a worker that follows the protocol for fencing tokens, agent epochs, leases and commands. */
 export class WorkerStandIn {
   readonly tasks = new Map<string, HostedTask>();
   /** Largest fencing token received so far. */
-  token = 0;
+  fencingToken = 0;
   /** Agent epoch: grows when the worker has killed its tasks because its lease expired. */
-  session = 1;
+  agentEpoch = 1;
   /** One-way partition: the worker's heartbeats arrive, but no answer reaches the worker. */
   deaf = false;
   /** The worker reaches no controller. */
   mute = false;
   /** This share of the heartbeats arrives a second time, up to `toMs` milliseconds later. */
   late: { share: number; toMs: number } | undefined;
-  private hungSince: number | undefined;
+  private pausedSince: number | undefined;
   private sequence = 0;
   private contactedNode = 0;
   private leaseStartedAt = Date.now();
@@ -84,7 +84,7 @@
   async run(): Promise<void> {
     const { signal } = this.stop;
     while (!signal.aborted) {
-      if (this.hungSince === undefined) await this.sendHeartbeat(signal);
+      if (this.pausedSince === undefined) await this.sendHeartbeat(signal);
       await sleep(this.options.heartbeatIntervalMs * (0.75 + this.options.random() / 2), signal);
     }
   }
@@ -103,14 +103,14 @@
    * had been no pause.
    */
   hang(): void {
-    this.hungSince ??= Date.now();
+    this.pausedSince ??= Date.now();
   }
 
   resume(): void {
-    if (this.hungSince === undefined) return;
-    const hungMs = Date.now() - this.hungSince;
-    this.hungSince = undefined;
-    for (const task of this.tasks.values()) task.statusEndsAt += hungMs;
+    if (this.pausedSince === undefined) return;
+    const pausedMs = Date.now() - this.pausedSince;
+    this.pausedSince = undefined;
+    for (const task of this.tasks.values()) task.statusEndsAt += pausedMs;
     this.advance();
   }
 
@@ -130,11 +130,11 @@
   }
 
   private advance(): void {
-    if (this.hungSince !== undefined || this.stop.signal.aborted) return;
+    if (this.pausedSince !== undefined || this.stop.signal.aborted) return;
     const now = Date.now();
     if (now - this.leaseStartedAt > this.options.workerLeaseMs) {
       this.killAllTasks();
-      this.session++;
+      this.agentEpoch++;
       this.sequence = 0;
       this.leaseStartedAt = now;
     }
@@ -149,7 +149,7 @@
       } else {
         const done = task.status === 'running';
         this.endTask(task, done ? 'done' : 'stopped');
-        if (done) this.options.onDone(task.piece);
+        if (done) this.options.onTaskCompleted(task.piece);
       }
     }
   }
@@ -171,7 +171,7 @@
   private async sendHeartbeat(signal: AbortSignal): Promise<void> {
     const { nodes, reaches, answerTimeoutMs, random } = this.options;
     const sentAt = Date.now();
-    const { session } = this;
+    const { agentEpoch } = this;
     const { id, type, zone, spot } = this.machine;
     const node = this.contactedNode;
     const nextNode = (node + 1) % this.peers.length;
@@ -186,9 +186,9 @@
       berth: zone,
       loaners: spot,
       recallS: null,
-      watch: session,
+      watch: agentEpoch,
       tick: ++this.sequence,
-      helm: this.token,
+      helm: this.fencingToken,
       pieces: [...this.tasks.values()].map(({ piece, attempt, status, cause }) => ({
         piece,
         try: attempt,
@@ -210,13 +210,13 @@
         timeoutMs: answerTimeoutMs,
         signal,
       });
-      while (this.hungSince !== undefined && !signal.aborted) await sleep(this.tickMs, signal);
+      while (this.pausedSince !== undefined && !signal.aborted) await sleep(this.tickMs, signal);
       const isAnswerLost =
         this.deaf || !reaches(zone, nodes[node]?.label ?? '') || Date.now() - sentAt > answerTimeoutMs;
       if (signal.aborted) return;
       if (isAnswerLost) throw new Error('heartbeat not answered in time');
       const fields = isFields(answer?.body) ? answer.body : {};
-      if (answer?.status === 200) return this.applyAnswer(fields, sentAt, session);
+      if (answer?.status === 200) return this.applyAnswer(fields, sentAt, agentEpoch);
       const ownerNode = nodes.findIndex((n) => n.label === text(fields['skipper']));
       this.contactedNode =
         answer?.status === 421 && ownerNode >= 0 && ownerNode !== node ? ownerNode : nextNode;
@@ -225,12 +225,12 @@
     }
   }
 
-  private applyAnswer(answer: Fields, sentAt: number, session: number): void {
-    const token = number(answer['helm']);
+  private applyAnswer(answer: Fields, sentAt: number, agentEpoch: number): void {
+    const fencingToken = number(answer['helm']);
     // A worker that was paused for longer than its lease kills its tasks before it processes the answer.
     this.advance();
-    if (token < this.token || session !== this.session) return;
-    this.token = token;
+    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return;
+    this.fencingToken = fencingToken;
     this.leaseStartedAt = sentAt;
     for (const command of list(answer['orders']).filter(isFields)) this.execute(command);
   }
