--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -1,3 +1,4 @@
+/** Scenarios in which users cancel jobs while controllers, links or the state service fail. */
 import assert from 'node:assert/strict';
 import { defaultOperatorSettings } from '../settings/operator.js';
 import {
@@ -14,14 +15,18 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** The last tasks within a quota may wait until its shares are divided among the blocks once more. */
-const quotaSettlesMs = defaultOperatorSettings.blocks.quotaSharePeriodS * 1000 + 15_000;
+/**
+ * Time limit, in ms, for a team to use up its quota. The last tasks may have to wait until the shares of the
+ * quota are distributed to the blocks again, which happens once per share period.
+ */
+const quotaSettlingMs = defaultOperatorSettings.blocks.quotaSharePeriodS * 1000 + 15_000;
+/** The index of a controller, by which users address it. */
 const nodeOf = (label: string): number => labels.indexOf(label);
 
-/** A job whose tasks all run on machines of one controller, and that controller. */
-async function jobOfOneOwner(cluster: Cluster, ids: string[]): Promise<{ id: string; owner: string }> {
+/** Waits for a job whose running tasks, two or more, are all on machines of one controller; returns both. */
+async function awaitJobWithOneOwner(cluster: Cluster, ids: string[]): Promise<{ id: string; owner: string }> {
   let found: { id: string; owner: string } | undefined;
-  await cluster.until('a job runs at one controller', () => {
+  await cluster.until('all running tasks of a job are on machines of one controller', () => {
     for (const id of ids) {
       const machines = [...cluster.workers.values()].filter((w) =>
         w.running.some((p) => p.startsWith(`${id}/`)),
@@ -36,66 +41,79 @@
   return found ?? { id: '', owner: '' };
 }
 
-const started = (cluster: Cluster, id: string): number =>
+/** How often tasks of the job were started. */
+const startCountOf = (cluster: Cluster, id: string): number =>
   cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
-// Guards against the gap: the blind controller counted from its last answer and took its peers for agreeing, while one of
-// them had confirmed the cancel in the moment before the outage. Only the cancelled tasks go, the others run on.
+// The state service refuses one controller, a peer confirms a cancel to the user, and then the service is down for
+// all controllers. Guards against a refused controller that measures the outage from the last response that it
+// received and assumes that its peers agree with it, although one of them confirmed a cancel between the two
+// faults. Only the cancelled tasks may end; the tasks of all other jobs continue.
 scenario(
-  'jobs are cancelled as the state service refuses their controller alone, and is out for all a moment later',
+  'a job is cancelled while the state service refuses only the owner of its tasks, and is down for all a moment later',
   { port: 23_000, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
-    const { id, owner } = await jobOfOneOwner(cluster, ids);
+    const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     const others = ids.filter((other) => other !== id);
-    await cluster.until('all run', () => ids.every((one) => cluster.runningOf(one).length === 4));
+    await cluster.until('all tasks run', () => ids.every((one) => cluster.runningOf(one).length === 4));
     cluster.store.refused.add(owner);
     await pause(heartbeatIntervalMs / 4);
-    const told = await cluster.cancelSurely(
+    const status = await cluster.cancelSurely(
       id,
       [0, 1, 2].filter((node) => node !== nodeOf(owner)),
     );
-    assert.equal(told, 'cancelled');
+    assert.equal(status, 'cancelled');
     cluster.store.down = true;
-    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelDeadlineMs);
+    await cluster.until(
+      'the tasks of the cancelled job have ended',
+      () => cluster.runningOf(id).length === 0,
+      cancelDeadlineMs,
+    );
     await pause(cancelDeadlineMs * 1.2);
-    // Peers vouched for them: the outage ended no task of a job that nobody cancelled.
+    // The statuses of its peers allowed the owner to renew the other worker leases: no other task ended.
     for (const other of others)
-      assert.deepEqual([cluster.runningOf(other).length, started(cluster, other)], [4, 4]);
+      assert.deepEqual([cluster.runningOf(other).length, startCountOf(cluster, other)], [4, 4]);
     cluster.store.refused.clear();
     cluster.store.down = false;
     await cluster.until(
-      'it is known everywhere',
+      'the owner of the tasks reports the job as cancelled',
       async () => (await cluster.ask(nodeOf(owner), id)) === 'cancelled',
     );
   },
 );
 
-// Guards against a controller that told its user and not its own block: the watch that was to bring it never came.
+// Guards against a controller that confirms a cancel to the user but does not stop the tasks in its own block,
+// because it waits for the watch to deliver the cancellation and the watch never does.
 scenario(
-  'a controller confirms a cancel itself, and the state service is out before its watch has brought it',
+  'the owner of the tasks confirms a cancel, and the state service fails before the watch delivers the cancellation',
   { port: 23_040, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
-    const { id, owner } = await jobOfOneOwner(cluster, ids);
+    const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     assert.equal(await cluster.cancelSurely(id, [nodeOf(owner)]), 'cancelled');
     cluster.store.down = true;
-    await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, workerLeaseMs);
+    await cluster.until(
+      'the tasks of the cancelled job have ended',
+      () => cluster.runningOf(id).length === 0,
+      workerLeaseMs,
+    );
     await pause(cancelDeadlineMs);
     cluster.store.down = false;
   },
 );
 
-// Guards against extending the right to answer while a peer that has confirmed the cancel cannot be heard.
+// Guards against a controller that continues to answer heartbeats, and thereby to renew worker leases, while it
+// receives no status from a peer that has confirmed a cancel.
 scenario(
-  'the same, and the blind controller hears none of its peers: all its leases run out in time',
+  'the state service and all peers are unreachable for one controller during a cancel: its worker leases expire in time',
   { port: 23_080, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
-    const { id, owner } = await jobOfOneOwner(cluster, ids);
+    const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     cluster.store.refused.add(owner);
     for (const link of cluster.peersOf(owner)) link.cut();
     await cluster.cancelSurely(
@@ -111,21 +129,22 @@
   },
 );
 
-// Guards against a new life that vouches for what the life before told its users.
+// Guards against a restarted peer whose statuses are taken as a complete list of confirmed cancellations: its new
+// incarnation does not list the cancellations that the previous one confirmed.
 scenario(
-  'the peer that confirmed the cancel begins a new life inside the outage',
+  'the peer that confirmed a cancel restarts during the outage of the state service',
   { port: 23_120, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
-    const { id, owner } = await jobOfOneOwner(cluster, ids);
-    const teller = (nodeOf(owner) + 1) % 3;
+    const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
+    const confirmingNode = (nodeOf(owner) + 1) % 3;
     cluster.store.refused.add(owner);
     for (const link of cluster.peersOf(owner)) link.cut();
-    await cluster.cancelSurely(id, [teller]);
+    await cluster.cancelSurely(id, [confirmingNode]);
     cluster.store.down = true;
-    await cluster.restart(labels[teller] ?? '', 50);
-    // What the two lives had sent before arrives late, and then what the new one has to say.
+    await cluster.restart(labels[confirmingNode] ?? '', 50);
+    // The links first deliver the delayed statuses of both incarnations, then the current ones of the new incarnation.
     for (const link of cluster.peersOf(owner)) link.heal();
     await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
@@ -134,132 +153,138 @@
   },
 );
 
-// Guards against a leader that goes on in its own world: users of the other side are told of cancels that it never hears of.
+// Guards against a partitioned leader that continues to run tasks and to answer users on outdated data: the other
+// controllers confirm cancels, and the leader never receives these.
 scenario(
-  'a leader is cut from state service and peers, not from workers and users, and jobs are cancelled elsewhere',
+  'the leader is partitioned from state service and peers, not from workers and users, and its peers cancel jobs',
   { port: 23_160, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
-    await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === 3));
-    const first = await cluster.leading();
-    const elsewhere = [0, 1, 2].filter((node) => node !== nodeOf(first));
-    cluster.store.held.add(first);
-    for (const link of cluster.peersOf(first)) link.cut();
-    for (const id of ids) await cluster.cancelSurely(id, elsewhere);
-    // Its own users may get no answer, but never an older one.
+    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 3));
+    const leader = await cluster.leading();
+    const otherNodes = [0, 1, 2].filter((node) => node !== nodeOf(leader));
+    cluster.store.held.add(leader);
+    for (const link of cluster.peersOf(leader)) link.cut();
+    for (const id of ids) await cluster.cancelSurely(id, otherNodes);
+    // The partitioned leader may leave status requests unanswered, but must not return an outdated status.
     for (let i = 0; i < 10; i++) {
-      for (const id of ids) await cluster.ask(nodeOf(first), id);
+      for (const id of ids) await cluster.ask(nodeOf(leader), id);
       await pause(cancelDeadlineMs / 8);
     }
     for (const id of ids) assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.held.clear();
-    for (const link of cluster.peersOf(first)) link.heal();
+    for (const link of cluster.peersOf(leader)) link.heal();
     await cluster.until(
-      'it has heard',
-      async () => (await cluster.ask(nodeOf(first), ids[0] ?? '')) === 'cancelled',
+      'the partitioned controller reports the cancellation',
+      async () => (await cluster.ask(nodeOf(leader), ids[0] ?? '')) === 'cancelled',
     );
   },
 );
 
-// Guards against older answers and late halts while nothing but slow answers is to be had, and then none at all.
+// Guards against outdated answers to users and against tasks that are halted too late, while the state service
+// first answers slowly and then not at all.
 scenario(
-  'the state service is slow, refuses the leader alone and then everybody, while users cancel and ask',
+  'the state service is slow, refuses only the leader and then all controllers, while users cancel jobs and read statuses',
   { port: 23_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 2), i);
-    await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === 2));
-    const ask = async (): Promise<void> => {
+    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 2));
+    const askAllControllers = async (): Promise<void> => {
       await Promise.all(ids.flatMap((id) => [0, 1, 2].map((node) => cluster.ask(node, id))));
     };
     cluster.store.delayMs = 300;
     await cluster.cancelSurely(ids[0] ?? '');
-    await ask();
+    await askAllControllers();
     cluster.store.refused.add(await cluster.leading());
     await cluster.cancelSurely(ids[1] ?? '');
-    const late = cluster.cancel(0, ids[2] ?? '');
+    const cancelBeforeOutage = cluster.cancel(0, ids[2] ?? '');
     cluster.store.down = true;
-    await late;
-    await ask();
+    await cancelBeforeOutage;
+    await askAllControllers();
     await pause(cancelDeadlineMs * 1.2);
-    await ask();
+    await askAllControllers();
     for (const id of ids.slice(0, 2)) assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.refused.clear();
     cluster.store.down = false;
     cluster.store.delayMs = 0;
     for (const id of ids) assert.equal(await cluster.cancelSurely(id), 'cancelled');
-    await ask();
+    await askAllControllers();
   },
 );
 
-// Guards against room of a team that is given out twice: by the new leader, and by machines that have yet to be asked.
+// Guards against quota of a team that is granted twice: the new leader grants it again while tasks still use it on
+// machines that have not yet reported to the new leader.
 scenario(
-  'a team is at its quota when the leader fails over, some of its machines are partitioned, and a job is cancelled',
+  'a team is at its quota when the leader fails over, some of the machines are partitioned, and a job is cancelled',
   { port: 23_240, taskMs: 2500, capacity: 10 },
   async (cluster) => {
     const [cancelled, running] = ['req-000001', 'req-000002'];
     const waiting = ['req-000003', 'req-000004'];
-    const other = 'req-000009';
+    const otherTeamJob = 'req-000009';
     cluster.holdsTask = everyTask;
     for (const [i, id] of [cancelled, running].entries()) await cluster.submitSurely(submission(id, 6), i);
     await cluster.until(
-      'the team is at its limit',
+      'the team has used up its quota',
       () => [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
-      quotaSettlesMs,
+      quotaSettlingMs,
+    );
+    // A job of another team causes more machines to be rented. Its cancellation then frees capacity on them.
+    await cluster.submitSurely(submission(otherTeamJob, 18, { owner: 'blue' }));
+    await cluster.until(
+      'all tasks of the other team run',
+      () => cluster.runningOf(otherTeamJob).length === 18,
     );
-    // Another team's work brings more machines up, and leaves room on them as it is cancelled.
-    await cluster.submitSurely(submission(other, 18, { owner: 'blue' }));
-    await cluster.until('the other team runs too', () => cluster.runningOf(other).length === 18);
     for (const [i, id] of waiting.entries()) await cluster.submitSurely(submission(id, 8), i);
     await cluster.toldEverywhere(waiting, 'pending', cancelDeadlineMs);
-    cluster.holdsTask = tasksOf(other, cancelled);
-    const busy = [...cluster.workers.values()].filter((w) => w.running.length > 0);
-    for (const worker of busy.slice(0, Math.ceil(busy.length / 2))) worker.mute = true;
-    const first = await cluster.leading();
-    cluster.stopController(first);
-    const told = await Promise.all([cluster.cancelSurely(other), cluster.cancelSurely(cancelled)]);
-    assert.deepEqual(told, ['cancelled', 'cancelled']);
+    cluster.holdsTask = tasksOf(otherTeamJob, cancelled);
+    const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
+    for (const worker of busyWorkers.slice(0, Math.ceil(busyWorkers.length / 2))) worker.mute = true;
+    const leader = await cluster.leading();
+    cluster.stopController(leader);
+    const statuses = await Promise.all([cluster.cancelSurely(otherTeamJob), cluster.cancelSurely(cancelled)]);
+    assert.deepEqual(statuses, ['cancelled', 'cancelled']);
     await pause(workerLeaseMs * 1.2);
-    for (const worker of busy) worker.mute = false;
-    cluster.startController(first);
+    for (const worker of busyWorkers) worker.mute = false;
+    cluster.startController(leader);
     await cluster.allDone([running, ...waiting]);
   },
 );
 
-// Guards against two ends of one job: what the first user was told decides for all.
+// Guards against a job with two outcomes: the outcome that the first user received must be the one for all users.
 scenario(
-  'a cancel, a question and a repeated submission meet the end of the last task',
+  'cancels, status requests and repeated submissions arrive as the last task of a job ends',
   { port: 23_280, taskMs: 500 },
   async (cluster) => {
     const ids = Array.from({ length: 8 }, (_, i) => `req-00000${i}`);
-    const answers: Promise<unknown>[] = [];
-    const meet = (id: string): void => {
+    const requests: Promise<unknown>[] = [];
+    const sendConcurrentRequests = (id: string): void => {
       for (const [i, node] of [0, 1, 2, 0, 1].entries()) {
-        const at = i * 40;
-        answers.push(
-          pause(at).then(() => cluster.cancel(node, id)),
-          pause(at).then(() => cluster.ask(node, id)),
-          pause(at).then(() => cluster.submit(node, submission(id, 2))),
+        const delayMs = i * 40;
+        requests.push(
+          pause(delayMs).then(() => cluster.cancel(node, id)),
+          pause(delayMs).then(() => cluster.ask(node, id)),
+          pause(delayMs).then(() => cluster.submit(node, submission(id, 2))),
         );
       }
     };
-    const left = new Map(ids.map((id) => [id, 2]));
-    cluster.onDone = (piece) => {
-      const id = piece.split('/')[0] ?? '';
-      left.set(id, (left.get(id) ?? 0) - 1);
-      if (left.get(id) === 0) meet(id);
+    const remainingTasks = new Map(ids.map((id) => [id, 2]));
+    cluster.onDone = (task) => {
+      const id = task.split('/')[0] ?? '';
+      remainingTasks.set(id, (remainingTasks.get(id) ?? 0) - 1);
+      if (remainingTasks.get(id) === 0) sendConcurrentRequests(id);
     };
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 2), i);
     for (const id of ids) {
-      await cluster.until('it has ended', async () =>
+      await cluster.until('the job has ended', async () =>
         ['done', 'cancelled'].includes(await cluster.ask(0, id)),
       );
     }
-    await Promise.all(answers);
+    await Promise.all(requests);
     for (const id of ids) {
-      const told = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
-      assert.equal(new Set(told).size, 1);
+      const statuses = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
+      assert.equal(new Set(statuses).size, 1);
     }
   },
 );
--- /dev/null
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -0,0 +1,211 @@
+/** Scenarios of jobs with dependencies while controllers or the state service fail. */
+import assert from 'node:assert/strict';
+import {
+  cancelDeadlineMs,
+  type Cluster,
+  labels,
+  workerLeaseMs,
+  noTask,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+  tasksOf,
+  untilStopped,
+} from '../testing/cluster.js';
+import { scenario } from '../testing/scenario.js';
+
+/** Lower limits that the settings announce for the state service. */
+const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 60 };
+const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
+
+/** Submits a chain of jobs, each of which depends on the previous one. Returns their ids. */
+async function submitChain(
+  cluster: Cluster,
+  firstNumber: number,
+  length: number,
+  tasks = 2,
+): Promise<string[]> {
+  const ids = Array.from({ length }, (_, i) => jobIdOf(firstNumber + i));
+  for (const [i, id] of ids.entries()) {
+    const dependency = ids[i - 1];
+    await cluster.submitSurely(
+      submission(id, tasks, { moorings: dependency === undefined ? null : [dependency] }),
+      i,
+    );
+  }
+  return ids;
+}
+
+/** Submits a chain of jobs with one task each and waits until the task of the first job runs. */
+async function startChain(cluster: Cluster, length: number): Promise<string[]> {
+  const chain = await submitChain(cluster, 1, length, 1);
+  await cluster.until('the first job runs', () => cluster.runningOf(jobIdOf(1)).length === 1);
+  return chain;
+}
+
+/** How often tasks of the job were started. */
+const startCountOf = (cluster: Cluster, id: string): number =>
+  cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
+
+async function awaitCancelledEverywhere(
+  cluster: Cluster,
+  ids: string[],
+  withinMs = cancelDeadlineMs,
+): Promise<void> {
+  await cluster.toldEverywhere(ids, 'cancelled', withinMs);
+}
+
+// Guards against tasks that start before the dependencies of their job are done (rule `too_early`), and against a
+// job that waits forever because the outcome of a dependency never reaches it.
+scenario(
+  'a chain and a diamond of jobs complete while all controllers restart one by one, and the store limits are lowered',
+  { port: 28_000, taskMs: 400, nextLimits },
+  async (cluster) => {
+    const chain = await submitChain(cluster, 1, 6);
+    await cluster.submitSurely(submission(jobIdOf(20), 3, { moorings: [jobIdOf(1)] }));
+    await cluster.submitSurely(submission(jobIdOf(21), 3, { moorings: [jobIdOf(1)] }));
+    await cluster.submitSurely(
+      submission(jobIdOf(22), 3, { moorings: [jobIdOf(20), jobIdOf(21), jobIdOf(20)] }),
+    );
+    await cluster.until('the second job has started', () => startCountOf(cluster, jobIdOf(2)) > 0);
+    cluster.lowerLimits();
+    for (const label of labels) await cluster.restart(label, 50);
+    await cluster.allDone([...chain, jobIdOf(20), jobIdOf(21), jobIdOf(22)]);
+    assert.deepEqual(cluster.store.sizeRefusals, []);
+  },
+);
+
+// Guards against a job that waits forever for a dependency with an outcome from before the restart: the replica of
+// a restarted controller contains no outcomes at first.
+scenario(
+  'one dependency is done before all controllers restart, and another one after that',
+  { port: 28_040, taskMs: 300 },
+  async (cluster) => {
+    cluster.holdsTask = tasksOf(jobIdOf(2));
+    await cluster.submitSurely(submission(jobIdOf(1), 1));
+    await cluster.submitSurely(submission(jobIdOf(2), 4, { owner: 'blue' }));
+    await cluster.allDone([jobIdOf(1)]);
+    await cluster.submitSurely(submission(jobIdOf(3), 2, { moorings: [jobIdOf(1), jobIdOf(2)] }));
+    await Promise.all(labels.map((label) => cluster.restart(label, 50)));
+    await cluster.submitSurely(submission(jobIdOf(4), 2, { moorings: [jobIdOf(1)] }));
+    cluster.holdsTask = noTask;
+    await cluster.allDone([jobIdOf(2), jobIdOf(3), jobIdOf(4)]);
+  },
+);
+
+// Guards against dependents that stay open after a job that they need was cancelled (rule `orphaned`): a
+// cancellation cascade must not end with the controller that began it, nor when the write limit is reached.
+scenario(
+  'a chain of ten with forty more dependents is cancelled as the leader stops, with few writes per second',
+  { port: 28_080, taskMs: untilStopped, nextLimits },
+  async (cluster) => {
+    const chain = await submitChain(cluster, 1, 10);
+    const dependents = Array.from({ length: 40 }, (_, i) => jobIdOf(100 + i));
+    for (const [i, id] of dependents.entries()) {
+      await cluster.submitSurely(submission(id, 1, { moorings: [chain[2 + (i % 8)]] }), i);
+    }
+    await cluster.until('the first job runs', () => cluster.runningOf(jobIdOf(1)).length === 2);
+    cluster.lowerLimits();
+    const leader = await cluster.leading();
+    const confirmingNode = (labels.indexOf(leader) + 1) % 3;
+    assert.equal(await cluster.cancelSurely(jobIdOf(1), [confirmingNode]), 'cancelled');
+    cluster.stopController(leader);
+    cluster.stopController(labels[confirmingNode] ?? '');
+    await pause(heartbeatIntervalMs);
+    cluster.startController(leader);
+    cluster.startController(labels[confirmingNode] ?? '');
+    await awaitCancelledEverywhere(cluster, [...chain, ...dependents], cancelDeadlineMs * 2);
+  },
+);
+
+// Guards against a dependent that is accepted as an open job because the replica of the accepting controller does
+// not contain the cancellation of the dependency yet.
+scenario(
+  'the first job of a chain is cancelled while the others are being submitted at other controllers',
+  { port: 28_120, taskMs: untilStopped },
+  async (cluster) => {
+    for (let round = 0; round < 5; round++) {
+      const firstNumber = 1 + round * 10;
+      await cluster.submitSurely(submission(jobIdOf(firstNumber), 1), round);
+      const cancel = cluster.cancelSurely(jobIdOf(firstNumber), [round % 3]);
+      for (let i = 1; i < 4; i++) {
+        const moorings = [jobIdOf(firstNumber + i - 1)];
+        await cluster.submitSurely(submission(jobIdOf(firstNumber + i), 1, { moorings }), round + i);
+      }
+      assert.equal(await cancel, 'cancelled');
+    }
+    for (let round = 0; round < 5; round++) {
+      await awaitCancelledEverywhere(
+        cluster,
+        [1, 2, 3].map((i) => jobIdOf(1 + round * 10 + i)),
+      );
+    }
+  },
+);
+
+// A cancel arrives as the first job of a chain ends. Guards against dependents that never start, and against
+// dependents that start and are also cancelled.
+scenario(
+  'cancels arrive as the first job of a chain ends: its dependents run if and only if the answer was done',
+  { port: 28_160, taskMs: 500 },
+  async (cluster) => {
+    const chains = [];
+    for (let i = 0; i < 6; i++) chains.push(await submitChain(cluster, 1 + i * 10, 3, 1));
+    const statuses = await Promise.all(
+      chains.map(async ([firstJob = ''], i) => {
+        await cluster.until('the task of the first job has completed', () =>
+          cluster.history.happenings.some(
+            (h) => h.kind === 'left' && h.task === `${firstJob}/0` && h.completed,
+          ),
+        );
+        await pause(i * 40);
+        return cluster.cancelSurely(firstJob, [i % 3]);
+      }),
+    );
+    for (const [i, chain] of chains.entries()) {
+      if (statuses[i] === 'done') await cluster.allDone(chain);
+      else await awaitCancelledEverywhere(cluster, chain);
+    }
+  },
+);
+
+// Guards against answers from outdated data: after an outage that is longer than the cancellation deadline, no
+// controller may report a job as pending on the basis of a replica from before the outage.
+scenario(
+  'the state service is down for longer than the cancellation deadline, right after a cancel',
+  { port: 28_200, taskMs: untilStopped },
+  async (cluster) => {
+    const chain = await startChain(cluster, 5);
+    assert.equal(await cluster.cancelSurely(jobIdOf(1), [1]), 'cancelled');
+    cluster.store.down = true;
+    const endAt = Date.now() + cancelDeadlineMs * 1.3;
+    while (Date.now() < endAt) {
+      for (const [i, id] of chain.entries()) await cluster.ask(i % 3, id);
+      await pause(heartbeatIntervalMs);
+    }
+    cluster.store.down = false;
+    for (let i = 0; i < 20; i++) await Promise.all(chain.map((id, node) => cluster.ask((node + i) % 3, id)));
+    await awaitCancelledEverywhere(cluster, chain);
+  },
+);
+
+// Guards against dependents of a cancelled job that a controller reports as open (rule `orphaned`): only this
+// controller is partitioned from the state service, and it has not detected the partition yet.
+scenario(
+  'a controller is partitioned from state service and peers while a chain is cancelled, and is queried on its return',
+  { port: 28_240, taskMs: untilStopped },
+  async (cluster) => {
+    const chain = await startChain(cluster, 4);
+    cluster.store.held.add('keel-2');
+    for (const link of cluster.peersOf('keel-2')) link.cut();
+    assert.equal(await cluster.cancelSurely(jobIdOf(1), [0, 1]), 'cancelled');
+    await pause(cancelDeadlineMs + workerLeaseMs);
+    cluster.store.held.delete('keel-2');
+    for (const link of cluster.peersOf('keel-2')) link.heal();
+    for (let i = 0; i < 20; i++) {
+      await Promise.all(chain.map((id) => cluster.ask(2, id)));
+      await pause(heartbeatIntervalMs / 4);
+    }
+    await awaitCancelledEverywhere(cluster, chain);
+  },
+);
--- a/src/fault-scenarios/messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -13,10 +13,10 @@
 import { scenario } from '../testing/scenario.js';
 
 const taskMs = 700;
-const five = Array.from({ length: 5 }, (_, i) => `req-00000${i}`);
+const jobIds = Array.from({ length: 5 }, (_, i) => `req-00000${i}`);
 
 /** Submits the jobs and waits until some of their tasks run, which end no sooner. */
-async function submitAndSeeRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
+async function submitAndAwaitRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   cluster.holdsTask = everyTask;
   await submitAll(cluster, ids, tasks);
   await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
@@ -37,36 +37,36 @@
     { port: 24_000 + seed * 40, taskMs, seed },
     async (cluster) => {
       cluster.store.late = { share: 0.25, fromMs: heartbeatIntervalMs, toMs: 6 * heartbeatIntervalMs };
-      await submitAll(cluster, five, 4);
-      const [cancelled = '', ...kept] = five;
+      await submitAll(cluster, jobIds, 4);
+      const [cancelled = '', ...kept] = jobIds;
       await cluster.cancelSurely(cancelled);
       await cluster.restart(await cluster.leading());
-      const once: Promise<unknown>[] = [];
-      const ended = (id: string): Promise<void> =>
+      const cancelRequests: Promise<unknown>[] = [];
+      const awaitEnd = (id: string): Promise<void> =>
         cluster.until(`${id} has ended`, async () =>
           ['done', 'cancelled'].includes(await cluster.ask(0, id)),
         );
       for (let i = 0; i < 8; i++) {
-        for (const [j, id] of five.entries()) await cluster.ask((i + j) % 3, id);
-        const more = `req-0001${i}`;
-        await cluster.submitSurely(submission(more, 2), i);
+        for (const [j, id] of jobIds.entries()) await cluster.ask((i + j) % 3, id);
+        const addedJob = `req-0001${i}`;
+        await cluster.submitSurely(submission(addedJob, 2), i);
         // Some are cancelled only once, about when they end; what comes of that may come after their end.
-        const at = taskMs * (1 + (i % 3) / 2);
+        const cancelDelayMs = taskMs * (1 + (i % 3) / 2);
         if (i % 2 === 0)
-          once.push(
-            pause(at).then(() => cluster.cancel(i % 3, more)),
-            ended(more),
+          cancelRequests.push(
+            pause(cancelDelayMs).then(() => cluster.cancel(i % 3, addedJob)),
+            awaitEnd(addedJob),
           );
-        else kept.push(more);
+        else kept.push(addedJob);
         if (i % 4 === 3) await cluster.restart(await cluster.leading());
         await pause(heartbeatIntervalMs);
       }
       await cluster.until('some have been', () => cluster.store.carriedOutLate > 2);
       cluster.store.late = undefined;
-      await Promise.all(once);
+      await Promise.all(cancelRequests);
       await cluster.allDone(kept);
       for (const happening of cluster.history.happenings) {
-        if (happening.kind === 'asked to cancel') await ended(happening.id);
+        if (happening.kind === 'asked to cancel') await awaitEnd(happening.id);
       }
     },
   );
@@ -117,15 +117,20 @@
   'workers stall for seconds with commands in flight, and then resume',
   { port: 24_160, taskMs: 900, fetchMs: 100 },
   async (cluster) => {
-    await submitAndSeeRunning(cluster, five, 4);
-    const [cancelled = '', ...kept] = five;
+    await submitAndAwaitRunning(cluster, jobIds, 4);
+    const [cancelled = '', ...kept] = jobIds;
     cluster.holdsTask = tasksOf(cancelled);
-    for (const hungMs of [heartbeatIntervalMs, workerLeaseMs / 2, workerLeaseMs * 0.9, workerLeaseMs * 1.4]) {
-      const hung = [...cluster.workers.values()].filter((_, i) => i % 2 === 0);
-      for (const worker of hung) worker.hang();
-      if (hungMs === workerLeaseMs * 0.9) assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
-      await pause(hungMs);
-      for (const worker of hung) worker.resume();
+    for (const stallMs of [
+      heartbeatIntervalMs,
+      workerLeaseMs / 2,
+      workerLeaseMs * 0.9,
+      workerLeaseMs * 1.4,
+    ]) {
+      const stalledWorkers = [...cluster.workers.values()].filter((_, i) => i % 2 === 0);
+      for (const worker of stalledWorkers) worker.hang();
+      if (stallMs === workerLeaseMs * 0.9) assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
+      await pause(stallMs);
+      for (const worker of stalledWorkers) worker.resume();
       await pause(heartbeatIntervalMs);
     }
     await cluster.allDone(kept);
@@ -137,22 +142,22 @@
   'heartbeats are delivered late and out of order, also from an earlier agent epoch or attempt',
   { port: 24_200, taskMs: 3000, capacity: 6 },
   async (cluster) => {
-    await submitAndSeeRunning(cluster, five, 2);
+    await submitAndAwaitRunning(cluster, jobIds, 2);
     for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * workerLeaseMs };
     // Some of them lose their lease, and with it session and attempts, before the copies arrive.
-    const lost = [...cluster.workers.values()].slice(0, 2);
-    for (const worker of lost) worker.mute = true;
+    const isolatedWorkers = [...cluster.workers.values()].slice(0, 2);
+    for (const worker of isolatedWorkers) worker.mute = true;
     await pause(1.1 * workerLeaseMs);
-    for (const worker of lost) worker.mute = false;
+    for (const worker of isolatedWorkers) worker.mute = false;
     for (let i = 0; i < 5; i++) {
       for (const worker of cluster.workers.values()) {
-        for (const back of [2 + i * 2, 40])
-          worker.repeat(back, labels.indexOf(cluster.ownerOf(worker.machine.id)));
+        for (const heartbeatsAgo of [2 + i * 2, 40])
+          worker.repeat(heartbeatsAgo, labels.indexOf(cluster.ownerOf(worker.machine.id)));
       }
       if (i === 2) await cluster.restart(await cluster.leading());
       await pause(heartbeatIntervalMs);
     }
-    await cluster.allDone(five);
+    await cluster.allDone(jobIds);
   },
 );
 
@@ -161,8 +166,8 @@
   'workers are partitioned from all controllers for longer than a lease',
   { port: 24_240, taskMs: 3000, capacity: 6 },
   async (cluster) => {
-    await submitAndSeeRunning(cluster, five, 2);
-    const [cancelled = '', ...kept] = five;
+    await submitAndAwaitRunning(cluster, jobIds, 2);
+    const [cancelled = '', ...kept] = jobIds;
     cluster.holdsTask = tasksOf(cancelled);
     // Those that are rented meanwhile find their way, and for a while so does every other one.
     const workers = [...cluster.workers.values()];
@@ -186,12 +191,12 @@
     cluster.cloud.listLagMs = heartbeatIntervalMs;
     cluster.cloud.losesRentals = 3;
     cluster.cloud.lateReleases = { count: 4, ms: 4 * heartbeatIntervalMs };
-    await submitAndSeeRunning(cluster, five, 4);
-    const hung = [...cluster.workers.values()].slice(0, 2);
-    for (const worker of hung) worker.hang();
+    await submitAndAwaitRunning(cluster, jobIds, 4);
+    const stalledWorkers = [...cluster.workers.values()].slice(0, 2);
+    for (const worker of stalledWorkers) worker.hang();
     await cluster.restart(await cluster.leading());
     await pause(workerLeaseMs);
-    for (const worker of hung) worker.resume();
-    await cluster.allDone(five);
+    for (const worker of stalledWorkers) worker.resume();
+    await cluster.allDone(jobIds);
   },
 );
--- a/src/fault-scenarios/leaders.test.ts
+++ b/src/fault-scenarios/leader-failover.test.ts
@@ -22,16 +22,16 @@
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
-    const first = await cluster.leading();
-    cluster.stopController(first);
-    const second = await cluster.leading(first);
-    cluster.startController(first);
-    await cluster.restart(second);
+    const firstLeader = await cluster.leading();
+    cluster.stopController(firstLeader);
+    const secondLeader = await cluster.leading(firstLeader);
+    cluster.startController(firstLeader);
+    await cluster.restart(secondLeader);
     for (const label of labels) cluster.stopController(label);
     await pause(150);
-    cluster.startController(first);
+    cluster.startController(firstLeader);
     await pause(300);
-    for (const label of labels) if (label !== first) cluster.startController(label);
+    for (const label of labels) if (label !== firstLeader) cluster.startController(label);
     cluster.holdsTask = tasksOf('req-000004');
     await cluster.submitSurely(submission('req-000004', 9));
     await cluster.until('it runs', () => cluster.runningOf('req-000004').length > 0);
@@ -51,21 +51,21 @@
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     cluster.holdsTask = (task) => indexOf(task) > 0;
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, i === 0 ? 2 : 3), i);
-    const ended = (): number =>
+    const completedCount = (): number =>
       cluster.history.happenings.filter((h) => h.kind === 'left' && h.completed).length;
-    await cluster.until('the first tasks have ended', () => ended() >= 3);
-    const first = await cluster.leading();
-    cluster.stopController(first);
+    await cluster.until('the first tasks have ended', () => completedCount() >= 3);
+    const oldLeader = await cluster.leading();
+    cluster.stopController(oldLeader);
     // The second ones end while nobody leads, or under the new leader; the third ones after it has changed again.
     cluster.holdsTask = (task) => indexOf(task) > 1;
-    const asked = nodeOf(first) === 0 ? 1 : 0;
-    await cluster.leading(first);
-    for (const id of ids) await cluster.ask(asked, id);
-    await cluster.until('the second ones have', () => ended() >= 6);
-    cluster.startController(first);
+    const queriedNode = nodeOf(oldLeader) === 0 ? 1 : 0;
+    await cluster.leading(oldLeader);
+    for (const id of ids) await cluster.ask(queriedNode, id);
+    await cluster.until('the second ones have', () => completedCount() >= 6);
+    cluster.startController(oldLeader);
     await cluster.restart(await cluster.leading());
     cluster.holdsTask = noTask;
-    for (const id of ids) await cluster.ask(asked, id);
+    for (const id of ids) await cluster.ask(queriedNode, id);
     await cluster.allDone(ids);
   },
 );
@@ -76,27 +76,27 @@
   { port: 22_080, taskMs: 600, capacity: 6 },
   async (cluster) => {
     // What ends soon leaves room on machines that can be reached: a task taken for gone would start there at once.
-    const [long, short] = ['req-000001', 'req-000002'];
-    cluster.holdsTask = tasksOf(long);
-    for (const id of [long, short]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
+    const [longJob, shortJob] = ['req-000001', 'req-000002'];
+    cluster.holdsTask = tasksOf(longJob);
+    for (const id of [longJob, shortJob]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
     await cluster.until('the long ones run beside room', () => {
-      return cluster.runningOf(long).length === 9 && cluster.completedOf(short) === 9;
+      return cluster.runningOf(longJob).length === 9 && cluster.completedOf(shortJob) === 9;
     });
-    const busy = [...cluster.workers.values()].filter((w) => w.running.length > 0);
-    for (const [i, worker] of busy.entries()) {
+    const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
+    for (const [i, worker] of busyWorkers.entries()) {
       if (i % 3 === 0) worker.mute = true;
       else if (i % 3 === 1) worker.deaf = true;
     }
-    const first = await cluster.leading();
-    cluster.stopController(first);
-    await cluster.leading(first);
+    const oldLeader = await cluster.leading();
+    cluster.stopController(oldLeader);
+    await cluster.leading(oldLeader);
     await pause(workerLeaseMs * 0.8);
-    for (const worker of busy) worker.mute = false;
+    for (const worker of busyWorkers) worker.mute = false;
     await pause(workerLeaseMs * 0.7);
-    for (const worker of busy) worker.deaf = false;
-    cluster.startController(first);
+    for (const worker of busyWorkers) worker.deaf = false;
+    cluster.startController(oldLeader);
     cluster.holdsTask = noTask;
-    await cluster.allDone([long, short]);
+    await cluster.allDone([longJob, shortJob]);
   },
 );
 
@@ -109,23 +109,24 @@
     await cluster.submitSurely(submission('req-000001', 6));
     await cluster.submitSurely(submission('req-000002', 6), 1);
     await cluster.until('tasks run', () => cluster.runningOf('req-000002').length > 0);
-    const first = await cluster.leading();
-    const workers = [...cluster.workers.values()].filter((w) => cluster.ownerOf(w.machine.id) === first);
+    const oldLeader = await cluster.leading();
+    const workers = [...cluster.workers.values()].filter((w) => cluster.ownerOf(w.machine.id) === oldLeader);
     assert.ok(workers.length > 0);
     for (const worker of workers) worker.mute = true;
-    cluster.stopController(first);
-    await cluster.leading(first);
+    cluster.stopController(oldLeader);
+    await cluster.leading(oldLeader);
     await cluster.until('their blocks are leased anew', () =>
-      workers.every(({ machine }) => cluster.ownerOf(machine.id) !== first),
+      workers.every(({ machine }) => cluster.ownerOf(machine.id) !== oldLeader),
     );
     for (const worker of workers) {
       // Its last one, and others from before it had any task: none may be believed.
-      for (const back of [0, 30, 8, 0]) worker.repeat(back, nodeOf(cluster.ownerOf(worker.machine.id)));
+      for (const heartbeatsAgo of [0, 30, 8, 0])
+        worker.repeat(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
     }
     await pause(2 * heartbeatIntervalMs);
     for (const worker of workers) worker.mute = false;
     cluster.holdsTask = noTask;
-    cluster.startController(first);
+    cluster.startController(oldLeader);
     await cluster.allDone(['req-000001', 'req-000002']);
   },
 );
@@ -157,12 +158,12 @@
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
-    for (let change = 0; change < 10; change++) {
-      const first = await cluster.leading();
-      if (change === 4) cluster.store.down = true;
-      await cluster.restart(first, 50);
+    for (let failover = 0; failover < 10; failover++) {
+      const leader = await cluster.leading();
+      if (failover === 4) cluster.store.down = true;
+      await cluster.restart(leader, 50);
       await pause(cluster.store.down ? heartbeatIntervalMs : 3 * heartbeatIntervalMs);
-      if (change === 6) cluster.store.down = false;
+      if (failover === 6) cluster.store.down = false;
       for (const [i, id] of ids.entries()) await cluster.ask(i, id);
     }
     await cluster.allDone(ids);
@@ -180,9 +181,9 @@
     store.delayMs = heartbeatIntervalMs * 1.5;
     store.endAllLeases();
     await cluster.leading();
-    const led = cluster.leaderToken();
+    const fencingToken = cluster.leaderToken();
     await pause(workerLeaseMs);
-    assert.equal(cluster.leaderToken(), led);
+    assert.equal(cluster.leaderToken(), fencingToken);
     store.delayMs = 0;
     await cluster.submitSurely(submission('req-000001', 3));
     await cluster.allDone(['req-000001']);
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -46,8 +46,8 @@
   execFileSync('git', ['merge-base', '--is-ancestor', commitBeforeRenames, 'HEAD']);
 });
 
-function idOf(serial: number): string {
-  return `req-${String(serial).padStart(6, '0')}`;
+function jobIdOf(jobNumber: number): string {
+  return `req-${String(jobNumber).padStart(6, '0')}`;
 }
 
 function nodeOf(label: string): number {
@@ -64,32 +64,32 @@
   label: string,
   id: string,
   tasks: number,
-  change: Record<string, unknown>,
+  overrides: Record<string, unknown>,
 ): Promise<void> {
-  const job = submission(id, tasks, change);
+  const job = submission(id, tasks, overrides);
   await cluster.until(`${id} is accepted at ${label}`, async () =>
     [200, 201].includes(await cluster.submit(nodeOf(label), job)),
   );
 }
 
 /** Jobs of a team without a limit, so small that a machine runs dozens of their tasks. */
-async function submitSmall(cluster: Cluster, label: string, ids: string[], tasks: number): Promise<void> {
+async function submitSmallJobs(cluster: Cluster, label: string, ids: string[], tasks: number): Promise<void> {
   const small = { owner: 'blue', cpus: 0.25, memoryGb: 0.25 };
   for (const id of ids) await submitAt(cluster, label, id, tasks, small);
 }
 
 /** A chain of three, and jobs that use every other field of a submission; their ids. */
-async function submitDemanding(cluster: Cluster, label: string, from: number): Promise<string[]> {
-  const changes: Record<string, unknown>[] = [
+async function submitVariedJobs(cluster: Cluster, label: string, firstNumber: number): Promise<string[]> {
+  const variants: Record<string, unknown>[] = [
     {},
-    { moorings: [idOf(from)] },
-    { moorings: [idOf(from), idOf(from + 1)], urgency: 'production' },
+    { moorings: [jobIdOf(firstNumber)] },
+    { moorings: [jobIdOf(firstNumber), jobIdOf(firstNumber + 1)], urgency: 'production' },
     { owner: 'blue', together: true, dueS: 60 },
     { owner: 'blue', apart: true, hulls: ['c8'] },
     { owner: 'blue', berth: 'a', loaners: true, urgency: 'best_effort' },
   ];
-  const ids = changes.map((_, i) => idOf(from + i));
-  for (const [i, change] of changes.entries()) await submitAt(cluster, label, ids[i] ?? '', 3, change);
+  const ids = variants.map((_, i) => jobIdOf(firstNumber + i));
+  for (const [i, overrides] of variants.entries()) await submitAt(cluster, label, ids[i] ?? '', 3, overrides);
   return ids;
 }
 
@@ -101,20 +101,20 @@
 }
 
 /** The controllers of one of the two versions, and how one of them ends and comes back. */
-interface Side {
+interface VersionGroup {
   labels: string[];
   restart: (label: string) => Promise<void>;
 }
 
 /** A life that has been over for so long has lost the lead. */
-const leadEndsMs = workerLeaseMs;
+const leadershipExpiryMs = workerLeaseMs;
 
 /** Waits until a controller of one side leads; one of the other that does is made to lose the lead. */
-async function awaitLead(cluster: Cluster, side: Side, other: Side): Promise<void> {
+async function awaitLeaderOf(cluster: Cluster, group: VersionGroup, otherGroup: VersionGroup): Promise<void> {
   for (;;) {
     const leader = await cluster.leading();
-    if (side.labels.includes(leader)) return;
-    await other.restart(leader);
+    if (group.labels.includes(leader)) return;
+    await otherGroup.restart(leader);
   }
 }
 
@@ -124,12 +124,17 @@
  * Jobs that a controller of one side records, and whose tasks begin while one of the other leads: in the same term as when
  * they were submitted. A leader that is held up may lose the lead meanwhile; then as many jobs more are submitted.
  */
-async function submitUnder(cluster: Cluster, leaders: Side, others: Side, from: number): Promise<string[]> {
+async function submitDuringTermOf(
+  cluster: Cluster,
+  leaders: VersionGroup,
+  others: VersionGroup,
+  firstNumber: number,
+): Promise<string[]> {
   const ids: string[] = [];
   for (let round = 0; round < maxRounds; round++) {
-    await awaitLead(cluster, leaders, others);
+    await awaitLeaderOf(cluster, leaders, others);
     const term = cluster.leaderToken();
-    const submitted = await submitDemanding(cluster, others.labels[0] ?? '', from + 10 * round);
+    const submitted = await submitVariedJobs(cluster, others.labels[0] ?? '', firstNumber + 10 * round);
     ids.push(...submitted);
     await cluster.until('the first of them runs', () => hasStarted(cluster, submitted[0] ?? ''));
     if (cluster.leaderToken() === term && leaders.labels.includes(await cluster.leading())) return ids;
@@ -151,21 +156,21 @@
   async (cluster) => {
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
-    const toEarlier = (label: string): Promise<void> => cluster.downgrade(label, leadEndsMs);
-    const toThis = (label: string): Promise<void> => cluster.upgrade(label, leadEndsMs);
+    const restartAsEarlier = (label: string): Promise<void> => cluster.downgrade(label, leadershipExpiryMs);
+    const restartAsCurrent = (label: string): Promise<void> => cluster.upgrade(label, leadershipExpiryMs);
     cluster.holdsTask = everyTask;
-    await submitSmall(cluster, first, [idOf(1), idOf(2)], 6);
-    const ids = [idOf(10), idOf(11), idOf(12)];
-    await submitSmall(cluster, first, ids, 100);
+    await submitSmallJobs(cluster, first, [jobIdOf(1), jobIdOf(2)], 6);
+    const ids = [jobIdOf(10), jobIdOf(11), jobIdOf(12)];
+    await submitSmallJobs(cluster, first, ids, 100);
     await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
     // These two do not end by themselves: they are cancelled.
-    cluster.holdsTask = tasksOf(idOf(1), idOf(2));
+    cluster.holdsTask = tasksOf(jobIdOf(1), jobIdOf(2));
 
     await cluster.upgrade(second);
-    const two: Side = { labels: [first, third], restart: toEarlier };
-    const one: Side = { labels: [second], restart: toThis };
-    ids.push(...(await submitUnder(cluster, two, one, 100)));
-    await cancelAt(cluster, second, idOf(1));
+    const earlierPair: VersionGroup = { labels: [first, third], restart: restartAsEarlier };
+    const currentOne: VersionGroup = { labels: [second], restart: restartAsCurrent };
+    ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 100)));
+    await cancelAt(cluster, second, jobIdOf(1));
 
     // The lead and the block of the earlier version go to this one.
     await cluster.upgrade(third);
@@ -174,10 +179,10 @@
     await cluster.until('its block has another owner', () => !cluster.owners().includes(first));
     cluster.startProcess(first, allEarlier.program);
     await cluster.until('it owns a block again', () => cluster.owners().includes(first));
-    const twoOfThis: Side = { labels: [second, third], restart: toThis };
-    const oneOfEarlier: Side = { labels: [first], restart: toEarlier };
-    ids.push(...(await submitUnder(cluster, twoOfThis, oneOfEarlier, 200)));
-    await cancelAt(cluster, first, idOf(2));
+    const currentPair: VersionGroup = { labels: [second, third], restart: restartAsCurrent };
+    const earlierOne: VersionGroup = { labels: [first], restart: restartAsEarlier };
+    ids.push(...(await submitDuringTermOf(cluster, currentPair, earlierOne, 200)));
+    await cancelAt(cluster, first, jobIdOf(2));
 
     // The earlier version has everything to itself for a while, and leads on beside this one.
     cluster.stopController(second);
@@ -187,10 +192,10 @@
     cluster.startController(second);
     await cluster.downgrade(third);
     await cluster.until('all own blocks', () => labels.every((label) => cluster.owners().includes(label)));
-    ids.push(...(await submitUnder(cluster, two, one, 300)));
+    ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 300)));
 
     await cluster.allDone(ids, 60_000);
-    await cluster.toldEverywhere([idOf(1), idOf(2)], 'cancelled', cancelDeadlineMs);
+    await cluster.toldEverywhere([jobIdOf(1), jobIdOf(2)], 'cancelled', cancelDeadlineMs);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -201,7 +206,7 @@
   owner: string;
 }
 
-function findJob(cluster: Cluster, owners: string[]): RunningJob | undefined {
+function findRunningJob(cluster: Cluster, owners: string[]): RunningJob | undefined {
   for (const { machine, running } of cluster.workers.values()) {
     const owner = cluster.ownerOf(machine.id);
     const [id] = running[0]?.split('/') ?? [];
@@ -215,15 +220,15 @@
 const maxJobs = 24;
 
 /** Jobs that all run, one of them at one of these controllers: the more jobs, the more controllers have some. */
-async function runJobs(cluster: Cluster, owners: string[]): Promise<RunningJob & { ids: string[] }> {
+async function startJobs(cluster: Cluster, owners: string[]): Promise<RunningJob & { ids: string[] }> {
   const ids: string[] = [];
   while (ids.length < maxJobs) {
-    const added = idOf(ids.length + 1);
+    const added = jobIdOf(ids.length + 1);
     await cluster.submitSurely(submission(added, tasksPerJob, { owner: 'blue' }), ids.length);
     ids.push(added);
     if (ids.length < minJobs) continue;
     await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === tasksPerJob));
-    const found = findJob(cluster, owners);
+    const found = findRunningJob(cluster, owners);
     if (found) return { ids, ...found };
   }
   return assert.fail(`no job runs at ${owners.join(' or ')}`);
@@ -231,19 +236,23 @@
 
 // Guards against statuses that arrive and are not understood: with the state service out, whoever is vouched for by none
 // of its peers lets all its tasks go, and whoever does not hear of a cancel lets cancelled ones run.
-async function cancelIntoOutage(cluster: Cluster, owners: string[], tellers: string[]): Promise<void> {
-  const { ids, id, owner } = await runJobs(cluster, owners);
+async function cancelBeforeOutage(
+  cluster: Cluster,
+  owners: string[],
+  confirmingControllers: string[],
+): Promise<void> {
+  const { ids, id, owner } = await startJobs(cluster, owners);
   cluster.store.refused.add(owner);
   await pause(heartbeatIntervalMs / 4);
-  assert.equal(await cluster.cancelSurely(id, tellers.map(nodeOf)), 'cancelled');
+  assert.equal(await cluster.cancelSurely(id, confirmingControllers.map(nodeOf)), 'cancelled');
   cluster.store.down = true;
   await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelDeadlineMs);
   await pause(cancelDeadlineMs * 1.2);
-  const starts = cluster.history.happenings.filter(({ kind }) => kind === 'started').length;
-  assert.equal(starts, tasksPerJob * ids.length);
-  const left = ids.map((one) => cluster.runningOf(one).length);
+  const startCount = cluster.history.happenings.filter(({ kind }) => kind === 'started').length;
+  assert.equal(startCount, tasksPerJob * ids.length);
+  const runningCounts = ids.map((one) => cluster.runningOf(one).length);
   assert.deepEqual(
-    left,
+    runningCounts,
     ids.map((one) => (one === id ? 0 : tasksPerJob)),
   );
   cluster.store.refused.clear();
@@ -254,11 +263,11 @@
 scenario(
   'a job of this version is cancelled at an earlier one, and the state service is out before it has heard',
   { port: 31_040, taskMs: untilStopped, capacity: 10, earlier: oneEarlier },
-  (cluster) => cancelIntoOutage(cluster, ['keel-1', 'keel-2'], ['keel-0']),
+  (cluster) => cancelBeforeOutage(cluster, ['keel-1', 'keel-2'], ['keel-0']),
 );
 
 scenario(
   'a job of an earlier version is cancelled at this one, and the state service is out before it has heard',
   { port: 31_080, taskMs: untilStopped, capacity: 10, earlier: twoEarlier },
-  (cluster) => cancelIntoOutage(cluster, ['keel-0', 'keel-2'], ['keel-1']),
+  (cluster) => cancelBeforeOutage(cluster, ['keel-0', 'keel-2'], ['keel-1']),
 );
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -19,8 +19,8 @@
 import { sizeOf } from '../wire/codec.js';
 
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
-const nextBytes = nextLimits.value_kb * 1024;
-const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
+const nextValueBytes = nextLimits.value_kb * 1024;
+const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 const earlier = { program: '', labels };
 let build: EarlierBuild | undefined;
 
@@ -38,18 +38,23 @@
 });
 
 /** Jobs of a team without a limit, of tasks so small that a machine runs dozens of them. */
-async function submitSmall(cluster: Cluster, from: number, count: number, tasks: number): Promise<string[]> {
-  const ids = Array.from({ length: count }, (_, i) => idOf(from + i));
+async function submitSmallJobs(
+  cluster: Cluster,
+  firstNumber: number,
+  count: number,
+  tasks: number,
+): Promise<string[]> {
+  const ids = Array.from({ length: count }, (_, i) => jobIdOf(firstNumber + i));
   const small = { owner: 'blue', cpus: 0.25, memoryGb: 0.25 };
   for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, tasks, small), i);
   return ids;
 }
 
-function largestValue(cluster: Cluster): number {
+function largestValueBytes(cluster: Cluster): number {
   return Math.max(...[...cluster.store.keys.values()].map(({ value }) => sizeOf(value)));
 }
 
-function hasUpgradedEverywhere(cluster: Cluster): boolean {
+function haveAllAnnouncedFormat(cluster: Cluster): boolean {
   return labels.every((label) => cluster.store.value(`formats/${label}`) !== undefined);
 }
 
@@ -57,7 +62,7 @@
  * Every block has the ledger of the new layout: until then pages may outgrow the limits to come, since the earlier version
  * has to read them.
  */
-function isLaidOutEverywhere(cluster: Cluster): boolean {
+function haveAllLedgersNewLayout(cluster: Cluster): boolean {
   const [label = ''] = labels;
   const { chunkTasks } = ledgerLayout(cluster.settings(label), true);
   return labels.every((_, block) => cluster.chunkTasks.get(block) === chunkTasks);
@@ -70,15 +75,15 @@
   { port: 29_000, capacity: 10, earlier, nextLimits, taskMs: 2500 },
   async (cluster) => {
     cluster.holdsTask = everyTask;
-    const ids = await submitSmall(cluster, 1, 4, 150);
-    await cluster.until('tasks run', () => cluster.runningOf(idOf(1)).length > 0);
+    const ids = await submitSmallJobs(cluster, 1, 4, 150);
+    await cluster.until('tasks run', () => cluster.runningOf(jobIdOf(1)).length > 0);
     // The job that is cancelled does not end by itself.
-    cluster.holdsTask = tasksOf(idOf(3));
+    cluster.holdsTask = tasksOf(jobIdOf(3));
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     // An old leader with a new owner, whose block an old one takes over and gives back.
     await cluster.upgrade(second);
-    ids.push(...(await submitSmall(cluster, 50, 2, 100)));
+    ids.push(...(await submitSmallJobs(cluster, 50, 2, 100)));
     await pause(4 * heartbeatIntervalMs);
     cluster.stopController(second);
     await cluster.until('its block has another owner', () => !cluster.owners().includes(second));
@@ -88,21 +93,21 @@
     cluster.processes.kill(third);
     await pause(2 * heartbeatIntervalMs);
     cluster.startProcess(third, earlier.program);
-    ids.push(...(await submitSmall(cluster, 100, 3, 100)));
+    ids.push(...(await submitSmallJobs(cluster, 100, 3, 100)));
     await pause(3 * heartbeatIntervalMs);
-    assert.equal(await cluster.cancelSurely(idOf(3)), 'cancelled');
+    assert.equal(await cluster.cancelSurely(jobIdOf(3)), 'cancelled');
     // A new leader with old owners.
     await cluster.upgrade(first);
     await pause(3 * heartbeatIntervalMs);
-    ids.push(...(await submitSmall(cluster, 200, 3, 100)));
+    ids.push(...(await submitSmallJobs(cluster, 200, 3, 100)));
     await cluster.upgrade(third);
-    await cluster.until('all have announced their format', () => hasUpgradedEverywhere(cluster));
-    await cluster.submitSurely(submission(idOf(300), 4, { moorings: [idOf(200)] }));
-    await cluster.until('all ledgers have the new layout', () => isLaidOutEverywhere(cluster));
-    await cluster.until('what was large has been split', () => largestValue(cluster) <= nextBytes);
+    await cluster.until('all have announced their format', () => haveAllAnnouncedFormat(cluster));
+    await cluster.submitSurely(submission(jobIdOf(300), 4, { moorings: [jobIdOf(200)] }));
+    await cluster.until('all ledgers have the new layout', () => haveAllLedgersNewLayout(cluster));
+    await cluster.until('what was large has been split', () => largestValueBytes(cluster) <= nextValueBytes);
     cluster.lowerLimits();
-    ids.push(...(await submitSmall(cluster, 400, 3, 200)));
-    await cluster.allDone([...ids.filter((id) => id !== idOf(3)), idOf(300)], 40_000);
+    ids.push(...(await submitSmallJobs(cluster, 400, 3, 200)));
+    await cluster.allDone([...ids.filter((id) => id !== jobIdOf(3)), jobIdOf(300)], 40_000);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -114,8 +119,11 @@
   async (cluster) => {
     // Nothing ends, and with it shrinks the ledger, before it is large.
     cluster.holdsTask = everyTask;
-    const ids = await submitSmall(cluster, 1, 6, 200);
-    await cluster.until('a value is larger than what is to come', () => largestValue(cluster) > nextBytes);
+    const ids = await submitSmallJobs(cluster, 1, 6, 200);
+    await cluster.until(
+      'a value is larger than what is to come',
+      () => largestValueBytes(cluster) > nextValueBytes,
+    );
     cluster.holdsTask = noTask;
     await Promise.all(labels.map((label) => cluster.upgrade(label)));
     await cluster.until('the first has announced its format', () =>
@@ -126,7 +134,7 @@
     await cluster.submitSurely(submission('req-000100', 4, { moorings: [ids[0], ids[1]] }));
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.allDone([...ids, 'req-000100'], 60_000);
-    assert.ok(largestValue(cluster) <= nextBytes, `${largestValue(cluster)} bytes`);
+    assert.ok(largestValueBytes(cluster) <= nextValueBytes, `${largestValueBytes(cluster)} bytes`);
   },
 );
 
@@ -136,7 +144,7 @@
   { port: 29_080, taskMs: 8000, capacity: 10, earlier, nextLimits },
   async (cluster) => {
     cluster.holdsTask = everyTask;
-    const ids = await submitSmall(cluster, 1, 4, 20);
+    const ids = await submitSmallJobs(cluster, 1, 4, 20);
     await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length > 0));
     // The job that is cancelled does not end by itself.
     cluster.holdsTask = tasksOf('req-000002');
--- a/src/fault-scenarios/close-looks.test.ts
+++ b/src/fault-scenarios/stale-reads.test.ts
@@ -1,4 +1,7 @@
-/** Users who ask at all controllers, again and again, right after a job was accepted, has ended or was cancelled. */
+/**
+ * Scenarios in which users query all controllers repeatedly, right after a job was accepted, has ended or was
+ * cancelled.
+ */
 import assert from 'node:assert/strict';
 import {
   type Cluster,
@@ -12,29 +15,37 @@
 import { scenario } from '../testing/scenario.js';
 import { seeded } from '../testing/seeded.js';
 
-const holdsAnswersAbout =
+/**
+ * Returns a filter for `StoreStandIn.holdsAnswers`. It matches the transactions of one controller that name the
+ * outcome of the job in a condition or a write.
+ */
+const transactionsOnOutcome =
   (controller: string, id: string) =>
   (client: string, keys: string[]): boolean =>
     client === controller && keys.includes(`sk/end/${id}`);
 
-const answerIsHeld = async (cluster: Cluster): Promise<void> =>
-  cluster.until('the store has carried it out', () => cluster.store.answersHeld > 0);
+const awaitHeldAnswer = async (cluster: Cluster): Promise<void> =>
+  cluster.until(
+    'the state service has executed a transaction and holds its response',
+    () => cluster.store.answersHeld > 0,
+  );
 
-// Guards against `went_back`: the later repetition shared the answer of the earlier one, which was true when that was sent.
+// Guards against an outdated answer (rule `went_back`): a later repetition shared the answer of an earlier one, which
+// was correct when the earlier repetition was sent but not any more when the later one was.
 scenario(
-  'a submission is repeated after its cancellation was told, while an earlier repetition is under way',
+  'a submission is repeated after the cancellation of its job was confirmed, while an earlier repetition is in flight',
   { port: 26_000, taskMs: untilStopped },
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00000${node}`;
       await cluster.submitSurely(submission(id, 1));
-      await cluster.until('all know it', async () => {
-        const told = await Promise.all([0, 1, 2].map((other) => cluster.ask(other, id)));
-        return told.every((what) => what === 'pending' || what === 'running');
+      await cluster.until('all controllers report the job as open', async () => {
+        const statuses = await Promise.all([0, 1, 2].map((other) => cluster.ask(other, id)));
+        return statuses.every((status) => status === 'pending' || status === 'running');
       });
-      cluster.store.holdsAnswers = holdsAnswersAbout(label, id);
+      cluster.store.holdsAnswers = transactionsOnOutcome(label, id);
       const earlier = cluster.submit(node, submission(id, 1));
-      await answerIsHeld(cluster);
+      await awaitHeldAnswer(cluster);
       assert.equal(await cluster.cancelSurely(id, [(node + 1) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
       await pause(heartbeatIntervalMs / 10);
@@ -44,16 +55,17 @@
   },
 );
 
-// Guards against the same with the first submission, whose commit was carried out and not answered yet.
+// Guards against the same outdated answer if the request in flight is the first submission: the state service has
+// executed its commit and has not responded yet.
 scenario(
-  'a job is accepted through one controller and cancelled, while another still waits for its commit of the job',
+  'a job is accepted at one controller and cancelled, while another controller still waits for its commit of the job',
   { port: 26_040, taskMs: untilStopped },
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00001${node}`;
-      cluster.store.holdsAnswers = holdsAnswersAbout(label, id);
+      cluster.store.holdsAnswers = transactionsOnOutcome(label, id);
       const first = cluster.submit(node, submission(id, 1));
-      await answerIsHeld(cluster);
+      await awaitHeldAnswer(cluster);
       await cluster.submitSurely(submission(id, 1), (node + 1) % 3);
       assert.equal(await cluster.cancelSurely(id, [(node + 2) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
@@ -64,9 +76,10 @@
   },
 );
 
-// Guards against a submission that undoes the end of its job: it would be run after its user was told of the cancellation.
+// Guards against a delayed submission that overwrites the outcome of its job: the job would run after its
+// cancellation was confirmed to the user.
 scenario(
-  'a submission without an answer is carried out after its job was accepted elsewhere and cancelled',
+  'a submission whose transaction got no response is applied after its job was accepted elsewhere and cancelled',
   { port: 26_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const id = 'req-000031';
@@ -84,25 +97,27 @@
   },
 );
 
-// Guards against answers from the past: after a pause, what the store had said before it and what users ask since come together.
+// Guards against outdated answers after a process pause: when the process resumes, it receives responses that the
+// state service sent before the pause together with requests that users sent during the pause.
 scenario(
-  'a controller stands still with answers on their way, the job is cancelled elsewhere, and it goes on',
+  'a controller process is paused with responses in flight, the job is cancelled elsewhere, and the process resumes',
   { port: 26_240, taskMs: untilStopped, processes: ['keel-2'] },
   async (cluster) => {
     const paused = 'keel-2';
     const node = labels.indexOf(paused);
     for (const id of ['req-000041', 'req-000042', 'req-000043']) {
       await cluster.submitSurely(submission(id, 1));
-      await cluster.until('it knows the job', async () =>
+      await cluster.until('the controller reports the job as open', async () =>
         ['pending', 'running'].includes(await cluster.ask(node, id)),
       );
-      cluster.store.holdsAnswers = holdsAnswersAbout(paused, id);
+      cluster.store.holdsAnswers = transactionsOnOutcome(paused, id);
       const earlier = [cluster.submit(node, submission(id, 1)), cluster.ask(node, id)];
-      await answerIsHeld(cluster);
+      await awaitHeldAnswer(cluster);
       cluster.processes.pause(paused);
       cluster.store.releaseAnswers();
       await pause(heartbeatIntervalMs / 4);
-      // Only the answers from before reach it: its watch, its peers and what it asks once it goes on are held back.
+      // Only the responses from before the pause reach the controller. Its watch, the statuses of its peers and its
+      // own requests after the pause are held back.
       cluster.store.held.add(paused);
       for (const link of cluster.peersOf(paused)) link.cut();
       assert.equal(await cluster.cancelSurely(id, [0, 1]), 'cancelled');
@@ -118,11 +133,11 @@
   },
 );
 
-/** Questions and repeated submissions at all controllers, within a few milliseconds, three times over. */
-async function lookClosely(cluster: Cluster, id: string): Promise<unknown> {
+/** Sends status requests and repeated submissions to all controllers, in three rounds a few milliseconds apart. */
+async function queryAllControllers(cluster: Cluster, id: string): Promise<unknown> {
   const requests: Promise<unknown>[] = [];
-  const looks = 3;
-  for (let look = 0; look < looks; look++) {
+  const rounds = 3;
+  for (let round = 0; round < rounds; round++) {
     for (const node of labels.keys()) {
       requests.push(cluster.ask(node, id), cluster.submit(node, submission(id, 1)));
     }
@@ -131,25 +146,28 @@
   return Promise.all(requests);
 }
 
-/** A job whose user looks closely as it is accepted, and as it is cancelled or done. */
-async function followClosely(cluster: Cluster, id: string, random: () => number): Promise<void> {
-  const looks: Promise<unknown>[] = [];
+/**
+ * Submits a job, then cancels it or waits until it is done. Queries all controllers right after the acceptance and
+ * right after the end of the job.
+ */
+async function followJob(cluster: Cluster, id: string, random: () => number): Promise<void> {
+  const queries: Promise<unknown>[] = [];
   await cluster.submitSurely(submission(id, 1), Math.floor(random() * labels.length));
-  looks.push(lookClosely(cluster, id));
+  queries.push(queryAllControllers(cluster, id));
   if (random() < 0.6) {
     await pause(random() * heartbeatIntervalMs);
     await cluster.cancelSurely(id, [Math.floor(random() * labels.length), 0, 1, 2]);
   } else {
     await cluster.until(`${id} has ended`, async () => (await cluster.ask(0, id)) === 'done', 25_000);
   }
-  looks.push(lookClosely(cluster, id));
-  await Promise.all(looks);
+  queries.push(queryAllControllers(cluster, id));
+  await Promise.all(queries);
 }
 
-// Guards against older answers that no single order of events above has thought of.
+// Guards against outdated answers in sequences of events that the scenarios above do not cover.
 for (const [index, seed] of [1, 2, 3].entries()) {
   scenario(
-    `users look closely while answers of the store are late or lost and controllers are cut off, end and return, seed ${seed}`,
+    `users query all controllers while store responses are late or lost and controllers are partitioned or restart, seed ${seed}`,
     { port: 26_080 + index * 40, taskMs: 700, seed, capacity: 6 },
     async (cluster) => {
       const random = seeded(seed);
@@ -157,24 +175,27 @@
       cluster.store.lateAnswers = { share: 0.5, toMs: 600 };
       const users = ids.map(async (id) => {
         await pause(random() * 1.5 * workerLeaseMs);
-        await followClosely(cluster, id, random);
+        await followJob(cluster, id, random);
       });
       await pause(workerLeaseMs / 2);
       cluster.store.losesAnswers = 5;
       await cluster.restart(labels[seed % labels.length] ?? '', 100);
       cluster.store.late = { share: 0.1, fromMs: heartbeatIntervalMs, toMs: workerLeaseMs };
-      const cutOff = labels[(seed + 1) % labels.length] ?? '';
-      cluster.store.held.add(cutOff);
+      const partitioned = labels[(seed + 1) % labels.length] ?? '';
+      cluster.store.held.add(partitioned);
       await pause(workerLeaseMs / 2);
-      cluster.store.held.delete(cutOff);
+      cluster.store.held.delete(partitioned);
       cluster.store.late = undefined;
       await Promise.all(labels.map((label, i) => cluster.restart(label, 100 + 100 * i)));
       await Promise.all(users);
       cluster.store.lateAnswers = undefined;
       for (const id of ids) {
-        await cluster.until(`${id} has ended for all`, async () => {
-          const told = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
-          return told.every((what) => what === told[0]) && ['done', 'cancelled'].includes(told[0] ?? '');
+        await cluster.until(`${id} has the same outcome at all controllers`, async () => {
+          const statuses = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
+          return (
+            statuses.every((status) => status === statuses[0]) &&
+            ['done', 'cancelled'].includes(statuses[0] ?? '')
+          );
         });
       }
     },
--- a/src/fault-scenarios/places.test.ts
+++ b/src/fault-scenarios/zones-and-capacity.test.ts
@@ -59,10 +59,10 @@
     for (const [i, id] of ids.entries()) {
       await cluster.submitSurely(submission(id, 3, { owner: 'blue' }), i);
     }
-    const inside = (): number =>
+    const busyInsideCount = (): number =>
       [...cluster.workers.values()].filter((w) => w.machine.zone === 'a' && w.running.length > 0).length;
     await cluster.until('all run, also inside', () => {
-      return ids.every((id) => cluster.runningOf(id).length === 3) && inside() > 0;
+      return ids.every((id) => cluster.runningOf(id).length === 3) && busyInsideCount() > 0;
     });
     cluster.cutZones.add('a');
     cluster.store.held.add('keel-0');
@@ -70,8 +70,8 @@
     // The tasks of the other jobs end around the end of the partition; those of the cancelled ones never do by themselves.
     cluster.holdsTask = tasksOf(...cancelled);
     for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
-    const until = Date.now() + cancelDeadlineMs * 1.2;
-    while (Date.now() < until) {
+    const endAt = Date.now() + cancelDeadlineMs * 1.2;
+    while (Date.now() < endAt) {
       for (const [i, id] of ids.entries()) await cluster.ask(1 + (i % 2), id);
       await pause(heartbeatIntervalMs);
     }
@@ -95,11 +95,11 @@
         owner: i % 4 === 0 ? 'blue' : 'red',
       }),
     );
-    const { pieces, ...lacking } = submission('req-000201', 1);
+    const { pieces, ...incomplete } = submission('req-000201', 1);
     assert.equal(pieces, 1);
     await Promise.all([
       ...jobs.map((job, i) => cluster.submitSurely(job, i)),
-      cluster.until('a lacking field is refused', async () => (await cluster.submit(1, lacking)) === 400),
+      cluster.until('a lacking field is refused', async () => (await cluster.submit(1, incomplete)) === 400),
       cluster.until(
         'what fits no machine is refused',
         async () => (await cluster.submit(2, submission('req-000202', 1, { cpus: 64 }))) === 422,
