--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -45,10 +45,10 @@
 const startCountOf = (cluster: Cluster, id: string): number =>
   cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
-// The state service refuses one controller, a peer confirms a cancel to the user, and then the service is down for
-// all controllers. Guards against a refused controller that measures the outage from the last response that it
-// received and assumes that its peers agree with it, although one of them confirmed a cancel between the two
-// faults. Only the cancelled tasks may end; the tasks of all other jobs continue.
+// The state service refuses one controller, a peer confirms a cancel to the user, and then the service is
+// down for all controllers. Guards against a refused controller that measures the outage from the last
+// response that it received and assumes that its peers agree with it, although one of them confirmed a cancel
+// between the two faults. Only the cancelled tasks may end; the tasks of all other jobs continue.
 scenario(
   'a job is cancelled while the state service refuses only the owner of its tasks, and is down for all a moment later',
   { port: 23_000, taskMs: untilStopped, capacity: 6 },
@@ -84,8 +84,8 @@
   },
 );
 
-// Guards against a controller that confirms a cancel to the user but does not stop the tasks in its own block,
-// because it waits for the watch to deliver the cancellation and the watch never does.
+// Guards against a controller that confirms a cancel to the user but does not stop the tasks in its own
+// block, because it waits for the watch to deliver the cancellation and the watch never does.
 scenario(
   'the owner of the tasks confirms a cancel, and the state service fails before the watch delivers the cancellation',
   { port: 23_040, taskMs: untilStopped, capacity: 6 },
@@ -105,10 +105,10 @@
   },
 );
 
-// Guards against a controller that continues to answer heartbeats, and thereby to renew worker leases, while it
-// receives no status from a peer that has confirmed a cancel.
+// Guards against a controller that continues to answer heartbeats, and thereby to renew worker leases, while
+// it receives no status from a peer that has confirmed a cancel.
 scenario(
-  'the state service and all peers are unreachable for one controller during a cancel: its worker leases expire in time',
+  'one controller cannot reach state service and peers during a cancel: all its worker leases expire in time',
   { port: 23_080, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
@@ -129,8 +129,8 @@
   },
 );
 
-// Guards against a restarted peer whose statuses are taken as a complete list of confirmed cancellations: its new
-// incarnation does not list the cancellations that the previous one confirmed.
+// Guards against a restarted peer whose statuses are taken as a complete list of confirmed cancellations: its
+// new incarnation does not list the cancellations that the previous one confirmed.
 scenario(
   'the peer that confirmed a cancel restarts during the outage of the state service',
   { port: 23_120, taskMs: untilStopped, capacity: 6 },
@@ -144,7 +144,8 @@
     await cluster.cancelSurely(id, [confirmingNode]);
     cluster.store.down = true;
     await cluster.restart(labels[confirmingNode] ?? '', 50);
-    // The links first deliver the delayed statuses of both incarnations, then the current ones of the new incarnation.
+    // The links first deliver the delayed statuses of both incarnations, then the current ones of the new
+    // incarnation.
     for (const link of cluster.peersOf(owner)) link.heal();
     await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
@@ -153,8 +154,8 @@
   },
 );
 
-// Guards against a partitioned leader that continues to run tasks and to answer users on outdated data: the other
-// controllers confirm cancels, and the leader never receives these.
+// Guards against a partitioned leader that continues to run tasks and to answer users on outdated data: the
+// other controllers confirm cancels, and the leader never receives these.
 scenario(
   'the leader is partitioned from state service and peers, not from workers and users, and its peers cancel jobs',
   { port: 23_160, taskMs: untilStopped, capacity: 6 },
@@ -182,10 +183,10 @@
   },
 );
 
-// Guards against outdated answers to users and against tasks that are halted too late, while the state service
-// first answers slowly and then not at all.
+// Guards against outdated answers to users and against tasks that are halted too late, while the state
+// service first answers slowly and then not at all.
 scenario(
-  'the state service is slow, refuses only the leader and then all controllers, while users cancel jobs and read statuses',
+  'the state service is slow, refuses the leader alone and then all controllers, while users cancel and query jobs',
   { port: 23_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'];
@@ -214,8 +215,8 @@
   },
 );
 
-// Guards against quota of a team that is granted twice: the new leader grants it again while tasks still use it on
-// machines that have not yet reported to the new leader.
+// Guards against quota of a team that is used twice: the new leader grants it again while tasks still use it
+// on machines that have not yet reported to the new leader.
 scenario(
   'a team is at its quota when the leader fails over, some of the machines are partitioned, and a job is cancelled',
   { port: 23_240, taskMs: 2500, capacity: 10 },
@@ -252,7 +253,8 @@
   },
 );
 
-// Guards against a job with two outcomes: the outcome that the first user received must be the one for all users.
+// Guards against a job with two outcomes: the outcome that the first user received must be the one for all
+// users.
 scenario(
   'cancels, status requests and repeated submissions arrive as the last task of a job ends',
   { port: 23_280, taskMs: 500 },
--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -55,8 +55,8 @@
   await cluster.toldEverywhere(ids, 'cancelled', withinMs);
 }
 
-// Guards against tasks that start before the dependencies of their job are done (rule `too_early`), and against a
-// job that waits forever because the outcome of a dependency never reaches it.
+// Guards against tasks that start before the dependencies of their job are done (rule `too_early`), and
+// against a job that waits forever because the outcome of a dependency never reaches it.
 scenario(
   'a chain and a diamond of jobs complete while all controllers restart one by one, and the store limits are lowered',
   { port: 28_000, taskMs: 400, nextLimits },
@@ -75,8 +75,8 @@
   },
 );
 
-// Guards against a job that waits forever for a dependency with an outcome from before the restart: the replica of
-// a restarted controller contains no outcomes at first.
+// Guards against a job that waits forever for a dependency with an outcome from before the restart: the
+// replica of a restarted controller contains no outcomes at first.
 scenario(
   'one dependency is done before all controllers restart, and another one after that',
   { port: 28_040, taskMs: 300 },
@@ -118,8 +118,8 @@
   },
 );
 
-// Guards against a dependent that is accepted as an open job because the replica of the accepting controller does
-// not contain the cancellation of the dependency yet.
+// Guards against a dependent that is accepted as an open job because the replica of the accepting controller
+// does not contain the cancellation of the dependency yet.
 scenario(
   'the first job of a chain is cancelled while the others are being submitted at other controllers',
   { port: 28_120, taskMs: untilStopped },
@@ -169,8 +169,8 @@
   },
 );
 
-// Guards against answers from outdated data: after an outage that is longer than the cancellation deadline, no
-// controller may report a job as pending on the basis of a replica from before the outage.
+// Guards against answers from outdated data: after an outage that is longer than the cancellation deadline,
+// no controller may report a job as pending on the basis of a replica from before the outage.
 scenario(
   'the state service is down for longer than the cancellation deadline, right after a cancel',
   { port: 28_200, taskMs: untilStopped },
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -1,20 +1,27 @@
-/** Three controllers with 4000 machines: nothing that the service does may depend on there being fewer. */
+/** A scenario of three controllers with 4000 machines: no part of the service may rely on a smaller fleet. */
 import assert from 'node:assert/strict';
 import { type Cluster, everyTask, labels, submission, tasksOf } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
 const machineCount = 4000;
 const tasksPerJob = 200;
-/** Long enough for one process to send and to answer the reports of all machines. */
+/**
+ * Intervals and time limits in s, long enough for one process to send and to answer the heartbeats of all
+ * machines.
+ */
 const times = { report_s: 6, lease_s: 40, cancel_s: 50 };
 const cancelDeadlineMs = times.cancel_s * 1000;
 const rampUpMs = 90_000;
-/** Tasks that may be started again after all that happens to their controllers, as a share of all. */
+/**
+ * The number of repeated task starts must be below this share of all tasks, despite the controller failures.
+ */
 const maxRestartShare = 0.05;
 const meanTaskMs = 25_000;
 const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
-/** Jobs that take a machine for each of their tasks. */
+/**
+ * Submits jobs with one task per machine of the fleet; each task takes up a whole machine. Returns their ids.
+ */
 async function submitJobsForAllMachines(cluster: Cluster): Promise<string[]> {
   const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => jobIdOf(i + 1));
   for (const [i, id] of ids.entries()) {
@@ -23,7 +30,10 @@
   return ids;
 }
 
-/** Tasks that are let go together end one after another: between 0.8 and 1.2 of the mean. */
+/**
+ * The duration of a task in ms, between 0.8 and 1.2 of the mean: tasks whose durations begin to count at the
+ * same time do not all end at the same time.
+ */
 function staggeredTaskMs(task: string): number {
   const index = Number(task.split('/')[1]);
   return meanTaskMs * (0.8 + (0.4 * index) / tasksPerJob);
@@ -33,17 +43,18 @@
   return [...cluster.workers.values()].filter(({ tasks }) => tasks.size > 0).length;
 }
 
-/** A job of which tasks run on machines that the controller does not own. */
+/** Finds a job with a task that runs on a machine which this controller does not own. */
 function findJobOfOtherControllers(cluster: Cluster, ids: string[], label: string): string {
   const others = labels.map((_, block) => cluster.block(block)).filter(({ owner }) => owner !== label);
   const runningTasks = others
     .flatMap((block) => block.machines)
     .flatMap(({ id }) => cluster.workers.get(id)?.running ?? []);
   const found = ids.find((id) => runningTasks.some((task) => task.startsWith(`${id}/`)));
-  assert.ok(found, 'tasks run on the machines of the others');
+  assert.ok(found, 'no job has a task on a machine of another controller');
   return found;
 }
 
+/** The number of task starts beyond the first start of each task. */
 function countTaskRestarts(cluster: Cluster): number {
   const startedTasks = cluster.history.happenings.flatMap((event) =>
     event.kind === 'started' ? [event.task] : [],
@@ -51,30 +62,35 @@
   return startedTasks.length - new Set(startedTasks).size;
 }
 
-// Guards against limits that only a large fleet meets: block records and leases larger than a value, machines forgotten or
-// called silent because one controller has too many to serve, tasks lost or started twice as their blocks change hands.
+// Guards against faults that only a large fleet shows: block records and leases that exceed the size limit of
+// a value, machines that are forgotten or declared silent because one controller has too many of them to
+// serve, and tasks that are lost or started twice when their blocks change owners.
 scenario(
-  'one controller is left with 4000 machines as a job is cancelled, and all restart',
+  'one controller is left with 4000 machines as a job is cancelled, and then all controllers restart',
   { port: 30_000, taskMs: staggeredTaskMs, capacity: machineCount / 2, times },
   async (cluster) => {
     cluster.holdsTask = everyTask;
     const ids = await submitJobsForAllMachines(cluster);
     await cluster.until(
-      'nearly all machines work',
+      '90% of the machines run tasks',
       () => busyMachineCount(cluster) >= 0.9 * machineCount,
       rampUpMs,
     );
     const leader = await cluster.leading();
     const [survivor = '', other = ''] = labels.filter((label) => label !== leader);
     const cancelled = findJobOfOtherControllers(cluster, ids, survivor);
-    // The others run through the takeover and end after it.
+    // The tasks of the other jobs run during the takeover and end after it.
     cluster.holdsTask = tasksOf(cancelled);
     cluster.stopController(leader);
     cluster.stopController(other);
     assert.equal(await cluster.cancelSurely(cancelled, [labels.indexOf(survivor)]), 'cancelled');
-    await cluster.until('it has all blocks', () => new Set(cluster.owners()).size === 1, cancelDeadlineMs);
     await cluster.until(
-      'nothing of the job is left',
+      'one controller owns all blocks',
+      () => new Set(cluster.owners()).size === 1,
+      cancelDeadlineMs,
+    );
+    await cluster.until(
+      'the tasks of the cancelled job have ended',
       () => cluster.runningOf(cancelled).length === 0,
       cancelDeadlineMs,
     );
--- a/src/fault-scenarios/late-and-lost-messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -1,3 +1,4 @@
+/** Scenarios in which messages are lost, delayed or delivered out of order, and machines are partitioned. */
 import assert from 'node:assert/strict';
 import {
   type Cluster,
@@ -15,7 +16,7 @@
 const taskMs = 700;
 const jobIds = Array.from({ length: 5 }, (_, i) => `req-00000${i}`);
 
-/** Submits the jobs and waits until some of their tasks run, which end no sooner. */
+/** Submits the jobs and waits until some of their tasks run. No task ends before that. */
 async function submitAndAwaitRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   cluster.holdsTask = everyTask;
   await submitAll(cluster, ids, tasks);
@@ -23,17 +24,17 @@
   cluster.holdsTask = noTask;
 }
 
-/** For a team without a limit: what holds a task back is room alone. */
+/** Submits the jobs for a team without a quota, so that tasks wait only for free capacity on machines. */
 async function submitAll(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   for (const [i, id] of ids.entries())
     await cluster.submitSurely(submission(id, tasks, { owner: 'blue' }), i);
 }
 
-// Guards against what a transaction brings back when it is carried out behind newer ones: an old page, an old lease, an old
-// dispatching, an end or a job that its user was told nothing of.
+// Guards against outdated data that a transaction writes if it is executed after newer ones: an old page, an
+// old lease, an old dispatch, or an outcome or a job that was not confirmed to its user.
 for (const seed of [1, 2, 3]) {
   scenario(
-    `transactions without an answer are carried out late, after newer ones (seed ${seed})`,
+    `transactions that got no response are applied late, after newer ones (seed ${seed})`,
     { port: 24_000 + seed * 40, taskMs, seed },
     async (cluster) => {
       cluster.store.late = { share: 0.25, fromMs: heartbeatIntervalMs, toMs: 6 * heartbeatIntervalMs };
@@ -50,7 +51,8 @@
         for (const [j, id] of jobIds.entries()) await cluster.ask((i + j) % 3, id);
         const addedJob = `req-0001${i}`;
         await cluster.submitSurely(submission(addedJob, 2), i);
-        // Some are cancelled only once, about when they end; what comes of that may come after their end.
+        // Every second job gets one cancel request without retries, at about the time of its end. The cancel
+        // may take effect after the end of the job.
         const cancelDelayMs = taskMs * (1 + (i % 3) / 2);
         if (i % 2 === 0)
           cancelRequests.push(
@@ -61,7 +63,10 @@
         if (i % 4 === 3) await cluster.restart(await cluster.leading());
         await pause(heartbeatIntervalMs);
       }
-      await cluster.until('some have been', () => cluster.store.carriedOutLate > 2);
+      await cluster.until(
+        'more than two transactions have been applied late',
+        () => cluster.store.carriedOutLate > 2,
+      );
       cluster.store.late = undefined;
       await Promise.all(cancelRequests);
       await cluster.allDone(kept);
@@ -72,7 +77,8 @@
   );
 }
 
-// Guards against an end that is changed: nobody was told of the cancel, and by the time it is carried out users know better.
+// Guards against an outcome that changes: no user received a confirmation of the cancel, and users know that
+// the job is done by the time the cancel is executed.
 scenario(
   'a cancellation whose transaction got no response is applied after its job is done',
   { port: 24_320, taskMs },
@@ -80,7 +86,7 @@
     const id = 'req-000001';
     cluster.holdsTask = everyTask;
     await cluster.submitSurely(submission(id, 2));
-    await cluster.until('it runs', () => cluster.runningOf(id).length > 0);
+    await cluster.until('a task of the job runs', () => cluster.runningOf(id).length > 0);
     cluster.store.keeps = (key) => key.startsWith('sk/end/');
     assert.equal(await cluster.cancel(0, id), 'turned away');
     cluster.holdsTask = noTask;
@@ -91,17 +97,19 @@
   },
 );
 
-// Guards against an old page of the ledger over a newer one: its owner's next life would start again what runs.
+// Guards against an old ledger page that overwrites a newer one: the next incarnation of the block owner
+// would start running tasks a second time.
 scenario(
   'a ledger page whose transaction got no response is applied after newer ones, and its owner restarts',
   { port: 24_360, taskMs: 6000, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     cluster.store.keeps = (key) => key.startsWith('sk/run/');
-    // All of them run at once, however late the page without an answer is written again, and as the new lives begin.
+    // All tasks run at the same time, however late the page without a response is written again, and they
+    // still run when the controllers restart.
     cluster.holdsTask = everyTask;
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4, { owner: 'blue' }), i);
-    await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === 4));
+    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 4));
     await pause(2 * heartbeatIntervalMs);
     assert.equal(cluster.store.deliver(), 1);
     for (const label of labels) await cluster.restart(label, 50);
@@ -112,7 +120,8 @@
   },
 );
 
-// Guards against a start or a halt that a machine carries out when it goes on, long after it was said.
+// Guards against a start or halt command that a machine executes when it resumes, long after the command was
+// sent.
 scenario(
   'workers stall for seconds with commands in flight, and then resume',
   { port: 24_160, taskMs: 900, fetchMs: 100 },
@@ -137,14 +146,16 @@
   },
 );
 
-// Guards against an old task list taken for news: of this session, of an earlier one, of an earlier attempt.
+// Guards against an outdated task list that is taken for the present one: from the same agent epoch, from an
+// earlier agent epoch or from an earlier task attempt.
 scenario(
   'heartbeats are delivered late and out of order, also from an earlier agent epoch or attempt',
   { port: 24_200, taskMs: 3000, capacity: 6 },
   async (cluster) => {
     await submitAndAwaitRunning(cluster, jobIds, 2);
     for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * workerLeaseMs };
-    // Some of them lose their lease, and with it session and attempts, before the copies arrive.
+    // Two workers lose their lease before the copies of their heartbeats arrive. This ends their agent epoch
+    // and their task attempts.
     const isolatedWorkers = [...cluster.workers.values()].slice(0, 2);
     for (const worker of isolatedWorkers) worker.mute = true;
     await pause(1.1 * workerLeaseMs);
@@ -161,7 +172,8 @@
   },
 );
 
-// Guards against tasks taken for running, or started twice, where no report comes: only the cloud can say what has gone.
+// Guards against tasks that are taken for running or started twice although no heartbeat of their machine
+// arrives: only the cloud can prove that a machine is gone.
 scenario(
   'workers are partitioned from all controllers for longer than a lease',
   { port: 24_240, taskMs: 3000, capacity: 6 },
@@ -169,7 +181,8 @@
     await submitAndAwaitRunning(cluster, jobIds, 2);
     const [cancelled = '', ...kept] = jobIds;
     cluster.holdsTask = tasksOf(cancelled);
-    // Those that are rented meanwhile find their way, and for a while so does every other one.
+    // Machines that are rented later are not partitioned. Every second present machine is not partitioned at
+    // first.
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.mute = i % 2 === 0;
     assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
@@ -183,7 +196,8 @@
   },
 );
 
-// Guards against machines that are rented twice or not at all, and against a release that takes a machine with new tasks.
+// Guards against machines that are rented twice or not at all, and against a release that removes a machine
+// with new tasks.
 scenario(
   'cloud rentals and releases get no response, releases are applied late, and listings lag',
   { port: 24_280, taskMs: 2000, capacity: 6 },
--- a/src/fault-scenarios/leader-failover.test.ts
+++ b/src/fault-scenarios/leader-failover.test.ts
@@ -1,3 +1,4 @@
+/** Scenarios in which the leader fails, once or repeatedly, while jobs run. */
 import assert from 'node:assert/strict';
 import {
   everyTask,
@@ -11,11 +12,13 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
+/** The index of a controller, by which users and workers address it. */
 const nodeOf = (label: string): number => labels.indexOf(label);
 /** The index of a task within its job. */
 const indexOf = (task: string): number => Number(task.split('/')[1]);
 
-// Guards against two lives that both command, and against tasks that the short-lived owners in between leave uncounted.
+// Guards against two incarnations that both send commands to workers, and against tasks that are not
+// accounted for by the controllers that own their block only for a short time.
 scenario(
   'leadership fails over and back, all controllers stop, and one restarts, within a second',
   { port: 22_000, taskMs: 800 },
@@ -34,16 +37,18 @@
     for (const label of labels) if (label !== firstLeader) cluster.startController(label);
     cluster.holdsTask = tasksOf('req-000004');
     await cluster.submitSurely(submission('req-000004', 9));
-    await cluster.until('it runs', () => cluster.runningOf('req-000004').length > 0);
+    await cluster.until('a task of the job runs', () => cluster.runningOf('req-000004').length > 0);
     cluster.holdsTask = noTask;
-    // Each is back while its last life still holds its grant, and with it its block.
+    // Each controller is back before the lease of its previous incarnation expires. Until then, the block is
+    // still leased to the previous incarnation.
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.submitSurely(submission('req-000005', 9));
     await cluster.allDone([...ids, 'req-000004', 'req-000005']);
   },
 );
 
-// Guards against a job called done by an owner that counts what the one before had, and against one that never is.
+// Guards against a job that is reported as done because its new owner counts the tasks that the previous
+// owner had, and against a job that is never reported as done.
 scenario(
   'tasks of one job complete before, during and after a leader failover',
   { port: 22_040, taskMs: (task) => [300, 1200, 1500][indexOf(task)] ?? 300 },
@@ -56,12 +61,13 @@
     await cluster.until('the first tasks have ended', () => completedCount() >= 3);
     const oldLeader = await cluster.leading();
     cluster.stopController(oldLeader);
-    // The second ones end while nobody leads, or under the new leader; the third ones after it has changed again.
+    // The second tasks end while there is no leader or under the new leader. The third tasks end after the
+    // leader has changed again.
     cluster.holdsTask = (task) => indexOf(task) > 1;
     const queriedNode = nodeOf(oldLeader) === 0 ? 1 : 0;
     await cluster.leading(oldLeader);
     for (const id of ids) await cluster.ask(queriedNode, id);
-    await cluster.until('the second ones have', () => completedCount() >= 6);
+    await cluster.until('the second tasks have ended', () => completedCount() >= 6);
     cluster.startController(oldLeader);
     await cluster.restart(await cluster.leading());
     cluster.holdsTask = noTask;
@@ -70,16 +76,18 @@
   },
 );
 
-// Guards against tasks started anew because their machines could not be asked: silence is no evidence.
+// Guards against tasks that are started a second time because their machines cannot be reached: missing
+// heartbeats do not prove that a task has ended.
 scenario(
-  'the leader fails over while machines with long tasks are partitioned, both ways or one way',
+  'the leader fails over while machines with long tasks are partitioned, in both directions or in one',
   { port: 22_080, taskMs: 600, capacity: 6 },
   async (cluster) => {
-    // What ends soon leaves room on machines that can be reached: a task taken for gone would start there at once.
+    // The short tasks end early and free capacity on reachable machines. A long task that is wrongly taken
+    // for lost would be started there at once.
     const [longJob, shortJob] = ['req-000001', 'req-000002'];
     cluster.holdsTask = tasksOf(longJob);
     for (const id of [longJob, shortJob]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
-    await cluster.until('the long ones run beside room', () => {
+    await cluster.until('all long tasks run and all short tasks have completed', () => {
       return cluster.runningOf(longJob).length === 9 && cluster.completedOf(shortJob) === 9;
     });
     const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
@@ -100,7 +108,8 @@
   },
 );
 
-// Guards against an old task list taken for the present one: it names a token that is no longer in force.
+// Guards against an outdated task list that is taken for the present one: the heartbeat contains a fencing
+// token that is no longer valid.
 scenario(
   'a heartbeat is delayed until the leader has failed over, and then delivered to the new owner',
   { port: 22_120, taskMs: 2500 },
@@ -115,11 +124,12 @@
     for (const worker of workers) worker.mute = true;
     cluster.stopController(oldLeader);
     await cluster.leading(oldLeader);
-    await cluster.until('their blocks are leased anew', () =>
+    await cluster.until('the blocks of the machines have new owners', () =>
       workers.every(({ machine }) => cluster.ownerOf(machine.id) !== oldLeader),
     );
     for (const worker of workers) {
-      // Its last one, and others from before it had any task: none may be believed.
+      // Repeats the last heartbeat of the worker, and others from before it had any task. The new owner must
+      // not use any of them.
       for (const heartbeatsAgo of [0, 30, 8, 0])
         worker.repeat(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
     }
@@ -131,13 +141,14 @@
   },
 );
 
-// Guards against starts on the word of a ledger that is older than the leases it speaks of.
+// Guards against starts that rely on a ledger which is older than the leases that it refers to.
 scenario(
   'all controllers are down for longer than a worker lease',
   { port: 22_160, taskMs: 1500 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002'];
-    // Nothing but the end of the lease ends the tasks of the first; those of the second may end by themselves.
+    // Tasks of the first job end only when the lease of their worker expires. Tasks of the second job may
+    // also end by themselves.
     cluster.holdsTask = tasksOf('req-000001');
     for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 6), i);
     await cluster.until('tasks run', () => cluster.runningOf('req-000001').length > 0);
@@ -151,9 +162,10 @@
   },
 );
 
-// Guards against a leader that acts on an earlier one's copy, and against a cluster that ends up with none.
+// Guards against a leader that acts on the replica of an earlier leader, and against a cluster without a
+// leader.
 scenario(
-  'leaders change ten times, also inside an outage',
+  'the leader changes ten times, also during an outage of the state service',
   { port: 22_200, taskMs: 1000 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
@@ -170,11 +182,11 @@
   },
 );
 
-// Guards against a cluster that stays without a leader: a renewal waited for the answer to the one before and for what else
-// was on its way, so where answers took more than half the time a lease lives, a lease that had ended was never replaced
-// by one that lasted.
+// Guards against a cluster that stays without a leader: a lease renewal waited for the response to the
+// previous renewal and for other requests in flight. If responses took more than half of the time to live of
+// a lease, each lease that replaced an expired one expired as well.
 scenario(
-  'every lease ends while the state service is slow, and somebody leads again for good',
+  'every lease expires while the state service is slow, and the next leader keeps its leadership',
   { port: 22_240, taskMs: 1000 },
   async (cluster) => {
     const { store } = cluster;
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -1,6 +1,7 @@
 /**
- * Controllers of an earlier commit and of this one serve side by side for good, on each other's data: whichever of them
- * leads, owns blocks or answers users, the others read what it has stored and understand what it says of itself.
+ * Scenarios of controllers of an earlier commit and of this one that run side by side permanently on the same
+ * data. Whichever version leads, owns blocks or answers users, the other version can read its stored records
+ * and its peer statuses.
  */
 import assert from 'node:assert/strict';
 import { execFileSync } from 'node:child_process';
@@ -21,13 +22,17 @@
 import { scenario } from '../testing/scenario.js';
 
 /**
- * The head of the main line before the names in the sources were changed: the last commit in which stored and sent forms
- * were, in part, the objects of the sources themselves.
+ * The head of the main branch before identifiers in the sources were renamed. It is the last commit in which
+ * some of the stored and sent records were the in-memory objects themselves.
  */
 const commitBeforeRenames = '2be30b5872d7705d589379509e881f4e8adf3f22';
 
+/** Lower limits that the settings announce for the state service. */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
-/** Who begins with the earlier version, whose path is known once it has been built. */
+/**
+ * The following options name the controllers that start with the earlier version. The path of its program is
+ * set once it has been built.
+ */
 const allEarlier = { program: '', labels };
 const oneEarlier = { program: '', labels: ['keel-0'] };
 const twoEarlier = { program: '', labels: ['keel-0', 'keel-2'] };
@@ -40,7 +45,7 @@
 
 after(() => build?.remove());
 
-test('the earlier version is a commit of the history', () => {
+test('the commit of the earlier version is an ancestor of this commit', () => {
   const type = execFileSync('git', ['cat-file', '-t', commitBeforeRenames], { encoding: 'utf8' });
   assert.equal(type.trim(), 'commit');
   execFileSync('git', ['merge-base', '--is-ancestor', commitBeforeRenames, 'HEAD']);
@@ -58,7 +63,7 @@
   return cluster.history.happenings.some((h) => h.kind === 'started' && h.task.startsWith(`${id}/`));
 }
 
-/** Submits to one controller until that one accepts. */
+/** Submits a job to one controller and retries until this controller accepts the job. */
 async function submitAt(
   cluster: Cluster,
   label: string,
@@ -72,13 +77,13 @@
   );
 }
 
-/** Jobs of a team without a limit, so small that a machine runs dozens of their tasks. */
+/** Submits jobs for a team without a quota, with tasks so small that a machine runs dozens of them. */
 async function submitSmallJobs(cluster: Cluster, label: string, ids: string[], tasks: number): Promise<void> {
   const small = { owner: 'blue', cpus: 0.25, memoryGb: 0.25 };
   for (const id of ids) await submitAt(cluster, label, id, tasks, small);
 }
 
-/** A chain of three, and jobs that use every other field of a submission; their ids. */
+/** Submits a chain of three jobs, and jobs that use every other field of a submission. Returns their ids. */
 async function submitVariedJobs(cluster: Cluster, label: string, firstNumber: number): Promise<string[]> {
   const variants: Record<string, unknown>[] = [
     {},
@@ -93,23 +98,33 @@
   return ids;
 }
 
-/** The job runs, one controller cancels it, and its tasks are gone in time. */
+/** Waits until the job runs, cancels it at one controller and waits until its tasks have ended in time. */
 async function cancelAt(cluster: Cluster, label: string, id: string): Promise<void> {
   await cluster.until(`${id} runs`, () => cluster.runningOf(id).length > 0);
   assert.equal(await cluster.cancelSurely(id, [nodeOf(label)]), 'cancelled');
-  await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelDeadlineMs);
+  await cluster.until(
+    'the tasks of the cancelled job have ended',
+    () => cluster.runningOf(id).length === 0,
+    cancelDeadlineMs,
+  );
 }
 
-/** The controllers of one of the two versions, and how one of them ends and comes back. */
+/**
+ * The controllers that run one of the two versions, and a function that restarts one of them with the same
+ * version.
+ */
 interface VersionGroup {
   labels: string[];
   restart: (label: string) => Promise<void>;
 }
 
-/** A life that has been over for so long has lost the lead. */
+/** A leader that has been down for this time, in ms, has lost its leadership. */
 const leadershipExpiryMs = workerLeaseMs;
 
-/** Waits until a controller of one side leads; one of the other that does is made to lose the lead. */
+/**
+ * Waits until a controller of `group` leads. Restarts any leader of `otherGroup`, which thereby loses
+ * leadership.
+ */
 async function awaitLeaderOf(cluster: Cluster, group: VersionGroup, otherGroup: VersionGroup): Promise<void> {
   for (;;) {
     const leader = await cluster.leading();
@@ -121,8 +136,10 @@
 const maxRounds = 5;
 
 /**
- * Jobs that a controller of one side records, and whose tasks begin while one of the other leads: in the same term as when
- * they were submitted. A leader that is held up may lose the lead meanwhile; then as many jobs more are submitted.
+ * Submits jobs to a controller of `others` while a controller of `leaders` leads, and waits until a task
+ * starts. If the term has ended by then, which may happen to a leader that is delayed, submits as many jobs
+ * again, in at most `maxRounds` rounds. Returns the ids of all jobs. Fails the test if no term lasts long
+ * enough.
  */
 async function submitDuringTermOf(
   cluster: Cluster,
@@ -136,16 +153,21 @@
     const term = cluster.leaderToken();
     const submitted = await submitVariedJobs(cluster, others.labels[0] ?? '', firstNumber + 10 * round);
     ids.push(...submitted);
-    await cluster.until('the first of them runs', () => hasStarted(cluster, submitted[0] ?? ''));
+    await cluster.until('the first of the submitted jobs has started', () =>
+      hasStarted(cluster, submitted[0] ?? ''),
+    );
     if (cluster.leaderToken() === term && leaders.labels.includes(await cluster.leading())) return ids;
   }
-  return assert.fail(`no term of ${leaders.labels.join(' or ')} lasted for long enough`);
+  return assert.fail(
+    `no term of ${leaders.labels.join(' or ')} lasted until the first of the submitted jobs had started`,
+  );
 }
 
-// Guards against records that one of the two misreads: jobs that the leader of one version never dispatches for the other,
-// tasks started twice or forgotten as a block changes hands, dependents that start too early.
+// Guards against records that one of the two versions misreads: jobs that one version accepts and a leader of
+// the other version never dispatches, tasks that are started twice or forgotten as a block changes owners,
+// and dependents that start too early.
 scenario(
-  'the lead and all blocks go from the earlier version to this one and back, while jobs run and are cancelled at both',
+  'leadership and all blocks move to this version and back, while jobs run and are cancelled at both versions',
   {
     port: 31_000,
     capacity: 10,
@@ -163,7 +185,7 @@
     const ids = [jobIdOf(10), jobIdOf(11), jobIdOf(12)];
     await submitSmallJobs(cluster, first, ids, 100);
     await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
-    // These two do not end by themselves: they are cancelled.
+    // Tasks of the first two jobs do not end by themselves: these jobs are cancelled below.
     cluster.holdsTask = tasksOf(jobIdOf(1), jobIdOf(2));
 
     await cluster.upgrade(second);
@@ -172,26 +194,38 @@
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 100)));
     await cancelAt(cluster, second, jobIdOf(1));
 
-    // The lead and the block of the earlier version go to this one.
+    // Leadership and the block of the earlier version move to this version.
     await cluster.upgrade(third);
     cluster.processes.kill(first);
     await cluster.leading(first);
-    await cluster.until('its block has another owner', () => !cluster.owners().includes(first));
+    await cluster.until(
+      'the block of the killed controller has another owner',
+      () => !cluster.owners().includes(first),
+    );
     cluster.startProcess(first, allEarlier.program);
-    await cluster.until('it owns a block again', () => cluster.owners().includes(first));
+    await cluster.until('the restarted controller owns a block again', () =>
+      cluster.owners().includes(first),
+    );
     const currentPair: VersionGroup = { labels: [second, third], restart: restartAsCurrent };
     const earlierOne: VersionGroup = { labels: [first], restart: restartAsEarlier };
     ids.push(...(await submitDuringTermOf(cluster, currentPair, earlierOne, 200)));
     await cancelAt(cluster, first, jobIdOf(2));
 
-    // The earlier version has everything to itself for a while, and leads on beside this one.
+    // The earlier version leads and owns all blocks for a while. It continues to lead beside this version.
     cluster.stopController(second);
     cluster.stopController(third);
-    await cluster.until('it leads', async () => (await cluster.leading()) === first);
-    await cluster.until('it owns all blocks', () => cluster.owners().every((owner) => owner === first));
+    await cluster.until(
+      'the controller of the earlier version leads',
+      async () => (await cluster.leading()) === first,
+    );
+    await cluster.until('the controller of the earlier version owns all blocks', () =>
+      cluster.owners().every((owner) => owner === first),
+    );
     cluster.startController(second);
     await cluster.downgrade(third);
-    await cluster.until('all own blocks', () => labels.every((label) => cluster.owners().includes(label)));
+    await cluster.until('every controller owns a block', () =>
+      labels.every((label) => cluster.owners().includes(label)),
+    );
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 300)));
 
     await cluster.allDone(ids, 60_000);
@@ -202,7 +236,7 @@
 
 interface RunningJob {
   id: string;
-  /** A controller that has machines with tasks of it. */
+  /** A controller that owns a machine on which a task of the job runs. */
   owner: string;
 }
 
@@ -219,7 +253,10 @@
 const minJobs = 8;
 const maxJobs = 24;
 
-/** Jobs that all run, one of them at one of these controllers: the more jobs, the more controllers have some. */
+/**
+ * Submits jobs until all of them run and at least one has a task on a machine of one of these controllers.
+ * With more jobs, more controllers have tasks on their machines.
+ */
 async function startJobs(cluster: Cluster, owners: string[]): Promise<RunningJob & { ids: string[] }> {
   const ids: string[] = [];
   while (ids.length < maxJobs) {
@@ -227,15 +264,18 @@
     await cluster.submitSurely(submission(added, tasksPerJob, { owner: 'blue' }), ids.length);
     ids.push(added);
     if (ids.length < minJobs) continue;
-    await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length === tasksPerJob));
+    await cluster.until('all tasks run', () =>
+      ids.every((id) => cluster.runningOf(id).length === tasksPerJob),
+    );
     const found = findRunningJob(cluster, owners);
     if (found) return { ids, ...found };
   }
-  return assert.fail(`no job runs at ${owners.join(' or ')}`);
+  return assert.fail(`no job runs on a machine of ${owners.join(' or ')}`);
 }
 
-// Guards against statuses that arrive and are not understood: with the state service out, whoever is vouched for by none
-// of its peers lets all its tasks go, and whoever does not hear of a cancel lets cancelled ones run.
+// Guards against peer statuses that arrive and are misread by the other version. During an outage of the
+// state service, a controller without valid statuses from its peers stops renewing worker leases, so that all
+// its tasks end. A controller that does not receive a cancellation lets the cancelled tasks run.
 async function cancelBeforeOutage(
   cluster: Cluster,
   owners: string[],
@@ -246,7 +286,11 @@
   await pause(heartbeatIntervalMs / 4);
   assert.equal(await cluster.cancelSurely(id, confirmingControllers.map(nodeOf)), 'cancelled');
   cluster.store.down = true;
-  await cluster.until('its tasks are gone', () => cluster.runningOf(id).length === 0, cancelDeadlineMs);
+  await cluster.until(
+    'the tasks of the cancelled job have ended',
+    () => cluster.runningOf(id).length === 0,
+    cancelDeadlineMs,
+  );
   await pause(cancelDeadlineMs * 1.2);
   const startCount = cluster.history.happenings.filter(({ kind }) => kind === 'started').length;
   assert.equal(startCount, tasksPerJob * ids.length);
@@ -261,13 +305,13 @@
 }
 
 scenario(
-  'a job of this version is cancelled at an earlier one, and the state service is out before it has heard',
+  'a job of this version is cancelled at an earlier one while the state service refuses its owner, and then fails',
   { port: 31_040, taskMs: untilStopped, capacity: 10, earlier: oneEarlier },
   (cluster) => cancelBeforeOutage(cluster, ['keel-1', 'keel-2'], ['keel-0']),
 );
 
 scenario(
-  'a job of an earlier version is cancelled at this one, and the state service is out before it has heard',
+  'a job of an earlier version is cancelled at this one while the state service refuses its owner, and then fails',
   { port: 31_080, taskMs: untilStopped, capacity: 10, earlier: twoEarlier },
   (cluster) => cancelBeforeOutage(cluster, ['keel-0', 'keel-2'], ['keel-1']),
 );
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -1,4 +1,7 @@
-/** The version in production and this one serve side by side, on each other's data, with processes of both builds. */
+/**
+ * Scenarios of a rolling upgrade: controllers of the version in production and of this one run side by side
+ * on the same data.
+ */
 import assert from 'node:assert/strict';
 import { execFileSync } from 'node:child_process';
 import { after, before, test } from 'node:test';
@@ -18,6 +21,7 @@
 import { scenario } from '../testing/scenario.js';
 import { sizeOf } from '../wire/codec.js';
 
+/** Lower limits that the settings announce for the state service. */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 const nextValueBytes = nextLimits.value_kb * 1024;
 const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
@@ -31,13 +35,13 @@
 
 after(() => build?.remove());
 
-test('the deploy file names a commit of the history as the version in production', () => {
+test('the deploy file names an ancestor of this commit as the version in production', () => {
   const type = execFileSync('git', ['cat-file', '-t', productionCommit()], { encoding: 'utf8' });
   assert.equal(type.trim(), 'commit');
   execFileSync('git', ['merge-base', '--is-ancestor', productionCommit(), 'HEAD']);
 });
 
-/** Jobs of a team without a limit, of tasks so small that a machine runs dozens of them. */
+/** Submits jobs for a team without a quota, with tasks so small that a machine runs dozens of them. */
 async function submitSmallJobs(
   cluster: Cluster,
   firstNumber: number,
@@ -59,8 +63,8 @@
 }
 
 /**
- * Every block has the ledger of the new layout: until then pages may outgrow the limits to come, since the earlier version
- * has to read them.
+ * Returns true if the ledger of every block has the new layout. Before that, pages may exceed the announced
+ * limits, because the earlier version has to read them.
  */
 function haveAllLedgersNewLayout(cluster: Cluster): boolean {
   const [label = ''] = labels;
@@ -68,43 +72,51 @@
   return labels.every((_, block) => cluster.chunkTasks.get(block) === chunkTasks);
 }
 
-// Guards against records that one version misreads: tasks started twice, forgotten or released by the other, in both
-// directions, with a process that comes back old before its turn.
+// Guards against records that one version misreads, in both directions: tasks of one version that the other
+// starts twice, forgets or releases. One process is killed before its upgrade and restarts with the earlier
+// version.
 scenario(
-  'controllers are replaced one by one while jobs run, and one that dies before its turn comes back old',
+  'controllers are upgraded one by one while jobs run, and one that dies early restarts with the earlier version',
   { port: 29_000, capacity: 10, earlier, nextLimits, taskMs: 2500 },
   async (cluster) => {
     cluster.holdsTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 4, 150);
     await cluster.until('tasks run', () => cluster.runningOf(jobIdOf(1)).length > 0);
-    // The job that is cancelled does not end by itself.
+    // The tasks of the job that is cancelled below do not end by themselves.
     cluster.holdsTask = tasksOf(jobIdOf(3));
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
-    // An old leader with a new owner, whose block an old one takes over and gives back.
+    // A leader of the earlier version with a block owner of this version. A controller of the earlier version
+    // takes over the block of that owner and gives it back.
     await cluster.upgrade(second);
     ids.push(...(await submitSmallJobs(cluster, 50, 2, 100)));
     await pause(4 * heartbeatIntervalMs);
     cluster.stopController(second);
-    await cluster.until('its block has another owner', () => !cluster.owners().includes(second));
+    await cluster.until(
+      'the block of the stopped controller has another owner',
+      () => !cluster.owners().includes(second),
+    );
     await pause(4 * heartbeatIntervalMs);
     cluster.startController(second);
-    // One that dies before its turn.
+    // A controller dies before its upgrade.
     cluster.processes.kill(third);
     await pause(2 * heartbeatIntervalMs);
     cluster.startProcess(third, earlier.program);
     ids.push(...(await submitSmallJobs(cluster, 100, 3, 100)));
     await pause(3 * heartbeatIntervalMs);
     assert.equal(await cluster.cancelSurely(jobIdOf(3)), 'cancelled');
-    // A new leader with old owners.
+    // A leader of this version with block owners of the earlier version.
     await cluster.upgrade(first);
     await pause(3 * heartbeatIntervalMs);
     ids.push(...(await submitSmallJobs(cluster, 200, 3, 100)));
     await cluster.upgrade(third);
-    await cluster.until('all have announced their format', () => haveAllAnnouncedFormat(cluster));
+    await cluster.until('all controllers have stored their format', () => haveAllAnnouncedFormat(cluster));
     await cluster.submitSurely(submission(jobIdOf(300), 4, { moorings: [jobIdOf(200)] }));
     await cluster.until('all ledgers have the new layout', () => haveAllLedgersNewLayout(cluster));
-    await cluster.until('what was large has been split', () => largestValueBytes(cluster) <= nextValueBytes);
+    await cluster.until(
+      'every stored value is within the new size limit',
+      () => largestValueBytes(cluster) <= nextValueBytes,
+    );
     cluster.lowerLimits();
     ids.push(...(await submitSmallJobs(cluster, 400, 3, 200)));
     await cluster.allDone([...ids.filter((id) => id !== jobIdOf(3)), jobIdOf(300)], 40_000);
@@ -112,25 +124,26 @@
   },
 );
 
-// Guards against a backlog that only one version can read, and against ledgers that outgrow the new limits at once.
+// Guards against a backlog that only one version can read, and against ledgers that exceed the new limits
+// immediately.
 scenario(
-  'all end together and come back new, and the limits fall as they do',
+  'all controllers are upgraded at the same time, and the limits of the state service are lowered as they return',
   { port: 29_040, taskMs: 5000, capacity: 10, earlier, nextLimits },
   async (cluster) => {
-    // Nothing ends, and with it shrinks the ledger, before it is large.
+    // No task ends before the ledger is large: the end of a task makes the ledger smaller.
     cluster.holdsTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 6, 200);
     await cluster.until(
-      'a value is larger than what is to come',
+      'a stored value exceeds the new size limit',
       () => largestValueBytes(cluster) > nextValueBytes,
     );
     cluster.holdsTask = noTask;
     await Promise.all(labels.map((label) => cluster.upgrade(label)));
-    await cluster.until('the first has announced its format', () =>
+    await cluster.until('a controller has stored its format', () =>
       labels.some((label) => cluster.store.value(`formats/${label}`) !== undefined),
     );
     cluster.lowerLimits();
-    // A pipeline is turned away until all heed it, and taken then.
+    // A job with dependencies is refused until all controllers support dependencies, and is then accepted.
     await cluster.submitSurely(submission('req-000100', 4, { moorings: [ids[0], ids[1]] }));
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.allDone([...ids, 'req-000100'], 60_000);
@@ -138,15 +151,16 @@
   },
 );
 
-// Guards against a handover in which a cancel or a refusal falls between two versions that count in different ways.
+// Guards against faults of a change of leaders between two versions that count in different ways, if a cancel
+// or a refusal of the state service occurs during this change.
 scenario(
-  'the state service refuses an old leader as a new one takes over, and a cancel falls in',
+  'the state service refuses a leader of the earlier version, a new leader takes over, and a job is cancelled meanwhile',
   { port: 29_080, taskMs: 8000, capacity: 10, earlier, nextLimits },
   async (cluster) => {
     cluster.holdsTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 4, 20);
-    await cluster.until('all run', () => ids.every((id) => cluster.runningOf(id).length > 0));
-    // The job that is cancelled does not end by itself.
+    await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
+    // The tasks of the job that is cancelled below do not end by themselves.
     cluster.holdsTask = tasksOf('req-000002');
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
@@ -156,7 +170,11 @@
     assert.equal(await cluster.cancelSurely('req-000002', nodes), 'cancelled');
     await cluster.leading(first);
     cluster.processes.kill(third);
-    await cluster.until('its tasks are gone', () => cluster.runningOf('req-000002').length === 0, 5000);
+    await cluster.until(
+      'the tasks of the cancelled job have ended',
+      () => cluster.runningOf('req-000002').length === 0,
+      5000,
+    );
     cluster.store.refused.clear();
     await cluster.upgrade(third);
     await pause(workerLeaseMs / 2);
--- a/src/fault-scenarios/stale-reads.test.ts
+++ b/src/fault-scenarios/stale-reads.test.ts
@@ -16,8 +16,8 @@
 import { seeded } from '../testing/seeded.js';
 
 /**
- * Returns a filter for `StoreStandIn.holdsAnswers`. It matches the transactions of one controller that name the
- * outcome of the job in a condition or a write.
+ * Returns a filter for `StoreStandIn.holdsAnswers`. It matches the transactions of one controller that name
+ * the outcome of the job in a condition or a write.
  */
 const transactionsOnOutcome =
   (controller: string, id: string) =>
@@ -30,8 +30,8 @@
     () => cluster.store.answersHeld > 0,
   );
 
-// Guards against an outdated answer (rule `went_back`): a later repetition shared the answer of an earlier one, which
-// was correct when the earlier repetition was sent but not any more when the later one was.
+// Guards against an outdated answer (rule `went_back`): a later repetition shared the answer of an earlier
+// one, which was correct when the earlier repetition was sent, but not when the later one was sent.
 scenario(
   'a submission is repeated after the cancellation of its job was confirmed, while an earlier repetition is in flight',
   { port: 26_000, taskMs: untilStopped },
@@ -55,8 +55,8 @@
   },
 );
 
-// Guards against the same outdated answer if the request in flight is the first submission: the state service has
-// executed its commit and has not responded yet.
+// Guards against the same outdated answer if the request in flight is the first submission: the state service
+// has executed its commit and has not responded yet.
 scenario(
   'a job is accepted at one controller and cancelled, while another controller still waits for its commit of the job',
   { port: 26_040, taskMs: untilStopped },
@@ -97,8 +97,8 @@
   },
 );
 
-// Guards against outdated answers after a process pause: when the process resumes, it receives responses that the
-// state service sent before the pause together with requests that users sent during the pause.
+// Guards against outdated answers after a process pause: when the process resumes, it receives responses that
+// the state service sent before the pause together with requests that users sent during the pause.
 scenario(
   'a controller process is paused with responses in flight, the job is cancelled elsewhere, and the process resumes',
   { port: 26_240, taskMs: untilStopped, processes: ['keel-2'] },
@@ -116,8 +116,8 @@
       cluster.processes.pause(paused);
       cluster.store.releaseAnswers();
       await pause(heartbeatIntervalMs / 4);
-      // Only the responses from before the pause reach the controller. Its watch, the statuses of its peers and its
-      // own requests after the pause are held back.
+      // Only the responses from before the pause reach the controller. Its watch, the statuses of its peers
+      // and its own requests after the pause are held back.
       cluster.store.held.add(paused);
       for (const link of cluster.peersOf(paused)) link.cut();
       assert.equal(await cluster.cancelSurely(id, [0, 1]), 'cancelled');
@@ -133,7 +133,10 @@
   },
 );
 
-/** Sends status requests and repeated submissions to all controllers, in three rounds a few milliseconds apart. */
+/**
+ * Sends status requests and repeated submissions to all controllers, in three rounds a few milliseconds
+ * apart.
+ */
 async function queryAllControllers(cluster: Cluster, id: string): Promise<unknown> {
   const requests: Promise<unknown>[] = [];
   const rounds = 3;
@@ -147,8 +150,8 @@
 }
 
 /**
- * Submits a job, then cancels it or waits until it is done. Queries all controllers right after the acceptance and
- * right after the end of the job.
+ * Submits a job, then cancels it or waits until it is done. Queries all controllers right after the
+ * acceptance and right after the end of the job.
  */
 async function followJob(cluster: Cluster, id: string, random: () => number): Promise<void> {
   const queries: Promise<unknown>[] = [];
@@ -167,7 +170,7 @@
 // Guards against outdated answers in sequences of events that the scenarios above do not cover.
 for (const [index, seed] of [1, 2, 3].entries()) {
   scenario(
-    `users query all controllers while store responses are late or lost and controllers are partitioned or restart, seed ${seed}`,
+    `users query all controllers while responses are late or lost and controllers are cut off or restart, seed ${seed}`,
     { port: 26_080 + index * 40, taskMs: 700, seed, capacity: 6 },
     async (cluster) => {
       const random = seeded(seed);
--- a/src/fault-scenarios/zones-and-capacity.test.ts
+++ b/src/fault-scenarios/zones-and-capacity.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Scenarios of jobs with zone constraints, of a partitioned zone, and of more work than the machines have
+ * capacity for.
+ */
 import assert from 'node:assert/strict';
 import {
   type Cluster,
@@ -11,7 +15,7 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** The machine under some task of the job stops, with all that is on it, as soon as a task of the job runs. */
+/** Waits until a task of the job runs, and stops the machine of such a task together with all tasks on it. */
 async function loseMachine(cluster: Cluster, id: string): Promise<void> {
   await cluster.until(`${id} runs and loses a machine`, () => {
     const worker = [...cluster.workers.values()].find((w) =>
@@ -22,7 +26,8 @@
   });
 }
 
-// Guards against a task that comes back in another zone than its job's others, or in one that already has half of them.
+// Guards against a task that is restarted in another zone than the other tasks of its colocated job, or in a
+// zone that already has half of the tasks of its spread job.
 scenario(
   'colocated, spread and zone-bound jobs lose machines before and after the leader fails over',
   { port: 25_000, taskMs: 1200, capacity: 6 },
@@ -47,7 +52,8 @@
   },
 );
 
-// Guards against both sides of a cut going on with the same tasks, and against cancels that the inside never hears of.
+// Guards against tasks that run on both sides of a partition, and against cancels that never reach the
+// partitioned zone.
 scenario(
   'a zone with workers and a controller is partitioned off for longer than a lease, and jobs are cancelled outside',
   { port: 25_040, taskMs: 7000, capacity: 6 },
@@ -61,13 +67,14 @@
     }
     const busyInsideCount = (): number =>
       [...cluster.workers.values()].filter((w) => w.machine.zone === 'a' && w.running.length > 0).length;
-    await cluster.until('all run, also inside', () => {
+    await cluster.until('all tasks run, some of them in the zone', () => {
       return ids.every((id) => cluster.runningOf(id).length === 3) && busyInsideCount() > 0;
     });
     cluster.cutZones.add('a');
     cluster.store.held.add('keel-0');
     for (const link of cluster.peersOf('keel-0')) link.cut();
-    // The tasks of the other jobs end around the end of the partition; those of the cancelled ones never do by themselves.
+    // Tasks of the kept jobs end at about the end of the partition. Tasks of the cancelled jobs do not end by
+    // themselves.
     cluster.holdsTask = tasksOf(...cancelled);
     for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
     const endAt = Date.now() + cancelDeadlineMs * 1.2;
@@ -82,9 +89,10 @@
   },
 );
 
-// Guards against submissions that are held back or forgotten, work that is never begun, and bad input taken under load.
+// Guards against submissions that are held back or lost, jobs that never start, and invalid submissions that
+// are accepted under load.
 scenario(
-  'there is more work than room, urgent and not, over slow links',
+  'jobs of high and of low urgency exceed the capacity while the state service is slow',
   { port: 25_080, taskMs: 300, capacity: 2 },
   async (cluster) => {
     cluster.store.delayMs = heartbeatIntervalMs / 2;
@@ -99,13 +107,16 @@
     assert.equal(pieces, 1);
     await Promise.all([
       ...jobs.map((job, i) => cluster.submitSurely(job, i)),
-      cluster.until('a lacking field is refused', async () => (await cluster.submit(1, incomplete)) === 400),
       cluster.until(
-        'what fits no machine is refused',
+        'a submission with a missing field is refused',
+        async () => (await cluster.submit(1, incomplete)) === 400,
+      ),
+      cluster.until(
+        'a job that fits no machine is refused',
         async () => (await cluster.submit(2, submission('req-000202', 1, { cpus: 64 }))) === 422,
       ),
     ]);
-    // A repetition of what was accepted gets neither, whatever it says by now.
+    // A repeated submission of an accepted job gets neither error, even if its fields have changed.
     assert.equal(await cluster.submit(1, submission('req-000101', 4, { cpus: 64, owner: 'red' })), 200);
     await cluster.allDone(jobs.map(({ id }) => String(id)));
   },
