--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -16,16 +16,12 @@
 
 /** Lower limits that the settings announce for the state service. */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 60 };
-const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
+/** The id of a job with this number. */
+const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /** Submits a chain of jobs, each of which depends on the previous one. Returns their ids. */
-async function submitChain(
-  cluster: Cluster,
-  firstNumber: number,
-  length: number,
-  tasks = 2,
-): Promise<string[]> {
-  const ids = Array.from({ length }, (_, i) => jobIdOf(firstNumber + i));
+async function submitChain(cluster: Cluster, first: number, length: number, tasks = 2): Promise<string[]> {
+  const ids = Array.from({ length }, (_, i) => idOf(first + i));
   for (const [i, id] of ids.entries()) {
     const dependency = ids[i - 1];
     await cluster.submitSurely(
@@ -39,7 +35,7 @@
 /** Submits a chain of jobs with one task each and waits until the task of the first job runs. */
 async function startChain(cluster: Cluster, length: number): Promise<string[]> {
   const chain = await submitChain(cluster, 1, length, 1);
-  await cluster.until('the first job runs', () => cluster.runningOf(jobIdOf(1)).length === 1);
+  await cluster.until('the first job runs', () => cluster.runningOf(idOf(1)).length === 1);
   return chain;
 }
 
@@ -62,15 +58,13 @@
   { port: 28_000, taskMs: 400, nextLimits },
   async (cluster) => {
     const chain = await submitChain(cluster, 1, 6);
-    await cluster.submitSurely(submission(jobIdOf(20), 3, { moorings: [jobIdOf(1)] }));
-    await cluster.submitSurely(submission(jobIdOf(21), 3, { moorings: [jobIdOf(1)] }));
-    await cluster.submitSurely(
-      submission(jobIdOf(22), 3, { moorings: [jobIdOf(20), jobIdOf(21), jobIdOf(20)] }),
-    );
-    await cluster.until('the second job has started', () => startCountOf(cluster, jobIdOf(2)) > 0);
+    await cluster.submitSurely(submission(idOf(20), 3, { moorings: [idOf(1)] }));
+    await cluster.submitSurely(submission(idOf(21), 3, { moorings: [idOf(1)] }));
+    await cluster.submitSurely(submission(idOf(22), 3, { moorings: [idOf(20), idOf(21), idOf(20)] }));
+    await cluster.until('the second job has started', () => startCountOf(cluster, idOf(2)) > 0);
     cluster.lowerLimits();
     for (const label of labels) await cluster.restart(label, 50);
-    await cluster.allDone([...chain, jobIdOf(20), jobIdOf(21), jobIdOf(22)]);
+    await cluster.allDone([...chain, idOf(20), idOf(21), idOf(22)]);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -81,15 +75,15 @@
   'one dependency is done before all controllers restart, and another one after that',
   { port: 28_040, taskMs: 300 },
   async (cluster) => {
-    cluster.holdsTask = tasksOf(jobIdOf(2));
-    await cluster.submitSurely(submission(jobIdOf(1), 1));
-    await cluster.submitSurely(submission(jobIdOf(2), 4, { owner: 'blue' }));
-    await cluster.allDone([jobIdOf(1)]);
-    await cluster.submitSurely(submission(jobIdOf(3), 2, { moorings: [jobIdOf(1), jobIdOf(2)] }));
+    cluster.holdsTask = tasksOf(idOf(2));
+    await cluster.submitSurely(submission(idOf(1), 1));
+    await cluster.submitSurely(submission(idOf(2), 4, { owner: 'blue' }));
+    await cluster.allDone([idOf(1)]);
+    await cluster.submitSurely(submission(idOf(3), 2, { moorings: [idOf(1), idOf(2)] }));
     await Promise.all(labels.map((label) => cluster.restart(label, 50)));
-    await cluster.submitSurely(submission(jobIdOf(4), 2, { moorings: [jobIdOf(1)] }));
+    await cluster.submitSurely(submission(idOf(4), 2, { moorings: [idOf(1)] }));
     cluster.holdsTask = noTask;
-    await cluster.allDone([jobIdOf(2), jobIdOf(3), jobIdOf(4)]);
+    await cluster.allDone([idOf(2), idOf(3), idOf(4)]);
   },
 );
 
@@ -100,15 +94,15 @@
   { port: 28_080, taskMs: untilStopped, nextLimits },
   async (cluster) => {
     const chain = await submitChain(cluster, 1, 10);
-    const dependents = Array.from({ length: 40 }, (_, i) => jobIdOf(100 + i));
+    const dependents = Array.from({ length: 40 }, (_, i) => idOf(100 + i));
     for (const [i, id] of dependents.entries()) {
       await cluster.submitSurely(submission(id, 1, { moorings: [chain[2 + (i % 8)]] }), i);
     }
-    await cluster.until('the first job runs', () => cluster.runningOf(jobIdOf(1)).length === 2);
+    await cluster.until('the first job runs', () => cluster.runningOf(idOf(1)).length === 2);
     cluster.lowerLimits();
     const leader = await cluster.leading();
     const confirmingNode = (labels.indexOf(leader) + 1) % 3;
-    assert.equal(await cluster.cancelSurely(jobIdOf(1), [confirmingNode]), 'cancelled');
+    assert.equal(await cluster.cancelSurely(idOf(1), [confirmingNode]), 'cancelled');
     cluster.stopController(leader);
     cluster.stopController(labels[confirmingNode] ?? '');
     await pause(heartbeatIntervalMs);
@@ -126,18 +120,18 @@
   async (cluster) => {
     for (let round = 0; round < 5; round++) {
       const firstNumber = 1 + round * 10;
-      await cluster.submitSurely(submission(jobIdOf(firstNumber), 1), round);
-      const cancel = cluster.cancelSurely(jobIdOf(firstNumber), [round % 3]);
+      await cluster.submitSurely(submission(idOf(firstNumber), 1), round);
+      const cancel = cluster.cancelSurely(idOf(firstNumber), [round % 3]);
       for (let i = 1; i < 4; i++) {
-        const moorings = [jobIdOf(firstNumber + i - 1)];
-        await cluster.submitSurely(submission(jobIdOf(firstNumber + i), 1, { moorings }), round + i);
+        const moorings = [idOf(firstNumber + i - 1)];
+        await cluster.submitSurely(submission(idOf(firstNumber + i), 1, { moorings }), round + i);
       }
       assert.equal(await cancel, 'cancelled');
     }
     for (let round = 0; round < 5; round++) {
       await awaitCancelledEverywhere(
         cluster,
-        [1, 2, 3].map((i) => jobIdOf(1 + round * 10 + i)),
+        [1, 2, 3].map((i) => idOf(1 + round * 10 + i)),
       );
     }
   },
@@ -176,7 +170,7 @@
   { port: 28_200, taskMs: untilStopped },
   async (cluster) => {
     const chain = await startChain(cluster, 5);
-    assert.equal(await cluster.cancelSurely(jobIdOf(1), [1]), 'cancelled');
+    assert.equal(await cluster.cancelSurely(idOf(1), [1]), 'cancelled');
     cluster.store.down = true;
     const endAt = Date.now() + cancelDeadlineMs * 1.3;
     while (Date.now() < endAt) {
@@ -198,7 +192,7 @@
     const chain = await startChain(cluster, 4);
     cluster.store.held.add('keel-2');
     for (const link of cluster.peersOf('keel-2')) link.cut();
-    assert.equal(await cluster.cancelSurely(jobIdOf(1), [0, 1]), 'cancelled');
+    assert.equal(await cluster.cancelSurely(idOf(1), [0, 1]), 'cancelled');
     await pause(cancelDeadlineMs + workerLeaseMs);
     cluster.store.held.delete('keel-2');
     for (const link of cluster.peersOf('keel-2')) link.heal();
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -17,13 +17,14 @@
  */
 const maxRestartShare = 0.05;
 const meanTaskMs = 25_000;
-const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
+/** The id of a job with this number. */
+const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /**
  * Submits jobs with one task per machine of the fleet; each task takes up a whole machine. Returns their ids.
  */
 async function submitJobsForAllMachines(cluster: Cluster): Promise<string[]> {
-  const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => jobIdOf(i + 1));
+  const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => idOf(i + 1));
   for (const [i, id] of ids.entries()) {
     await cluster.submitSurely(submission(id, tasksPerJob, { owner: 'blue', cpus: 8 }), i);
   }
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -51,7 +51,7 @@
   execFileSync('git', ['merge-base', '--is-ancestor', commitBeforeRenames, 'HEAD']);
 });
 
-function jobIdOf(jobNumber: number): string {
+function idOf(jobNumber: number): string {
   return `req-${String(jobNumber).padStart(6, '0')}`;
 }
 
@@ -87,13 +87,13 @@
 async function submitVariedJobs(cluster: Cluster, label: string, firstNumber: number): Promise<string[]> {
   const variants: Record<string, unknown>[] = [
     {},
-    { moorings: [jobIdOf(firstNumber)] },
-    { moorings: [jobIdOf(firstNumber), jobIdOf(firstNumber + 1)], urgency: 'production' },
+    { moorings: [idOf(firstNumber)] },
+    { moorings: [idOf(firstNumber), idOf(firstNumber + 1)], urgency: 'production' },
     { owner: 'blue', together: true, dueS: 60 },
     { owner: 'blue', apart: true, hulls: ['c8'] },
     { owner: 'blue', berth: 'a', loaners: true, urgency: 'best_effort' },
   ];
-  const ids = variants.map((_, i) => jobIdOf(firstNumber + i));
+  const ids = variants.map((_, i) => idOf(firstNumber + i));
   for (const [i, overrides] of variants.entries()) await submitAt(cluster, label, ids[i] ?? '', 3, overrides);
   return ids;
 }
@@ -181,18 +181,18 @@
     const restartAsEarlier = (label: string): Promise<void> => cluster.downgrade(label, leadershipExpiryMs);
     const restartAsCurrent = (label: string): Promise<void> => cluster.upgrade(label, leadershipExpiryMs);
     cluster.holdsTask = everyTask;
-    await submitSmallJobs(cluster, first, [jobIdOf(1), jobIdOf(2)], 6);
-    const ids = [jobIdOf(10), jobIdOf(11), jobIdOf(12)];
+    await submitSmallJobs(cluster, first, [idOf(1), idOf(2)], 6);
+    const ids = [idOf(10), idOf(11), idOf(12)];
     await submitSmallJobs(cluster, first, ids, 100);
     await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
     // Tasks of the first two jobs do not end by themselves: these jobs are cancelled below.
-    cluster.holdsTask = tasksOf(jobIdOf(1), jobIdOf(2));
+    cluster.holdsTask = tasksOf(idOf(1), idOf(2));
 
     await cluster.upgrade(second);
     const earlierPair: VersionGroup = { labels: [first, third], restart: restartAsEarlier };
     const currentOne: VersionGroup = { labels: [second], restart: restartAsCurrent };
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 100)));
-    await cancelAt(cluster, second, jobIdOf(1));
+    await cancelAt(cluster, second, idOf(1));
 
     // Leadership and the block of the earlier version move to this version.
     await cluster.upgrade(third);
@@ -209,7 +209,7 @@
     const currentPair: VersionGroup = { labels: [second, third], restart: restartAsCurrent };
     const earlierOne: VersionGroup = { labels: [first], restart: restartAsEarlier };
     ids.push(...(await submitDuringTermOf(cluster, currentPair, earlierOne, 200)));
-    await cancelAt(cluster, first, jobIdOf(2));
+    await cancelAt(cluster, first, idOf(2));
 
     // The earlier version leads and owns all blocks for a while. It continues to lead beside this version.
     cluster.stopController(second);
@@ -229,7 +229,7 @@
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 300)));
 
     await cluster.allDone(ids, 60_000);
-    await cluster.toldEverywhere([jobIdOf(1), jobIdOf(2)], 'cancelled', cancelDeadlineMs);
+    await cluster.toldEverywhere([idOf(1), idOf(2)], 'cancelled', cancelDeadlineMs);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -260,7 +260,7 @@
 async function startJobs(cluster: Cluster, owners: string[]): Promise<RunningJob & { ids: string[] }> {
   const ids: string[] = [];
   while (ids.length < maxJobs) {
-    const added = jobIdOf(ids.length + 1);
+    const added = idOf(ids.length + 1);
     await cluster.submitSurely(submission(added, tasksPerJob, { owner: 'blue' }), ids.length);
     ids.push(added);
     if (ids.length < minJobs) continue;
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -24,7 +24,8 @@
 /** Lower limits that the settings announce for the state service. */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 const nextValueBytes = nextLimits.value_kb * 1024;
-const jobIdOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
+/** The id of a job with this number. */
+const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 const earlier = { program: '', labels };
 let build: EarlierBuild | undefined;
 
@@ -48,7 +49,7 @@
   count: number,
   tasks: number,
 ): Promise<string[]> {
-  const ids = Array.from({ length: count }, (_, i) => jobIdOf(firstNumber + i));
+  const ids = Array.from({ length: count }, (_, i) => idOf(firstNumber + i));
   const small = { owner: 'blue', cpus: 0.25, memoryGb: 0.25 };
   for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, tasks, small), i);
   return ids;
@@ -81,9 +82,9 @@
   async (cluster) => {
     cluster.holdsTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 4, 150);
-    await cluster.until('tasks run', () => cluster.runningOf(jobIdOf(1)).length > 0);
+    await cluster.until('tasks run', () => cluster.runningOf(idOf(1)).length > 0);
     // The tasks of the job that is cancelled below do not end by themselves.
-    cluster.holdsTask = tasksOf(jobIdOf(3));
+    cluster.holdsTask = tasksOf(idOf(3));
     const first = await cluster.leading();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     // A leader of the earlier version with a block owner of this version. A controller of the earlier version
@@ -104,14 +105,14 @@
     cluster.startProcess(third, earlier.program);
     ids.push(...(await submitSmallJobs(cluster, 100, 3, 100)));
     await pause(3 * heartbeatIntervalMs);
-    assert.equal(await cluster.cancelSurely(jobIdOf(3)), 'cancelled');
+    assert.equal(await cluster.cancelSurely(idOf(3)), 'cancelled');
     // A leader of this version with block owners of the earlier version.
     await cluster.upgrade(first);
     await pause(3 * heartbeatIntervalMs);
     ids.push(...(await submitSmallJobs(cluster, 200, 3, 100)));
     await cluster.upgrade(third);
     await cluster.until('all controllers have stored their format', () => haveAllAnnouncedFormat(cluster));
-    await cluster.submitSurely(submission(jobIdOf(300), 4, { moorings: [jobIdOf(200)] }));
+    await cluster.submitSurely(submission(idOf(300), 4, { moorings: [idOf(200)] }));
     await cluster.until('all ledgers have the new layout', () => haveAllLedgersNewLayout(cluster));
     await cluster.until(
       'every stored value is within the new size limit',
@@ -119,7 +120,7 @@
     );
     cluster.lowerLimits();
     ids.push(...(await submitSmallJobs(cluster, 400, 3, 200)));
-    await cluster.allDone([...ids.filter((id) => id !== jobIdOf(3)), jobIdOf(300)], 40_000);
+    await cluster.allDone([...ids.filter((id) => id !== idOf(3)), idOf(300)], 40_000);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
