--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -21,7 +21,8 @@
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /**
- * Submits jobs with one task per machine of the fleet; each task takes up a whole machine. Returns their ids.
+ * Submits jobs with as many tasks in total as there are machines; each task takes up a whole machine. Returns
+ * their ids.
  */
 async function submitJobsForAllMachines(cluster: Cluster): Promise<string[]> {
   const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => idOf(i + 1));
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -77,7 +77,7 @@
 // starts twice, forgets or releases. One process is killed before its upgrade and restarts with the earlier
 // version.
 scenario(
-  'controllers are upgraded one by one while jobs run, and one that dies early restarts with the earlier version',
+  'controllers are upgraded one by one while jobs run; one dies before its upgrade and restarts with the earlier version',
   { port: 29_000, capacity: 10, earlier, nextLimits, taskMs: 2500 },
   async (cluster) => {
     cluster.holdsTask = everyTask;
