--- /dev/null
+++ b/src/fault-scenarios/leader-failover.test.ts
@@ -0,0 +1,203 @@
+/** Scenarios in which the leader fails, once or repeatedly, while jobs run. */
+import assert from 'node:assert/strict';
+import {
+  everyTask,
+  labels,
+  workerLeaseMs,
+  noTask,
+  pause,
+  heartbeatIntervalMs,
+  submission,
+  tasksOf,
+} from '../testing/cluster.js';
+import { scenario } from '../testing/scenario.js';
+
+/** The index of a controller, by which users and workers address it. */
+const nodeOf = (label: string): number => labels.indexOf(label);
+/** The index of a task within its job. */
+const indexOf = (task: string): number => Number(task.split('/')[1]);
+
+// Guards against two incarnations that both send commands to workers, and against tasks that are not
+// accounted for by the controllers that own their block only for a short time.
+scenario(
+  'leadership fails over and back, all controllers stop, and one restarts, within a second',
+  { port: 22_000, taskMs: 800 },
+  async (cluster) => {
+    const ids = ['req-000001', 'req-000002', 'req-000003'];
+    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
+    const firstLeader = await cluster.leading();
+    cluster.stopController(firstLeader);
+    const secondLeader = await cluster.leading(firstLeader);
+    cluster.startController(firstLeader);
+    await cluster.restart(secondLeader);
+    for (const label of labels) cluster.stopController(label);
+    await pause(150);
+    cluster.startController(firstLeader);
+    await pause(300);
+    for (const label of labels) if (label !== firstLeader) cluster.startController(label);
+    cluster.holdsTask = tasksOf('req-000004');
+    await cluster.submitSurely(submission('req-000004', 9));
+    await cluster.until('a task of the job runs', () => cluster.runningOf('req-000004').length > 0);
+    cluster.holdsTask = noTask;
+    // Each controller is back before the lease of its previous incarnation expires. Until then, the block is
+    // still leased to the previous incarnation.
+    for (const label of labels) await cluster.restart(label, 50);
+    await cluster.submitSurely(submission('req-000005', 9));
+    await cluster.allDone([...ids, 'req-000004', 'req-000005']);
+  },
+);
+
+// Guards against a job that is reported as done because its new owner counts the tasks that the previous
+// owner had, and against a job that is never reported as done.
+scenario(
+  'tasks of one job complete before, during and after a leader failover',
+  { port: 22_040, taskMs: (task) => [300, 1200, 1500][indexOf(task)] ?? 300 },
+  async (cluster) => {
+    const ids = ['req-000001', 'req-000002', 'req-000003'];
+    cluster.holdsTask = (task) => indexOf(task) > 0;
+    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, i === 0 ? 2 : 3), i);
+    const completedCount = (): number =>
+      cluster.history.happenings.filter((h) => h.kind === 'left' && h.completed).length;
+    await cluster.until('the first tasks have ended', () => completedCount() >= 3);
+    const oldLeader = await cluster.leading();
+    cluster.stopController(oldLeader);
+    // The second tasks end while there is no leader or under the new leader. The third tasks end after the
+    // leader has changed again.
+    cluster.holdsTask = (task) => indexOf(task) > 1;
+    const queriedNode = nodeOf(oldLeader) === 0 ? 1 : 0;
+    await cluster.leading(oldLeader);
+    for (const id of ids) await cluster.ask(queriedNode, id);
+    await cluster.until('the second tasks have ended', () => completedCount() >= 6);
+    cluster.startController(oldLeader);
+    await cluster.restart(await cluster.leading());
+    cluster.holdsTask = noTask;
+    for (const id of ids) await cluster.ask(queriedNode, id);
+    await cluster.allDone(ids);
+  },
+);
+
+// Guards against tasks that are started a second time because their machines cannot be reached: missing
+// heartbeats do not prove that a task has ended.
+scenario(
+  'the leader fails over while machines with long tasks are partitioned, in both directions or in one',
+  { port: 22_080, taskMs: 600, capacity: 6 },
+  async (cluster) => {
+    // The short tasks end early and free capacity on reachable machines. A long task that is wrongly taken
+    // for lost would be started there at once.
+    const [longJob, shortJob] = ['req-000001', 'req-000002'];
+    cluster.holdsTask = tasksOf(longJob);
+    for (const id of [longJob, shortJob]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
+    await cluster.until('all long tasks run and all short tasks have completed', () => {
+      return cluster.runningOf(longJob).length === 9 && cluster.completedOf(shortJob) === 9;
+    });
+    const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
+    for (const [i, worker] of busyWorkers.entries()) {
+      if (i % 3 === 0) worker.mute = true;
+      else if (i % 3 === 1) worker.deaf = true;
+    }
+    const oldLeader = await cluster.leading();
+    cluster.stopController(oldLeader);
+    await cluster.leading(oldLeader);
+    await pause(workerLeaseMs * 0.8);
+    for (const worker of busyWorkers) worker.mute = false;
+    await pause(workerLeaseMs * 0.7);
+    for (const worker of busyWorkers) worker.deaf = false;
+    cluster.startController(oldLeader);
+    cluster.holdsTask = noTask;
+    await cluster.allDone([longJob, shortJob]);
+  },
+);
+
+// Guards against an outdated task list that is taken for the present one: the heartbeat contains a fencing
+// token that is no longer valid.
+scenario(
+  'a heartbeat is delayed until the leader has failed over, and then delivered to the new owner',
+  { port: 22_120, taskMs: 2500 },
+  async (cluster) => {
+    cluster.holdsTask = everyTask;
+    await cluster.submitSurely(submission('req-000001', 6));
+    await cluster.submitSurely(submission('req-000002', 6), 1);
+    await cluster.until('tasks run', () => cluster.runningOf('req-000002').length > 0);
+    const oldLeader = await cluster.leading();
+    const workers = [...cluster.workers.values()].filter((w) => cluster.ownerOf(w.machine.id) === oldLeader);
+    assert.ok(workers.length > 0);
+    for (const worker of workers) worker.mute = true;
+    cluster.stopController(oldLeader);
+    await cluster.leading(oldLeader);
+    await cluster.until('the blocks of the machines have new owners', () =>
+      workers.every(({ machine }) => cluster.ownerOf(machine.id) !== oldLeader),
+    );
+    for (const worker of workers) {
+      // Repeats the last heartbeat of the worker, and others from before it had any task. The new owner must
+      // not use any of them.
+      for (const heartbeatsAgo of [0, 30, 8, 0])
+        worker.repeat(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
+    }
+    await pause(2 * heartbeatIntervalMs);
+    for (const worker of workers) worker.mute = false;
+    cluster.holdsTask = noTask;
+    cluster.startController(oldLeader);
+    await cluster.allDone(['req-000001', 'req-000002']);
+  },
+);
+
+// Guards against starts that rely on a ledger which is older than the leases that it refers to.
+scenario(
+  'all controllers are down for longer than a worker lease',
+  { port: 22_160, taskMs: 1500 },
+  async (cluster) => {
+    const ids = ['req-000001', 'req-000002'];
+    // Tasks of the first job end only when the lease of their worker expires. Tasks of the second job may
+    // also end by themselves.
+    cluster.holdsTask = tasksOf('req-000001');
+    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 6), i);
+    await cluster.until('tasks run', () => cluster.runningOf('req-000001').length > 0);
+    for (const label of labels) cluster.stopController(label);
+    await pause(workerLeaseMs * 1.3);
+    assert.deepEqual(cluster.runningOf('req-000001'), []);
+    assert.equal(cluster.completedOf('req-000001'), 0);
+    cluster.holdsTask = noTask;
+    for (const label of labels) cluster.startController(label);
+    await cluster.allDone(ids);
+  },
+);
+
+// Guards against a leader that acts on the replica of an earlier leader, and against a cluster without a
+// leader.
+scenario(
+  'the leader changes ten times, also during an outage of the state service',
+  { port: 22_200, taskMs: 1000 },
+  async (cluster) => {
+    const ids = ['req-000001', 'req-000002', 'req-000003'];
+    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
+    for (let failover = 0; failover < 10; failover++) {
+      const leader = await cluster.leading();
+      if (failover === 4) cluster.store.down = true;
+      await cluster.restart(leader, 50);
+      await pause(cluster.store.down ? heartbeatIntervalMs : 3 * heartbeatIntervalMs);
+      if (failover === 6) cluster.store.down = false;
+      for (const [i, id] of ids.entries()) await cluster.ask(i, id);
+    }
+    await cluster.allDone(ids);
+  },
+);
+
+// Guards against a cluster that stays without a leader: a lease renewal waited for the response to the
+// previous renewal and for other requests in flight. If responses took more than half of the time to live of
+// a lease, each lease that replaced an expired one expired as well.
+scenario(
+  'every lease expires while the state service is slow, and the next leader keeps its leadership',
+  { port: 22_240, taskMs: 1000 },
+  async (cluster) => {
+    const { store } = cluster;
+    store.delayMs = heartbeatIntervalMs * 1.5;
+    store.endAllLeases();
+    await cluster.leading();
+    const fencingToken = cluster.leaderToken();
+    await pause(workerLeaseMs);
+    assert.equal(cluster.leaderToken(), fencingToken);
+    store.delayMs = 0;
+    await cluster.submitSurely(submission('req-000001', 3));
+    await cluster.allDone(['req-000001']);
+  },
+);
