--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,7 +1,7 @@
 /** Monotonic time, sleeps and timers. */
 import { performance } from 'node:perf_hooks';
 
-import { onAbort } from './aborts.js';
+import { onAbort } from './abort-callbacks.js';
 
 /**
  * Returns a monotonic time in milliseconds. Code whose decisions depend on time gets its clock injected, so
@@ -10,7 +10,7 @@
 export type Clock = () => number;
 
 /** The monotonic clock of this process. It counts from the start of the process. */
-export const steadyClock: Clock = () => performance.now();
+export const monotonicClock: Clock = () => performance.now();
 
 /**
  * Resolves after `ms` milliseconds, or as soon as the signal fires. Never rejects: a caller has to check the
--- a/src/base/connection-load.ts
+++ b/src/base/connection-load.ts
@@ -25,7 +25,7 @@
    * open a new connection for its next heartbeat. If the server kept all connections open, it would refuse
    * connections of other workers, and these workers would be marked as failed.
    */
-  get isCrowded(): boolean {
+  get isNearLimit(): boolean {
     return this.openConnections > this.maxConnections * nearLimitRatio;
   }
 }
--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -2,9 +2,9 @@
 import { connect, type Socket } from 'node:net';
 import { test } from 'node:test';
 
-import { tick } from '../testing/ticks.js';
+import { waitUntil } from '../testing/wait-until.js';
 import { encode } from '../wire/codec.js';
-import { steadyClock } from './clock.js';
+import { monotonicClock } from './clock.js';
 import { ConnectionLoad } from './connection-load.js';
 import { type RequestHandler, serveHttp } from './http-server.js';
 import { silentLog } from './log.js';
@@ -38,7 +38,7 @@
   socket.on('close', () => (ended = true));
   await new Promise((resolve) => socket.once('connect', resolve));
   const receiveWhen = async (condition: () => boolean): Promise<string> => {
-    await tick(condition);
+    await waitUntil(condition);
     return text;
   };
   return {
@@ -87,7 +87,7 @@
   };
   const load = new ConnectionLoad(20);
   const served = serveHttp(
-    { ...listen, clock: steadyClock, load, idleTimeoutMs: 5000, turnBudgetMs: 50 },
+    { ...listen, clock: monotonicClock, load, idleTimeoutMs: 5000, turnBudgetMs: 50 },
     stop.signal,
   );
 
@@ -105,7 +105,7 @@
   await worker.receive(5);
   worker.send(heartbeatRequest.subarray(0, 30));
   // The first chunk has arrived on its own. From here on Node's server serves the connection.
-  await tick(() => load.openConnections === 0);
+  await waitUntil(() => load.openConnections === 0);
   worker.send(heartbeatRequest.subarray(30));
   await worker.receive(6);
   worker.send(request('/v2/runs', encode({})));
@@ -134,7 +134,7 @@
   const pipelining = await client();
   shouldHoldAnswers = true;
   pipelining.send(heartbeatRequest);
-  await tick(() => heldAnswers.length === 1);
+  await waitUntil(() => heldAnswers.length === 1);
   pipelining.send(heartbeatRequest);
   assert.equal(await pipelining.receiveUntilClosed(), '');
   // The handler answers after the connection was closed. The second request never reached the handler.
@@ -170,7 +170,7 @@
   const loadHandler = (): Promise<RequestHandler> =>
     Promise.reject(new Error('the handler of other requests must not be loaded'));
   const served = serveHttp(
-    { ...listen, loadHandler, clock: steadyClock, idleTimeoutMs: 5000, turnBudgetMs: 50 },
+    { ...listen, loadHandler, clock: monotonicClock, idleTimeoutMs: 5000, turnBudgetMs: 50 },
     stop.signal,
   );
   const clients = await Promise.all(Array.from({ length: 8 }, () => client(port + 1)));
@@ -181,7 +181,7 @@
   assert.ok(first && second);
   first.send(request('/hello', encode({})));
   assert.match(await first.receive(2), /connection: close/i);
-  await tick(() => load.openConnections <= 7);
+  await waitUntil(() => load.openConnections <= 7);
   // After the first connection is closed, seven of ten are open, which is not above the threshold.
   second.send(request('/hello', encode({})));
   assert.doesNotMatch(await second.receive(2), /connection: close/i);
--- a/src/base/direct-connections.ts
+++ b/src/base/direct-connections.ts
@@ -11,7 +11,7 @@
 import type { ConnectionLoad } from './connection-load.js';
 import type { Log } from './log.js';
 import { type FastPathRoute, handleFastPath, maxBodyBytes, type Reply, replyHeaders } from './replies.js';
-import { TurnQueue } from './turn-queue.js';
+import { TimeSlicedQueue } from './time-sliced-queue.js';
 
 const endOfHead = '\r\n\r\n';
 const contentLength = /\r\ncontent-length: *(\d+) *\r\n/i;
@@ -68,10 +68,10 @@
 export class DirectConnections {
   private readonly sockets = new Set<Socket>();
   private readonly routes: ReadonlyMap<string, FastPathRoute>;
-  private readonly queue: TurnQueue;
+  private readonly queue: TimeSlicedQueue;
 
   constructor(private readonly options: DirectConnectionsOptions) {
-    this.queue = new TurnQueue(options.clock, options.turnBudgetMs);
+    this.queue = new TimeSlicedQueue(options.clock, options.turnBudgetMs);
     this.routes = new Map(options.routes.map((route) => [`${route.method} ${route.path} HTTP/1.1`, route]));
   }
 
@@ -128,7 +128,7 @@
   }
 
   private respond(socket: Socket, route: FastPathRoute, reply: Reply): void {
-    const shouldClose = reply.close === true || (route.queued === true && this.options.load.isCrowded);
+    const shouldClose = reply.close === true || (route.queued === true && this.options.load.isNearLimit);
     socket.write(responseText(shouldClose ? { ...reply, close: true } : reply), 'latin1');
     if (shouldClose) socket.end();
   }
--- a/src/base/saturation.ts
+++ b/src/base/event-loop-saturation.ts
@@ -15,7 +15,7 @@
  * sends its responses late. Unlike a pause of the whole process, this causes no single long delay: it is
  * visible only in the utilization of the event loop.
  */
-export class Saturation {
+export class EventLoopSaturation {
   private lastSample: EventLoopUtilization;
 
   constructor(private readonly probe: UtilizationProbe = performance.eventLoopUtilization) {
--- a/src/base/turns.ts
+++ b/src/base/event-loop.ts
@@ -4,6 +4,6 @@
  * Resolves in a later iteration of the event loop, after it has polled its sockets. Events that arrived in
  * the meantime are handled first.
  */
-export function nextTurn(): Promise<void> {
+export function nextEventLoopIteration(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/base/recent-names.ts
+++ b/src/base/expiring-name-set.ts
@@ -5,7 +5,7 @@
  * A set of names. Each name is kept for at least `retentionMs` milliseconds after it was first added. Later
  * calls of `add` drop expired names.
  */
-export class RecentNames {
+export class ExpiringNameSet {
   /** The time at which each name was first added. The map is in the order of these times. */
   private readonly addedAt = new Map<string, number>();
 
@@ -33,7 +33,7 @@
   }
 
   /** Returns the names that were first added at `time` of the injected clock or later. */
-  since(time: number): string[] {
+  addedSince(time: number): string[] {
     return [...this.addedAt].filter(([, addedAt]) => addedAt >= time).map(([name]) => name);
   }
 }
--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -3,8 +3,8 @@
 import { after, before, describe, mock, test } from 'node:test';
 import { Worker } from 'node:worker_threads';
 
-import { ExchangeError, type ExchangeFailure, HttpPeer } from './http.js';
-import { nextTurn } from './turns.js';
+import { nextEventLoopIteration } from './event-loop.js';
+import { ExchangeError, type ExchangeFailure, HttpClient } from './http.js';
 
 /**
  * Indexes into `slots`, the memory shared with the server's thread. Each slot is 0 until the event it is
@@ -56,10 +56,10 @@
 
 describe('an HTTP exchange', () => {
   const server = new Worker(serverSource, { eval: true, workerData: slots });
-  let peer: HttpPeer;
+  let peer: HttpClient;
   before(async () => {
     const [port] = (await once(server, 'message')) as [number];
-    peer = new HttpPeer(`127.0.0.1:${port}`, 2);
+    peer = new HttpClient(`127.0.0.1:${port}`, 2);
     await peer.exchange('GET', '/warm-up', undefined, { timeoutMs: maxWaitMs });
   });
   after(async () => {
@@ -74,7 +74,7 @@
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
       const exchange = peer.exchange('GET', '/held', undefined, { timeoutMs });
-      while (Atomics.load(slots, received) === 0) await nextTurn();
+      while (Atomics.load(slots, received) === 0) await nextEventLoopIteration();
       blockUntilAnswered();
       // The deadline passes in the same event-loop iteration: nothing was read since the response arrived.
       mock.timers.tick(timeoutMs);
--- a/src/base/http.ts
+++ b/src/base/http.ts
@@ -2,12 +2,12 @@
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 
 import { decode, encode } from '../wire/codec.js';
-import { onAbort } from './aborts.js';
+import { onAbort } from './abort-callbacks.js';
+import { nextEventLoopIteration } from './event-loop.js';
 import { parseSocketAddress } from './socket-address.js';
-import { nextTurn } from './turns.js';
 
 /** An HTTP response with any status. */
-export interface Answer {
+export interface HttpResponse {
   status: number;
   /** The decoded body, or undefined if it is empty. */
   body: unknown;
@@ -46,7 +46,7 @@
 }
 
 /** A client for the HTTP server at one address. */
-export class HttpPeer {
+export class HttpClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
@@ -69,13 +69,13 @@
    * Rejects with an `ExchangeError` or an error of the socket. It is then unknown whether the server
    * processed the request. Only if the signal had fired before the call, nothing was sent.
    */
-  exchange(method: string, path: string, body: unknown, options: ExchangeOptions): Promise<Answer> {
+  exchange(method: string, path: string, body: unknown, options: ExchangeOptions): Promise<HttpResponse> {
     if (options.signal?.aborted) return Promise.reject(new ExchangeError('cancelled'));
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : encode(body);
       const clientRequest = this.createRequest(method, path, payload);
       const removeLimits = applyLimits(clientRequest, options);
-      const succeed = (answer: Answer): void => {
+      const succeed = (answer: HttpResponse): void => {
         removeLimits();
         resolve(answer);
       };
@@ -114,7 +114,7 @@
   // After a long event-loop iteration, timers run before sockets are read. The request is therefore destroyed
   // only after another poll of the sockets, which reads a response that arrived before the deadline.
   const expire = async (): Promise<void> => {
-    await nextTurn();
+    await nextEventLoopIteration();
     if (!isSettled) clientRequest.destroy(new ExchangeError('timed-out'));
   };
   // The deadline covers the whole exchange, because a network partition drops packets without an error.
@@ -134,7 +134,7 @@
  */
 function readResponse(
   response: IncomingMessage,
-  succeed: (answer: Answer) => void,
+  succeed: (answer: HttpResponse) => void,
   fail: (error: Error) => void,
 ): void {
   const chunks: Buffer[] = [];
--- a/src/base/process-pause.ts
+++ b/src/base/process-pause-detector.ts
@@ -12,7 +12,7 @@
  * the process reads no messages. A failure detector that measures the time since the last message of a
  * machine therefore has to subtract the delay.
  */
-export class ProcessPause {
+export class ProcessPauseDetector {
   private measuredAt: number;
 
   /** `intervalMs`: the usual time between two calls of `measureDelayMs`, in milliseconds. */
--- a/src/base/ranges.ts
+++ b/src/base/ranges.ts
@@ -12,7 +12,7 @@
 }
 
 /** Yields the integers in the ranges one by one. A last lower bound without an upper bound is ignored. */
-export function* fromRanges(ranges: number[]): Iterable<number> {
+export function* expandRanges(ranges: number[]): Iterable<number> {
   for (let i = 0; i + 1 < ranges.length; i += 2) {
     for (let value = ranges[i] ?? 0; value <= (ranges[i + 1] ?? -1); value++) yield value;
   }
--- a/src/base/turn-queue.test.ts
+++ b/src/base/time-sliced-queue.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { TurnQueue } from './turn-queue.js';
+import { TimeSlicedQueue } from './time-sliced-queue.js';
 
 // Guards against health checks that waited for more than a second behind the heartbeats read in the same
 // event-loop iteration: the load balancer marked all controllers as unhealthy, and for 90 s users could not
@@ -9,7 +9,7 @@
 test('an event-loop iteration runs work within its time budget, defers the rest, and drops work that is no longer needed', () => {
   let now = 0;
   const turns: (() => void)[] = [];
-  const queue = new TurnQueue(
+  const queue = new TimeSlicedQueue(
     () => now,
     50,
     (callback) => turns.push(callback),
--- a/src/base/turn-queue.ts
+++ b/src/base/time-sliced-queue.ts
@@ -16,7 +16,7 @@
  * event loop. Under overload one iteration finds hundreds of heartbeats. If it served all of them, a health
  * check or a response of the key-value store that arrived meanwhile would wait for seconds.
  */
-export class TurnQueue {
+export class TimeSlicedQueue {
   private readonly waiting = new Set<QueuedWork>();
   private isTurnScheduled = false;
   private budgetEndsAt = -Infinity;
--- a/src/base/pacer.ts
+++ b/src/base/token-bucket.ts
@@ -5,7 +5,7 @@
  * A token bucket that refills at `unitsPerSecond` up to `maxBurstUnits`. It starts full. A reservation of
  * more units than it holds takes it below zero, into debt.
  */
-export class Pacer {
+export class TokenBucket {
   private availableUnits: number;
   private refilledAt: number;
 
--- a/src/base/defects.ts
+++ b/src/base/unexpected-failures.ts
@@ -6,7 +6,7 @@
  * handles the failures that it expects, so any other failure is a defect of the program. The caller throws
  * the error again after logging it, and the error ends the process like any other unhandled error.
  */
-export function logDefect(log: Log, work: string, error: unknown): void {
+export function logUnexpectedFailure(log: Log, work: string, error: unknown): void {
   log.error(
     { event: 'unexpected-failure', work, err: error },
     'background work failed unexpectedly; the process exits',
--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { steadyClock } from '../base/clock.js';
+import { monotonicClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import { Term } from '../leadership/term.js';
 import { testSettings } from '../testing/settings.js';
@@ -75,7 +75,7 @@
   const commits: Commit[] = [];
   const emptyMap = new Map();
   const ports = {
-    clock: steadyClock,
+    clock: monotonicClock,
     wallClock: Date.now,
     log: silentLog,
     term,
@@ -92,7 +92,7 @@
       waitingSlots: () => 0,
     },
     store: { failing: false },
-    mirror: { revision: 1 },
+    replica: { revision: 1 },
     machineTypes: () => emptyMap,
     isBooted: () => true,
     lookahead: 0,
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -2,7 +2,7 @@
  * The leader's loop that assigns owners, machines and quota shares to blocks, and dispatches jobs to blocks.
  */
 import { type Clock, sleep } from '../base/clock.js';
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -84,7 +84,7 @@
 
   private async runRound(): Promise<void> {
     await this.assignBlocks();
-    await nextTurn();
+    await nextEventLoopIteration();
     if (this.isReplicaCurrent()) this.dispatchedRevision = await this.dispatcher.runRound();
   }
 
@@ -98,9 +98,9 @@
    * the term began.
    */
   private isReplicaCurrent(): boolean {
-    const { term, mirror } = this.ports;
+    const { term, replica } = this.ports;
     const revisions = [term.fencingToken, this.leases.committedRevision, this.dispatchedRevision];
-    return mirror.revision >= Math.max(...revisions);
+    return replica.revision >= Math.max(...revisions);
   }
 
   private async assignBlocks(): Promise<void> {
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -5,7 +5,7 @@
   type BlockRecord,
   type LeasedMachine,
   type QuotaShares,
-  tokenOfOwnCommit,
+  tokenFromCommitRevision,
 } from '../wire/block-records.js';
 import type { Member } from './block-registry.js';
 
@@ -71,8 +71,8 @@
 export function leaseBlock(record: BlockRecord, owner: Member): void {
   record.owner = owner.label;
   record.incarnation = owner.incarnation;
-  record.leaseFencingToken = tokenOfOwnCommit;
-  for (const machine of record.machines) machine.fencingToken = tokenOfOwnCommit;
+  record.leaseFencingToken = tokenFromCommitRevision;
+  for (const machine of record.machines) machine.fencingToken = tokenFromCommitRevision;
 }
 
 function copyBlocks(input: AssignmentInput): Map<number, BlockRecord> {
--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -1,5 +1,5 @@
 /** Reads blocks, machines and live controllers from this controller's replica of the store. */
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import {
   type BlockRecord,
   hasInlineMachines,
@@ -55,7 +55,7 @@
 
   /** `labels`: the labels of all controllers in the settings. */
   constructor(
-    private readonly mirror: Mirror,
+    private readonly replica: StoreReplica,
     private readonly labels: string[] = [],
   ) {}
 
@@ -65,8 +65,8 @@
    */
   get isClusterUpgraded(): boolean {
     this.knownUpgraded ||=
-      this.mirror.ready &&
-      this.labels.every((label) => parseFormat(this.mirror.get(formatKey(label))?.value) >= currentFormat);
+      this.replica.ready &&
+      this.labels.every((label) => parseFormat(this.replica.get(formatKey(label))?.value) >= currentFormat);
     return this.knownUpgraded;
   }
 
@@ -76,7 +76,7 @@
    */
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
-    for (const [key, entry] of this.mirror.entriesWithPrefix(blockPrefix)) {
+    for (const [key, entry] of this.replica.entriesWithPrefix(blockPrefix)) {
       const block = Number(key.slice(blockPrefix.length));
       const stored = this.parseStored(block, entry);
       if (stored) blocks.set(block, stored.record);
@@ -89,19 +89,19 @@
    * no record.
    */
   storedBlock(block: number): StoredBlock | undefined {
-    const entry = this.mirror.get(blockKey(block));
+    const entry = this.replica.get(blockKey(block));
     return entry && this.parseStored(block, entry);
   }
 
   /** Store revision of the last change of the block's record; 0 if the block has no record. */
   blockVersion(block: number): number {
-    return this.mirror.version(blockKey(block));
+    return this.replica.version(blockKey(block));
   }
 
   /** The controllers whose lease at the state service has not expired, as far as the replica has it. */
   liveMembers(): Member[] {
     const members: Member[] = [];
-    for (const [key, entry] of this.mirror.entriesWithPrefix(alivePrefix)) {
+    for (const [key, entry] of this.replica.entriesWithPrefix(alivePrefix)) {
       const alive = parseAlive(entry.value);
       if (alive) members.push({ label: key.slice(alivePrefix.length), ...alive });
     }
@@ -110,7 +110,7 @@
 
   /** Whether the controller with this label is alive. */
   isAlive(label: string): boolean {
-    return this.mirror.get(aliveKey(label)) !== undefined;
+    return this.replica.get(aliveKey(label)) !== undefined;
   }
 
   /** The machines of all blocks, by machine id. */
@@ -149,7 +149,7 @@
   }
 
   private pagesOf(block: number): Map<number, StoredValue> {
-    return machinePages(block, this.mirror.entriesWithPrefix(machinesPrefix(block)));
+    return machinePages(block, this.replica.entriesWithPrefix(machinesPrefix(block)));
   }
 
   /**
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -2,9 +2,9 @@
 import { describe, test } from 'node:test';
 
 import { CommitQueue } from '../store/commit-queue.js';
-import { HeldStore } from '../testing/held-store.js';
+import { InMemoryStore } from '../testing/in-memory-store.js';
+import { loadReplica } from '../testing/load-replica.js';
 import { testSettings } from '../testing/settings.js';
-import { mirrorOf } from '../testing/stored-mirror.js';
 import { type BlockRecord, blockRecord, type LeasedMachine } from '../wire/block-records.js';
 import { formatRecord } from '../wire/controller-records.js';
 import { blockKey, formatKey } from '../wire/keys.js';
@@ -37,7 +37,7 @@
  * of controllers.
  */
 class WriterFixture {
-  readonly store = new HeldStore();
+  readonly store = new InMemoryStore();
   private readonly settings;
 
   constructor(next: Record<string, number> = nextLimits) {
@@ -54,11 +54,11 @@
       [],
       [...formats, { put: blockKey(0), value: blockRecord(recordOf(machines)) }],
     );
-    this.store.forgetSizes();
+    this.store.resetLargestSizes();
   }
 
   async registry(): Promise<BlockRegistry> {
-    return new BlockRegistry(await mirrorOf(this.store), labels);
+    return new BlockRegistry(await loadReplica(this.store), labels);
   }
 
   async read(): Promise<BlockRecord> {
@@ -104,7 +104,7 @@
       const before = await fixture.read();
       fixture.store.onWrite = async () => assert.deepEqual(idsOf(await fixture.read()), idsOf(before));
       const { outcome } = await fixture.write({ ...before, quotaShares: { red: [8, 0] } });
-      await fixture.store.checked;
+      await fixture.store.lastOnWriteResult;
       assert.equal(outcome.kind, 'applied');
       const after = await fixture.read();
       assert.deepEqual(idsOf(after), idsOf(before));
@@ -121,7 +121,7 @@
     const fixture = new WriterFixture(next);
     await fixture.prepare(10);
     await fixture.write(recordOf(machines));
-    fixture.store.forgetSizes();
+    fixture.store.resetLargestSizes();
     return fixture;
   }
 
@@ -173,7 +173,7 @@
     const versions = new Set<number>();
     fixture.store.onWrite = async () => void versions.add((await fixture.registry()).blockVersion(0));
     await fixture.write(next);
-    await fixture.store.checked;
+    await fixture.store.lastOnWriteResult;
     assert.ok(versions.size >= 5);
     assert.ok(fixture.store.largestWrites <= 6);
     assert.ok((await fixture.read()).machines.every(({ draining }) => draining));
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -5,8 +5,13 @@
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { CommitOutcome } from '../store/transactions.js';
-import { type BlockRecord, blockRecord, pagedBlockRecord, tokenOfOwnCommit } from '../wire/block-records.js';
-import { sizeOf } from '../wire/codec.js';
+import {
+  type BlockRecord,
+  blockRecord,
+  pagedBlockRecord,
+  tokenFromCommitRevision,
+} from '../wire/block-records.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { blockKey } from '../wire/keys.js';
 import type { Condition } from '../wire/state.js';
 import type { BlockRegistry } from './block-registry.js';
@@ -100,7 +105,7 @@
     const { registry, settings } = this.ports;
     if (registry.storedBlock(block)?.isInline === false) return true;
     if (!registry.isClusterUpgraded) return false;
-    return sizeOf(blockRecord(next)) > settings.state.valueBytes * maxInlineRecordRatio;
+    return jsonSizeBytes(blockRecord(next)) > settings.state.valueBytes * maxInlineRecordRatio;
   }
 
   private async writePages({ block, next, guards, ...start }: BlockWrite): Promise<BlockWriteResult> {
@@ -151,7 +156,7 @@
  * again.
  */
 function withFencingToken(record: BlockRecord, firstRevision: number): BlockRecord {
-  return record.leaseFencingToken === tokenOfOwnCommit
+  return record.leaseFencingToken === tokenFromCommitRevision
     ? { ...record, leaseFencingToken: firstRevision }
     : record;
 }
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -1,5 +1,5 @@
 /** Estimates from the replica of the store how many more tasks of a kind each block can take. */
-import { fits, type JobSpec, type MachineType, type Resources, taskKind } from '../model/types.js';
+import { fits, type JobSpec, type MachineType, type Resources, taskRequirementsKey } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import type { BlockRegistry } from './block-registry.js';
@@ -99,7 +99,7 @@
 
   /** The blocks that may take tasks of the job, in descending order of free slots. */
   slotsByBlock(spec: JobSpec): BlockSlots[] {
-    const kind = taskKind(spec);
+    const kind = taskRequirementsKey(spec);
     let measured = this.slotsByTaskKind.get(kind);
     if (!measured) {
       measured = this.candidateBlocks().map(([block, record]) => this.measureBlock(spec, block, record));
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -1,11 +1,11 @@
 /** Dispatches the tasks of jobs to blocks, on behalf of the leader. */
 import type { Clock } from '../base/clock.js';
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { type CapacityEstimate, type CapacityPorts, estimateCapacity } from './capacity-estimate.js';
 import { DispatchWriter, type DispatchWriterPorts } from './dispatch-writer.js';
 import { dispatchToFreeSlots } from './job-dispatch.js';
@@ -20,7 +20,7 @@
   wallClock: () => number;
   settings: Settings;
   commits: CommitQueue;
-  mirror: Pick<Mirror, 'revision'>;
+  replica: Pick<StoreReplica, 'revision'>;
   jobIndex: JobIndex;
   order: QueueOrder;
   /** How many tasks beyond its free slots may be dispatched to a block, as a ratio of its size. */
@@ -60,8 +60,8 @@
    */
   async runRound(): Promise<number> {
     await this.dispatchJobs();
-    await nextTurn();
-    if (this.ports.mirror.revision >= this.writer.committedRevision) await this.rebalancer.run();
+    await nextEventLoopIteration();
+    if (this.ports.replica.revision >= this.writer.committedRevision) await this.rebalancer.run();
     return this.writer.committedRevision;
   }
 
--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '../base/log.js';
 import { leasedMachine, ownedBlock } from '../testing/block-records.js';
 import { testSettings } from '../testing/settings.js';
-import { type BlockRecord, tokenOfOwnCommit } from '../wire/block-records.js';
+import { type BlockRecord, tokenFromCommitRevision } from '../wire/block-records.js';
 import type { BlockWriteResult } from './block-writer.js';
 import { LeaseRenewals } from './lease-renewals.js';
 
@@ -36,7 +36,7 @@
   assert.equal(written[0]?.incarnation, 'second');
   assert.deepEqual(
     written[0].machines.map(({ fencingToken }) => fencingToken),
-    [tokenOfOwnCommit],
+    [tokenFromCommitRevision],
   );
   assert.deepEqual(record, ownedBlock(label, leasedMachine('m1')));
   answer({ outcome: { kind: 'applied', revision: 9 }, version: 7 });
--- a/src/blocks/lease-writer.test.ts
+++ b/src/blocks/lease-writer.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { steadyClock } from '../base/clock.js';
+import { monotonicClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import type { CommitOutcome } from '../store/transactions.js';
 import { leasedMachine, ownedBlock } from '../testing/block-records.js';
@@ -35,7 +35,7 @@
     storedBlock: () => undefined,
   };
   const leases = new LeaseWriter({
-    clock: steadyClock,
+    clock: monotonicClock,
     log: silentLog,
     settings: { ...testSettings(), heartbeatIntervalMs: 1 },
     registry,
--- a/src/blocks/machine-pages.ts
+++ b/src/blocks/machine-pages.ts
@@ -3,8 +3,8 @@
  */
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
-import { type LeasedMachine, machineGroups, machineKind } from '../wire/block-records.js';
-import { sizeOf } from '../wire/codec.js';
+import { type LeasedMachine, machineGroupKey, machineGroups } from '../wire/block-records.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { machinesKey } from '../wire/keys.js';
 import { type Condition, maxTransactionBytes, type Write } from '../wire/state.js';
 import type { StoredBlock } from './block-registry.js';
@@ -97,7 +97,7 @@
 function addToPage(pages: Map<number, Page>, number: number, machine: LeasedMachine): void {
   const page = pages.get(number) ?? { bytes: 0, kinds: new Set<string>(), machines: [] };
   page.bytes += addedBytes(page, machine);
-  page.kinds.add(machineKind(machine));
+  page.kinds.add(machineGroupKey(machine));
   page.machines.push(machine);
   pages.set(number, page);
 }
@@ -112,9 +112,9 @@
  */
 function addedBytes(page: Page, machine: LeasedMachine): number {
   const entryBytes = machine.id.length + numberDigits * numbersPerMachine;
-  if (page.kinds.has(machineKind(machine))) return entryBytes;
+  if (page.kinds.has(machineGroupKey(machine))) return entryBytes;
   const [group] = machineGroups([{ ...machine, fencingToken: 0 }]);
-  return entryBytes + sizeOf(group);
+  return entryBytes + jsonSizeBytes(group);
 }
 
 function haveSameMachines(a: LeasedMachine[], b: LeasedMachine[]): boolean {
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -13,7 +13,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 
 /** The part of an owned block that its health monitor uses. */
 export interface MonitoredBlock {
@@ -39,7 +39,7 @@
   settings: Settings;
   store: StoreClient;
   commits: CommitQueue;
-  mirror: Mirror;
+  replica: StoreReplica;
   jobIndex: JobIndex;
   order: QueueOrder;
   machineTypes: () => ReadonlyMap<string, MachineType>;
@@ -67,7 +67,7 @@
     readonly layout: LedgerLayout,
     ports: OwnedBlockPorts,
   ) {
-    const { settings, log, clock, wallClock, mirror, order, jobIndex } = ports;
+    const { settings, log, clock, wallClock, replica, order, jobIndex } = ports;
     const { signal } = this.abortController;
     // Each commit that waits for its retry adds a listener to the signal, so their number must not be
     // limited.
@@ -82,7 +82,7 @@
       queueOrder: order,
       dependencyFactsOf: (spec) => jobIndex.dependencyFactsOf(spec),
     });
-    blockState.load(mirror);
+    blockState.load(replica);
     const scheduler = new Scheduler({ ...ports, blockState, signal });
     const healthMonitor = ports.createHealthMonitor({
       blockState,
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -2,7 +2,7 @@
  * Starts and stops the blocks that are leased to this controller, as their leases change in the replica of
  * the store.
  */
-import { logDefect } from '../base/defects.js';
+import { logUnexpectedFailure } from '../base/unexpected-failures.js';
 import type { BlockState } from '../placement/block-state.js';
 import { type LedgerLayout, ledgerLayout } from '../placement/ledger-layout.js';
 import type { MachineState } from '../placement/machine-state.js';
@@ -128,7 +128,7 @@
    */
   private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
     this.renewals.renew(block, record, reason).catch((error: unknown) => {
-      logDefect(this.ports.log, 'lease-renewal', error);
+      logUnexpectedFailure(this.ports.log, 'lease-renewal', error);
       throw error;
     });
   }
--- a/src/blocks/rebalancer.test.ts
+++ b/src/blocks/rebalancer.test.ts
@@ -4,12 +4,12 @@
 import { silentLog } from '../base/log.js';
 import { JobIndex } from '../placement/job-index.js';
 import { QueueOrder } from '../placement/queue-order.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import { leasedMachine, ownedBlock } from '../testing/block-records.js';
-import { jobSpec } from '../testing/block-stage.js';
 import { machineType } from '../testing/cloud-standin.js';
-import { HeldStore } from '../testing/held-store.js';
+import { InMemoryStore } from '../testing/in-memory-store.js';
+import { loadReplica } from '../testing/load-replica.js';
 import { testSettings } from '../testing/settings.js';
-import { mirrorOf } from '../testing/stored-mirror.js';
 import { blockRecord } from '../wire/block-records.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import { jobRecord, parseJobRecord, type TaskRange } from '../wire/job-records.js';
@@ -30,7 +30,7 @@
 async function createFixture(
   tasks: number,
 ): Promise<{ run: (nowMs: number) => Promise<TaskRange[] | undefined> }> {
-  const store = new HeldStore();
+  const store = new InMemoryStore();
   const spec = jobSpec('req-1', tasks);
   const taskRanges = [{ block: 0, first: 0, count: tasks }];
   await store.commit(
@@ -44,9 +44,9 @@
       { put: jobKey('req-1'), value: jobRecord({ spec, taskRanges }) },
     ],
   );
-  const mirror = await mirrorOf(store);
+  const replica = await loadReplica(store);
   const jobIndex = new JobIndex(() => 0);
-  jobIndex.load(mirror);
+  jobIndex.load(replica);
   const written: Write[] = [];
   const commit = (_conditions: unknown, writes: Write[]): Promise<{ kind: 'applied'; revision: number }> => {
     written.push(...writes);
@@ -59,7 +59,7 @@
     settings,
     jobIndex,
     order: new QueueOrder([]),
-    registry: new BlockRegistry(mirror),
+    registry: new BlockRegistry(replica),
     machineTypes: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type])),
     isBooted: () => true,
     writer: new DispatchWriter({ log: silentLog, settings, commits: { commit }, term: { fencingToken: 1 } }),
--- a/src/blocks/task-recall.test.ts
+++ b/src/blocks/task-recall.test.ts
@@ -3,7 +3,7 @@
 
 import type { JobSpec } from '../model/types.js';
 import type { IndexedEntry } from '../placement/ledger-index.js';
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import type { TaskRange } from '../wire/job-records.js';
 import { recallTasks, restoreStartedTasks } from './task-recall.js';
 
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -2,7 +2,7 @@
  * Recalls tasks that a block has not started, and returns recalled tasks to a block that had already started
  * them.
  */
-import { fromRanges } from '../base/ranges.js';
+import { expandRanges } from '../base/ranges.js';
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { IndexedEntry } from '../placement/ledger-index.js';
 import type { TaskRange } from '../wire/job-records.js';
@@ -81,7 +81,7 @@
   for (const entry of entries) {
     if (entry.block !== block) continue;
     for (const [index] of entry.active) started.add(index);
-    for (const index of fromRanges(entry.done)) started.add(index);
+    for (const index of expandRanges(entry.done)) started.add(index);
   }
   return started;
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -5,8 +5,8 @@
 
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
-import { type Answer, HttpPeer } from '../base/http.js';
-import { Pacer } from '../base/pacer.js';
+import { HttpClient, type HttpResponse } from '../base/http.js';
+import { TokenBucket } from '../base/token-bucket.js';
 import type { CloudMachine, MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
 import {
@@ -45,7 +45,7 @@
 /** A rental request without a response is sent once more. */
 const maxRentalAttempts = 2;
 /** Maximum number of machines on one page of the machine list; a limit of the cloud. */
-export const maxMachinesPerList = 500;
+export const maxMachinesPerPage = 500;
 /** Maximum number of machines in one release request; a limit of the cloud. */
 export const maxMachinesPerRelease = 100;
 /** Maximum number of machines in one rental request; a limit of the cloud. */
@@ -56,8 +56,8 @@
  * `listMachines` throw a `CloudError` if there is no result; `rent` and `release` never throw.
  */
 export class CloudClient {
-  private readonly peer: HttpPeer;
-  private readonly pacer: Pacer;
+  private readonly peer: HttpClient;
+  private readonly pacer: TokenBucket;
   /**
    * Unique across all controllers and process restarts, because a request name that got a 200 must never be
    * used for another rental.
@@ -71,9 +71,9 @@
     clock: Clock,
     private readonly signal: AbortSignal,
   ) {
-    this.peer = new HttpPeer(settings.cloudAddress, maxConnections);
+    this.peer = new HttpClient(settings.cloudAddress, maxConnections);
     const ratePerS = settings.cloud.rps * requestRateShare;
-    this.pacer = new Pacer(ratePerS, ratePerS, clock);
+    this.pacer = new TokenBucket(ratePerS, ratePerS, clock);
   }
 
   /** Returns the machine types that the cloud offers. Throws a `CloudError` if there is no result. */
@@ -88,7 +88,7 @@
     const machines: CloudMachine[] = [];
     let after = '';
     for (;;) {
-      const path = machineListPath(after, maxMachinesPerList);
+      const path = machineListPath(after, maxMachinesPerPage);
       const answer = await this.request('machine list', 'GET', path, undefined);
       requireOk('machine list', answer);
       const page = parseMachineList(answer.body);
@@ -141,7 +141,7 @@
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     await sleep(this.pacer.reserve(1), this.signal);
     try {
       return await this.peer.exchange(method, path, body, {
@@ -154,11 +154,11 @@
   }
 }
 
-function requireOk(operation: CloudOperation, answer: Answer): void {
+function requireOk(operation: CloudOperation, answer: HttpResponse): void {
   if (answer.status !== 200) throw new CloudStatusError(operation, answer.status);
 }
 
-function rentalOutcome(answer: Answer): RentalOutcome {
+function rentalOutcome(answer: HttpResponse): RentalOutcome {
   switch (answer.status) {
     case 200:
       return { kind: 'rented', machines: parseMachineNames(answer.body) };
@@ -171,7 +171,7 @@
   }
 }
 
-function isCapacityRefusal(answer: Answer): boolean {
+function isCapacityRefusal(answer: HttpResponse): boolean {
   const body = answer.body as { error?: unknown } | undefined;
   return body?.error === 'no capacity';
 }
--- a/src/controller/block-ownership.ts
+++ b/src/controller/block-ownership.ts
@@ -44,7 +44,7 @@
     signal: ports.signal,
     store: state.store,
     commits: state.commitQueues.duty,
-    mirror: state.mirror,
+    replica: state.replica,
     registry: state.registry,
     jobIndex: state.jobIndex,
     order: ports.order,
@@ -63,7 +63,7 @@
     operator: ports.operator,
     cloud: ports.cloud,
     machineTypes: () => ports.machineTypes.types,
-    isStoreReachable: () => state.knowledge.isStoreReachable(),
+    isStoreReachable: () => state.replicaFreshness.isStoreReachable(),
     // If no worker reaches this controller, only another controller can keep the tasks of the workers
     // running. The leader leases the blocks of this controller to others as soon as this controller's lease
     // has ended.
--- a/src/controller/controller.test.ts
+++ b/src/controller/controller.test.ts
@@ -17,7 +17,10 @@
     const repeated = await cluster.user(1, 'POST', '/v2/runs', submission('req-000001', 9));
     assert.equal(repeated.status, 200);
     assert.notEqual(await cluster.status(2, 'req-000001'), '404');
-    await cluster.until('the job is done', async () => (await cluster.status(1, 'req-000001')) === 'done');
+    await cluster.waitUntil(
+      'the job is done',
+      async () => (await cluster.status(1, 'req-000001')) === 'done',
+    );
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000001'), 'done');
     const afterCompletion = await cluster.user(2, 'POST', '/v2/runs', submission('req-000001', 5));
     assert.deepEqual(
@@ -30,11 +33,11 @@
     await cluster.user(0, 'POST', '/v2/runs', submission('req-000002', 4));
     const isRunning = (): boolean =>
       [...cluster.workers.values()].some((w) => w.running.some((p) => p.startsWith('req-000002/')));
-    await cluster.until('a task runs', isRunning);
+    await cluster.waitUntil('a task runs', isRunning);
     const answer = await cluster.user(2, 'POST', '/v2/runs/req-000002/cancel', {});
     assert.deepEqual([answer.status, answer.body], [200, { id: 'req-000002', status: 'cancelled' }]);
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000002'), 'cancelled');
-    await cluster.until('no task of the job runs any more', () => !isRunning(), 2000);
+    await cluster.waitUntil('no task of the job runs any more', () => !isRunning(), 2000);
     const repeated = await cluster.user(1, 'POST', '/v2/runs/req-000002/cancel', {});
     assert.deepEqual(repeated.body, { id: 'req-000002', status: 'cancelled' });
   });
@@ -71,7 +74,7 @@
   test('a job of 100,000 tasks is accepted, and its stored values stay within the size limit of a value', async () => {
     const job = submission('req-000004', 100_000, { owner: 'blue', cpus: 8 });
     assert.equal((await cluster.user(0, 'POST', '/v2/runs', job)).status, 201);
-    await cluster.until(
+    await cluster.waitUntil(
       'the job is running',
       async () => (await cluster.status(1, 'req-000004')) === 'running',
     );
@@ -79,40 +82,46 @@
   });
 
   test('no job is lost when responses of the store to commits are lost', async () => {
-    cluster.store.losesAnswers = 3;
-    await cluster.until('the job is accepted', async () => {
+    cluster.store.answersToDrop = 3;
+    await cluster.waitUntil('the job is accepted', async () => {
       const answer = await cluster.user(0, 'POST', '/v2/runs', submission('req-000005', 3));
       return answer.status === 200 || answer.status === 201;
     });
-    await cluster.until('the job is done', async () => (await cluster.status(0, 'req-000005')) === 'done');
+    await cluster.waitUntil(
+      'the job is done',
+      async () => (await cluster.status(0, 'req-000005')) === 'done',
+    );
   });
 
   test('while the store is down, submissions are refused with 503 at once; jobs continue after the outage', async () => {
     await cluster.user(0, 'POST', '/v2/runs', submission('req-000006', 3));
-    cluster.store.down = true;
-    await cluster.until('a submission is refused with 503 within 500 ms', async () => {
+    cluster.store.hasOutage = true;
+    await cluster.waitUntil('a submission is refused with 503 within 500 ms', async () => {
       const sentAt = Date.now();
       const answer = await cluster.user(1, 'POST', '/v2/runs', submission('req-000007', 1));
       return answer.status === 503 && Date.now() - sentAt < 500;
     });
-    cluster.store.down = false;
-    await cluster.until('the job is done', async () => (await cluster.status(2, 'req-000006')) === 'done');
+    cluster.store.hasOutage = false;
+    await cluster.waitUntil(
+      'the job is done',
+      async () => (await cluster.status(2, 'req-000006')) === 'done',
+    );
   });
 
   test('no job is lost when the leader stops: its block is leased anew', async () => {
-    const leader = await cluster.leading();
+    const leader = await cluster.waitForLeader();
     const leaderNode = ['keel-0', 'keel-1', 'keel-2'].indexOf(leader);
     const otherNode = (leaderNode + 1) % 3;
     await cluster.user(otherNode, 'POST', '/v2/runs', submission('req-000008', 12));
     cluster.stopController(leader);
-    await cluster.leading(leader);
-    await cluster.until(
+    await cluster.waitForLeader(leader);
+    await cluster.waitUntil(
       'the job is done',
       async () => (await cluster.status(otherNode, 'req-000008')) === 'done',
       20_000,
     );
     cluster.startController(leader);
-    await cluster.until(
+    await cluster.waitUntil(
       'the restarted former leader returns the status of the job',
       async () => (await cluster.status(leaderNode, 'req-000008')) === 'done',
     );
@@ -125,19 +134,19 @@
     const ids = [0, 1, 2].map((i) => `req-00001${i}`);
     for (const [i, id] of ids.entries()) await cluster.user(i, 'POST', '/v2/runs', submission(id, 4));
     const leaderBefore = cluster.store.value('lead');
-    cluster.store.down = true;
+    cluster.store.hasOutage = true;
     for (const label of ['keel-0', 'keel-1', 'keel-2']) {
       cluster.stopController(label);
       // The restart takes a fraction of a second: the key of the previous incarnation is still in the store.
       await new Promise((resolve) => setTimeout(resolve, 150));
       cluster.startController(label);
     }
-    cluster.store.down = false;
-    await cluster.until('every controller returns the status of every job', async () => {
+    cluster.store.hasOutage = false;
+    await cluster.waitUntil('every controller returns the status of every job', async () => {
       const statuses = [0, 1, 2].flatMap((node) => ids.map((id) => cluster.status(node, id)));
       return (await Promise.all(statuses)).every((status) => !/^[45]/.test(status));
     });
-    await cluster.until(
+    await cluster.waitUntil(
       'all jobs are done',
       async () => {
         const statuses = ids.map((id, node) => cluster.status(node, id));
@@ -151,7 +160,7 @@
   test('in all tests above, no task ran twice at the same time', () => {
     const doubleStarts = cluster.violations().filter((violation) => violation.startsWith('ran_twice'));
     assert.deepEqual(doubleStarts, []);
-    assert.ok(cluster.history.happenings.some(({ kind }) => kind === 'started'));
+    assert.ok(cluster.history.events.some(({ kind }) => kind === 'started'));
     assert.equal(cluster.store.refusals, 0);
   });
 });
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto';
 import { setMaxListeners } from 'node:events';
 
-import { steadyClock } from '../base/clock.js';
+import { monotonicClock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
 import { BootedMachines } from '../blocks/booted-machines.js';
@@ -46,7 +46,7 @@
  * are connected nowhere else.
  */
 export class Controller {
-  private readonly clock = steadyClock;
+  private readonly clock = monotonicClock;
   private readonly incarnation = randomUUID();
   private readonly leaseTtlMs: number;
   private readonly state: StateAccess;
@@ -100,7 +100,7 @@
     log.info({ event: 'start', incarnation, zone: settings.zone }, 'controller is starting');
     await Promise.all([
       this.keepRunning('web', (signal) => this.httpService.run(signal)),
-      this.keepRunning('mirror', (signal) => this.state.mirror.follow(signal), storeProbeIntervalMs),
+      this.keepRunning('mirror', (signal) => this.state.replica.follow(signal), storeProbeIntervalMs),
       this.keepRunning('machine-types', (signal) => this.machineTypes.run(signal), machineTypesRetryMs),
       this.keepRunning(
         'store-contact',
@@ -136,7 +136,7 @@
       log: this.log,
       store: this.state.store,
       commits: this.state.commitQueues.duty,
-      mirror: this.state.mirror,
+      replica: this.state.replica,
       label: this.settings.label,
       zone: this.settings.zone,
       incarnation: this.incarnation,
@@ -169,7 +169,7 @@
       operator: this.operator,
       incarnation: this.incarnation,
       store: this.state.store,
-      mirror: this.state.mirror,
+      replica: this.state.replica,
       commits: this.state.commitQueues.leader,
       cloud: this.cloud,
       registry: this.state.registry,
@@ -177,7 +177,7 @@
       order: this.order,
       bootedMachines: this.bootedMachines,
       machineTypes: () => this.machineTypes.types,
-      isStoreReachable: () => this.state.knowledge.isStoreReachable(),
+      isStoreReachable: () => this.state.replicaFreshness.isStoreReachable(),
     });
   }
 
@@ -187,7 +187,7 @@
       log: this.log,
       store: this.state.store,
       commits: this.state.commitQueues.duty,
-      mirror: this.state.mirror,
+      replica: this.state.replica,
       membership: this.membership,
       label: this.settings.label,
       incarnation: this.incarnation,
@@ -203,7 +203,7 @@
       log: this.log,
       settings: this.settings,
       store: this.state.store,
-      mirror: this.state.mirror,
+      replica: this.state.replica,
       jobIndex: this.state.jobIndex,
       commits: this.state.commitQueues.duty,
       isLeading: () => this.election.term !== undefined,
@@ -216,21 +216,21 @@
       bootedMachines: this.bootedMachines,
       leaderDuties: this.leaderDuties,
       term: () => this.election.term,
-      mirror: this.state.mirror,
+      replica: this.state.replica,
     });
     return new PeerLinks({
       clock: this.clock,
       log: this.log,
       settings: this.settings,
       incarnation: this.incarnation,
-      storeRevision: () => this.state.mirror.revision,
+      storeRevision: () => this.state.replica.revision,
       localStatus: () => ({
         storeContactAgeMs: this.state.store.contactAgeMs(this.clock()),
         fencingToken: this.election.term?.fencingToken ?? 0,
         terminatedMachines: this.machineEvents.terminated(),
         bootedMachines: this.machineEvents.booted(),
       }),
-      cancellationsSince: (revision) => this.state.cancellations.since(revision),
+      cancellationsSince: (revision) => this.state.cancellations.listSince(revision),
       onStatus: (status) => statusHandler.apply(status),
     });
   }
@@ -256,7 +256,7 @@
       times: this.settings,
       peers: this.settings.peers.map(({ label }) => label),
       leaseTtlMs: this.leaseTtlMs,
-      changesKnownUntil: () => this.state.knowledge.changesKnownUntil,
+      changesKnownUntil: () => this.state.replicaFreshness.changesKnownUntil,
       lastStoreContactAt: () => this.state.store.lastContactAt,
       lastPeerStatus: (label) => this.peerLinks.lastStatus(label),
     });
@@ -268,7 +268,7 @@
       ownedBlocks: this.ownedBlocks,
       registry: this.state.registry,
       leader: () => this.election.leader,
-      mayStartTasks: () => this.state.knowledge.mayStartTasks(),
+      mayStartTasks: () => this.state.replicaFreshness.mayStartTasks(),
       mayAnswerHeartbeats: () => responsePolicy.mayRespond(),
     });
   }
@@ -278,8 +278,8 @@
     return new StoreContactMonitor({
       clock: this.clock,
       store: this.state.store,
-      mirror: this.state.mirror,
-      changesKnownUntil: () => this.state.knowledge.changesKnownUntil,
+      replica: this.state.replica,
+      changesKnownUntil: () => this.state.replicaFreshness.changesKnownUntil,
       heartbeatIntervalMs: this.settings.heartbeatIntervalMs,
       onChecked: () => housekeeping.runOnce(),
     });
@@ -292,7 +292,7 @@
       store: this.state.store,
       queueLengths: () => queueLengths(this.state.commitQueues),
       openJobs: () => this.state.jobIndex.jobs.size,
-      periodMs: this.operator.ladder.periodS * 1000,
+      periodMs: this.operator.ladder.adjustmentPeriodS * 1000,
     });
     return new Housekeeping({
       label: this.settings.label,
@@ -309,11 +309,11 @@
 
   private listenToReplica(): void {
     const changeHandler = new ReplicaChangeHandler({
-      mirror: this.state.mirror,
+      replica: this.state.replica,
       cancellations: this.state.cancellations,
       jobIndex: this.state.jobIndex,
       ownedBlocks: this.ownedBlocks,
     });
-    this.state.mirror.listen((changes) => changeHandler.apply(changes));
+    this.state.replica.listen((changes) => changeHandler.apply(changes));
   }
 }
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -67,7 +67,7 @@
       return createUserHandler(intake.routes, fastPathRoutes, log);
     };
     const options = {
-      ...parseSocketAddress(settings.serveOn),
+      ...parseSocketAddress(settings.listenAddress),
       fastPathRoutes,
       loadHandler,
       log,
@@ -91,7 +91,7 @@
       leader: ports.leader,
       mayStartTasks: ports.mayStartTasks,
       mayAnswerHeartbeats: ports.mayAnswerHeartbeats,
-      areConnectionsScarce: () => load.isCrowded,
+      areConnectionsScarce: () => load.isNearLimit,
       heartbeatIntervalMs,
       maxCommitWaitMs: heartbeatIntervalMs * maxCommitWaitHeartbeats,
     });
--- a/src/controller/leader-duties.test.ts
+++ b/src/controller/leader-duties.test.ts
@@ -9,7 +9,7 @@
 test('no duty starts before the replica has reached the revision of the commit that won the election', async () => {
   let blocksRead = 0;
   const ports = {
-    mirror: { revision: 6 },
+    replica: { revision: 6 },
     registry: {
       blocks: () => {
         blocksRead++;
--- a/src/controller/leader-duties.ts
+++ b/src/controller/leader-duties.ts
@@ -15,7 +15,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 
 /** Dependencies of the leader's duties on the rest of the controller. */
 export interface LeaderDutiesPorts {
@@ -28,7 +28,7 @@
   /** Identifies this run of the controller process; every restart has a new one. */
   incarnation: string;
   store: StoreClient;
-  mirror: Mirror;
+  replica: StoreReplica;
   /** The queue for commits that only the leader makes. */
   commits: CommitQueue;
   cloud: CloudClient;
@@ -54,8 +54,8 @@
    * leaders: it must have reached the revision of the commit that won the election.
    */
   async run(term: Term): Promise<void> {
-    const { log, mirror } = this.ports;
-    while (!term.signal.aborted && mirror.revision < term.fencingToken) {
+    const { log, replica } = this.ports;
+    while (!term.signal.aborted && replica.revision < term.fencingToken) {
       await sleep(replicaPollMs, term.signal);
     }
     if (term.signal.aborted) return;
@@ -88,7 +88,7 @@
       cloud: ports.cloud,
       jobIndex: ports.jobIndex,
       order: ports.order,
-      mirror: ports.mirror,
+      replica: ports.replica,
       commits: ports.commits,
       term,
       isFirstTerm: ports.registry.blocks().size === 0,
@@ -100,7 +100,7 @@
 
   private createAllocator(term: Term, autoscaler: Autoscaler): BlockAllocator {
     const { ports } = this;
-    const { quotaSharePeriodS, lookahead } = ports.operator.blocks;
+    const { quotaSharePeriodS, dispatchLookaheadShare } = ports.operator.blocks;
     return new BlockAllocator({
       clock: ports.clock,
       wallClock: ports.wallClock,
@@ -108,7 +108,7 @@
       settings: ports.settings,
       incarnation: ports.incarnation,
       store: ports.store,
-      mirror: ports.mirror,
+      replica: ports.replica,
       commits: ports.commits,
       registry: ports.registry,
       jobIndex: ports.jobIndex,
@@ -117,7 +117,7 @@
       rentedMachines: rentedMachinesOf(autoscaler),
       machineTypes: ports.machineTypes,
       quotaSharePeriodMs: quotaSharePeriodS * 1000,
-      lookahead,
+      lookahead: dispatchLookaheadShare,
       isBooted: (machine) => ports.bootedMachines.isBooted(machine),
     });
   }
--- a/src/controller/peer-status-handler.test.ts
+++ b/src/controller/peer-status-handler.test.ts
@@ -29,7 +29,7 @@
     bootedMachines: { markBooted: (machines) => calls.push(['booted', ...machines]) },
     leaderDuties: { markTerminated: (machines) => calls.push(['terminated', ...machines]) },
     term: () => term,
-    mirror: { recordOutcome: (key, entry) => calls.push([key, entry]) },
+    replica: { recordOutcome: (key, entry) => calls.push([key, entry]) },
   });
   handler.apply(status);
   return { calls, term };
--- a/src/controller/peer-status-handler.ts
+++ b/src/controller/peer-status-handler.ts
@@ -1,7 +1,7 @@
 /** Handling of the statuses that peers send. */
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import type { Term } from '../leadership/term.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { outcomeRecord } from '../wire/job-records.js';
 import { outcomeKey } from '../wire/keys.js';
 import type { PeerStatus } from '../wire/peer-status.js';
@@ -13,7 +13,7 @@
   leaderDuties: Pick<LeaderDuties, 'markTerminated'>;
   /** The term of this controller; undefined while it does not lead. */
   term: () => Pick<Term, 'fencingToken' | 'end'> | undefined;
-  mirror: Pick<Mirror, 'recordOutcome'>;
+  replica: Pick<StoreReplica, 'recordOutcome'>;
 }
 
 /** Applies statuses of peers in the order in which they are received. */
@@ -25,14 +25,14 @@
    * token than this controller, the term of this controller ends.
    */
   apply(status: PeerStatus): void {
-    const { bootedMachines, leaderDuties, mirror } = this.ports;
+    const { bootedMachines, leaderDuties, replica } = this.ports;
     bootedMachines.markBooted(status.bootedMachines);
     leaderDuties.markTerminated(status.terminatedMachines);
     const term = this.ports.term();
     if (term && status.fencingToken > term.fencingToken) term.end({ kind: 'superseded', by: status.from });
     for (const [id, version] of status.cancelled) {
       const value = outcomeRecord({ outcome: 'cancelled', tasks: 0 });
-      mirror.recordOutcome(outcomeKey(id), { value, version });
+      replica.recordOutcome(outcomeKey(id), { value, version });
     }
   }
 }
--- a/src/controller/replica-change-handler.test.ts
+++ b/src/controller/replica-change-handler.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { Mirror } from '../store/mirror.js';
+import { StoreReplica } from '../store/store-replica.js';
 import { outcomeRecord } from '../wire/job-records.js';
 import type { Change } from '../wire/state.js';
 import { ReplicaChangeHandler } from './replica-change-handler.js';
@@ -13,15 +13,15 @@
 
 test('changes are applied to the cancellations first, then to the job index, then to the owned blocks', () => {
   const calls: unknown[][] = [];
-  const mirror = new Mirror(
+  const replica = new StoreReplica(
     { list: () => Promise.reject(new Error()), watch: () => Promise.reject(new Error()) },
     0,
   );
   const handler = new ReplicaChangeHandler({
-    mirror,
+    replica,
     cancellations: { record: (id, version) => calls.push(['learn', id, version]) },
     jobIndex: {
-      load: (from) => calls.push(['load', from === mirror]),
+      load: (from) => calls.push(['load', from === replica]),
       applyChanges: (changes) => calls.push(['index', changes.length]),
     },
     ownedBlocks: { applyChanges: (changes) => calls.push(['blocks', changes.length]) },
--- a/src/controller/replica-change-handler.ts
+++ b/src/controller/replica-change-handler.ts
@@ -5,14 +5,14 @@
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { Cancellations } from '../intake/cancellations.js';
 import type { JobIndex } from '../placement/job-index.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { parseOutcome } from '../wire/job-records.js';
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
 
 /** The modules that receive the changes. */
 export interface ReplicaChangeHandlerPorts {
-  mirror: Mirror;
+  replica: StoreReplica;
   cancellations: Pick<Cancellations, 'record'>;
   jobIndex: Pick<JobIndex, 'load' | 'applyChanges'>;
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
@@ -47,9 +47,9 @@
    * the batch.
    */
   private indexJobs(changes: Change[]): void {
-    const { jobIndex, mirror } = this.ports;
+    const { jobIndex, replica } = this.ports;
     if (this.isIndexLoaded) jobIndex.applyChanges(changes);
-    else jobIndex.load(mirror);
+    else jobIndex.load(replica);
     this.isIndexLoaded = true;
   }
 }
--- a/src/controller/store-knowledge.test.ts
+++ b/src/controller/replica-freshness.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { StoreKnowledge } from './store-knowledge.js';
+import { ReplicaFreshness } from './replica-freshness.js';
 
-interface KnowledgeInputs {
+interface FreshnessInputs {
   now: number;
   /** When the store last served this controller, in ms of the steady clock. */
   contactAt?: number;
@@ -14,37 +14,37 @@
  * Knowledge of the store through a replica at revision 40 that contains all changes before 10,000 ms; a
  * heartbeat interval is 2500 ms.
  */
-function createKnowledge({ now, contactAt = now, failing = false }: KnowledgeInputs): StoreKnowledge {
-  return new StoreKnowledge({
+function createFreshness({ now, contactAt = now, failing = false }: FreshnessInputs): ReplicaFreshness {
+  return new ReplicaFreshness({
     clock: () => now,
     store: {
       failing,
       knownUntil: (revision) => (revision === 40 ? 10_000 : Infinity),
       contactAgeMs: (at) => at - contactAt,
     },
-    mirror: { revision: 40 },
+    replica: { revision: 40 },
     settings: { heartbeatIntervalMs: 2500, cancelDeadlineMs: 34_000 },
     leaseTtlMs: 6000,
   });
 }
 
 test('the time up to which changes are known follows from the revision of the replica', () => {
-  assert.equal(createKnowledge({ now: 20_000 }).changesKnownUntil, 10_000);
+  assert.equal(createFreshness({ now: 20_000 }).changesKnownUntil, 10_000);
 });
 
 test('tasks may start while the replica is less than two heartbeat intervals old and the store is not failing', () => {
-  assert.equal(createKnowledge({ now: 14_999 }).mayStartTasks(), true);
-  assert.equal(createKnowledge({ now: 15_000 }).mayStartTasks(), false);
-  assert.equal(createKnowledge({ now: 14_999, failing: true }).mayStartTasks(), false);
+  assert.equal(createFreshness({ now: 14_999 }).mayStartTasks(), true);
+  assert.equal(createFreshness({ now: 15_000 }).mayStartTasks(), false);
+  assert.equal(createFreshness({ now: 14_999, failing: true }).mayStartTasks(), false);
 });
 
 test('cancellations are known while the replica is younger than a quarter of the cancellation deadline', () => {
-  assert.equal(createKnowledge({ now: 18_499, failing: true }).knowsCancellations(), true);
-  assert.equal(createKnowledge({ now: 18_500 }).knowsCancellations(), false);
+  assert.equal(createFreshness({ now: 18_499, failing: true }).knowsCancellations(), true);
+  assert.equal(createFreshness({ now: 18_500 }).knowsCancellations(), false);
 });
 
 test('the store is reachable if it is not failing and its last contact is within the time to live of the lease', () => {
-  assert.equal(createKnowledge({ now: 50_000, contactAt: 44_001 }).isStoreReachable(), true);
-  assert.equal(createKnowledge({ now: 50_000, contactAt: 44_000 }).isStoreReachable(), false);
-  assert.equal(createKnowledge({ now: 50_000, failing: true }).isStoreReachable(), false);
+  assert.equal(createFreshness({ now: 50_000, contactAt: 44_001 }).isStoreReachable(), true);
+  assert.equal(createFreshness({ now: 50_000, contactAt: 44_000 }).isStoreReachable(), false);
+  assert.equal(createFreshness({ now: 50_000, failing: true }).isStoreReachable(), false);
 });
--- a/src/controller/store-knowledge.ts
+++ b/src/controller/replica-freshness.ts
@@ -5,14 +5,14 @@
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 
 /** The facts from which the age of the replica is computed. */
-export interface StoreKnowledgePorts {
+export interface ReplicaFreshnessPorts {
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'knownUntil' | 'contactAgeMs'>;
   /** The replica of the store. */
-  mirror: Pick<Mirror, 'revision'>;
+  replica: Pick<StoreReplica, 'revision'>;
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'cancelDeadlineMs'>;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
@@ -30,13 +30,13 @@
  * Computes the age of the replica from the clock. The replica lags behind the store, and without contact to
  * the store its age keeps growing.
  */
-export class StoreKnowledge {
-  constructor(private readonly ports: StoreKnowledgePorts) {}
+export class ReplicaFreshness {
+  constructor(private readonly ports: ReplicaFreshnessPorts) {}
 
   /** The replica contains every change of the store before this time, in ms of the steady clock. */
   get changesKnownUntil(): number {
-    const { store, mirror } = this.ports;
-    return store.knownUntil(mirror.revision);
+    const { store, replica } = this.ports;
+    return store.knownUntil(replica.revision);
   }
 
   /**
--- a/src/controller/service-health.test.ts
+++ b/src/controller/service-health.test.ts
@@ -24,13 +24,13 @@
   const health = new ServiceHealth({
     clock: () => 0,
     store: { contactAgeMs: () => contactAgeMs },
-    mirror: { ready },
+    replica: { ready },
     hasMachineTypes: () => hasMachineTypes,
     peers: ['0', '1'],
     lastPeerStatus: (label) => {
       const storeContactAgeMs = peerContactAgesMs[Number(label)];
       if (storeContactAgeMs === undefined) return undefined;
-      return { notBefore: 0, storeContactAgeMs, cancellationsKnownUntil: 0 };
+      return { createdNotBefore: 0, storeContactAgeMs, cancellationsKnownUntil: 0 };
     },
     leaseTtlMs: 6000,
   });
--- a/src/controller/service-health.ts
+++ b/src/controller/service-health.ts
@@ -2,13 +2,13 @@
 import type { Clock } from '../base/clock.js';
 import type { LastPeerStatus } from '../peers/peer-links.js';
 import type { StoreClient } from '../store/client.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 
 /** The facts on which the health depends. */
 export interface ServiceHealthPorts {
   clock: Clock;
   store: Pick<StoreClient, 'contactAgeMs'>;
-  mirror: Pick<Mirror, 'ready'>;
+  replica: Pick<StoreReplica, 'ready'>;
   /** Whether the machine types are known; without them no submission can be validated. */
   hasMachineTypes: () => boolean;
   /** Labels of the other controllers. */
@@ -35,8 +35,8 @@
    * serve users better, and becoming unhealthy together would close the connections of the users.
    */
   isServing(): boolean {
-    const { clock, store, mirror, hasMachineTypes, peers, lastPeerStatus, leaseTtlMs } = this.ports;
-    if (!mirror.ready || !hasMachineTypes()) return false;
+    const { clock, store, replica, hasMachineTypes, peers, lastPeerStatus, leaseTtlMs } = this.ports;
+    if (!replica.ready || !hasMachineTypes()) return false;
     const maxContactAgeMs = leaseTtlMs * maxContactAgeRatio;
     if (store.contactAgeMs(clock()) < maxContactAgeMs) return true;
     return peers.every((label) => {
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -9,10 +9,10 @@
 import { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import { StoreClient } from '../store/client.js';
-import { Mirror } from '../store/mirror.js';
+import { StoreReplica } from '../store/store-replica.js';
 import { type CommitQueues, createCommitQueues } from './commit-queues.js';
+import { ReplicaFreshness } from './replica-freshness.js';
 import { storeProbeIntervalMs } from './store-contact-monitor.js';
-import { StoreKnowledge } from './store-knowledge.js';
 
 /** What the access to the store is created from. */
 export interface StateAccessOptions {
@@ -28,25 +28,25 @@
 export class StateAccess {
   readonly store: StoreClient;
   /** The replica of the store. */
-  readonly mirror: Mirror;
+  readonly replica: StoreReplica;
   readonly commitQueues: CommitQueues;
   readonly registry: BlockRegistry;
   readonly jobIndex: JobIndex;
   readonly cancellations: Cancellations;
   readonly outcomeReader: OutcomeReader;
-  readonly knowledge: StoreKnowledge;
+  readonly replicaFreshness: ReplicaFreshness;
 
   constructor({ clock, settings, signal, leaseTtlMs }: StateAccessOptions) {
     const store = new StoreClient(settings, clock, signal);
-    const mirror = new Mirror(store, store.watchGapMs, storeProbeIntervalMs);
+    const replica = new StoreReplica(store, store.watchGapMs, storeProbeIntervalMs);
     const labels = [settings.label, ...settings.peers.map((peer) => peer.label)];
     this.store = store;
-    this.mirror = mirror;
+    this.replica = replica;
     this.commitQueues = createCommitQueues(store, settings, signal);
-    this.registry = new BlockRegistry(mirror, labels);
-    this.jobIndex = new JobIndex(clock, (id) => mirror.outcomeOf(id));
-    this.cancellations = new Cancellations(() => mirror.initialRevision);
-    this.outcomeReader = new OutcomeReader({ store, mirror });
-    this.knowledge = new StoreKnowledge({ clock, store, mirror, settings, leaseTtlMs });
+    this.registry = new BlockRegistry(replica, labels);
+    this.jobIndex = new JobIndex(clock, (id) => replica.outcomeOf(id));
+    this.cancellations = new Cancellations(() => replica.initialRevision);
+    this.outcomeReader = new OutcomeReader({ store, replica });
+    this.replicaFreshness = new ReplicaFreshness({ clock, store, replica, settings, leaseTtlMs });
   }
 }
--- a/src/controller/store-contact-monitor.test.ts
+++ b/src/controller/store-contact-monitor.test.ts
@@ -19,7 +19,7 @@
       this.watchRestarts++;
     },
   };
-  readonly mirror = { ready: true, version: () => 5 };
+  readonly replica = { ready: true, version: () => 5 };
   private now = 0;
   private readonly stop = new AbortController();
   private onNextCheck: () => void = () => undefined;
@@ -29,7 +29,7 @@
     const monitor = new StoreContactMonitor({
       clock: () => this.now,
       store: this.store,
-      mirror: this.mirror,
+      replica: this.replica,
       changesKnownUntil: () => this.changesKnownUntil,
       heartbeatIntervalMs: 1000,
       onChecked: () => this.onNextCheck(),
@@ -82,9 +82,9 @@
   assert.equal(await checkWith(2000, 500), 0);
   assert.equal(await checkWith(2001, 500), 1);
   assert.equal(await checkWith(3501, 500), 1);
-  monitor.mirror.ready = false;
+  monitor.replica.ready = false;
   assert.equal(await checkWith(3502, 500), 1);
-  monitor.mirror.ready = true;
+  monitor.replica.ready = true;
   assert.equal(await checkWith(3503, 500), 2);
   await monitor.end();
 });
--- a/src/controller/store-contact-monitor.ts
+++ b/src/controller/store-contact-monitor.ts
@@ -3,14 +3,14 @@
  */
 import { type Clock, sleep } from '../base/clock.js';
 import type { StoreClient } from '../store/client.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { leaderKey } from '../wire/keys.js';
 
 /** The modules that the monitor checks and acts on. */
 export interface StoreContactMonitorPorts {
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'lastRevisionSeenAt' | 'commit' | 'restartWatch'>;
-  mirror: Pick<Mirror, 'ready' | 'version'>;
+  replica: Pick<StoreReplica, 'ready' | 'version'>;
   /** The replica contains every change of the store before this time, in ms of the steady clock. */
   changesKnownUntil: () => number;
   heartbeatIntervalMs: number;
@@ -57,10 +57,10 @@
    * the store's revision whether or not anything has changed.
    */
   private async probeIfRevisionStale(): Promise<void> {
-    const { clock, store, mirror } = this.ports;
+    const { clock, store, replica } = this.ports;
     const isRevisionStale = clock() - store.lastRevisionSeenAt > storeProbeIntervalMs * maxRevisionAgeProbes;
     if (!store.failing && !isRevisionStale) return;
-    await store.commit('duty', [{ key: leaderKey, version: mirror.version(leaderKey) }], []);
+    await store.commit('duty', [{ key: leaderKey, version: replica.version(leaderKey) }], []);
   }
 
   /**
@@ -68,9 +68,9 @@
    * request still waits as it did during an outage.
    */
   private isWatchLost(watchRestartedAt: number): boolean {
-    const { clock, store, mirror, changesKnownUntil, heartbeatIntervalMs } = this.ports;
+    const { clock, store, replica, changesKnownUntil, heartbeatIntervalMs } = this.ports;
     const maxLagMs = heartbeatIntervalMs * maxWatchLagHeartbeats;
     const lagMs = store.lastRevisionSeenAt - changesKnownUntil();
-    return mirror.ready && lagMs > maxLagMs && clock() - watchRestartedAt > maxLagMs;
+    return replica.ready && lagMs > maxLagMs && clock() - watchRestartedAt > maxLagMs;
   }
 }
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -39,7 +39,7 @@
     wallClock: Date.now,
     settings: ports.settings,
     store: state.store,
-    mirror: state.mirror,
+    replica: state.replica,
     jobIndex: state.jobIndex,
     writes: state.commitQueues.intake,
     comparisons: state.commitQueues.confirm,
@@ -48,7 +48,7 @@
     machineTypes: () => ports.machineTypes.types,
     initialRanges: (spec) => initialDispatcher.initialRanges(spec),
     supportsDependencies: () => state.registry.isClusterUpgraded,
-    knowsCancellations: () => state.knowledge.knowsCancellations(),
+    knowsCancellations: () => state.replicaFreshness.knowsCancellations(),
     isServing: () => health.isServing(),
   });
 }
@@ -69,7 +69,7 @@
   return new ServiceHealth({
     clock: ports.clock,
     store: ports.state.store,
-    mirror: ports.state.mirror,
+    replica: ports.state.replica,
     hasMachineTypes: () => ports.machineTypes.types.size > 0,
     peers: ports.settings.peers.map(({ label }) => label),
     lastPeerStatus: (label) => ports.peerLinks.lastStatus(label),
--- a/src/dependencies/cancellation-cascade.ts
+++ b/src/dependencies/cancellation-cascade.ts
@@ -4,9 +4,9 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { outcomeKey } from '../wire/keys.js';
-import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
+import { outcomeTransaction, writesPerOutcome } from '../wire/outcome-transaction.js';
 import type { DependencyGraph } from './dependency-graph.js';
 
 /** The part of the job index that the cascade reads. */
@@ -26,7 +26,7 @@
   log: Log;
   settings: Settings;
   store: Pick<StoreClient, 'failing'>;
-  mirror: Mirror;
+  replica: StoreReplica;
   jobIndex: OpenJobs;
   /** Commit queue for background work: no user request waits for its commits. */
   commits: CommitQueue;
@@ -76,11 +76,11 @@
    * ready.
    */
   async run(signal: AbortSignal): Promise<void> {
-    const { settings, store, mirror } = this.ports;
+    const { settings, store, replica } = this.ports;
     const isStopping = (): boolean => signal.aborted;
     while (!isStopping()) {
       await sleep(settings.heartbeatIntervalMs / scansPerHeartbeatInterval, signal);
-      if (isStopping() || store.failing || !mirror.ready) continue;
+      if (isStopping() || store.failing || !replica.ready) continue;
       await this.resolveAndCancel();
     }
   }
@@ -102,13 +102,13 @@
     const dueJobs: string[] = [];
     for (const [id, knownSince] of jobIndex.dependencies.upstreamCancelled()) {
       if (clock() - knownSince >= delayMs) dueJobs.push(id);
-      if (dueJobs.length * changesPerOutcome >= settings.state.txnOps) break;
+      if (dueJobs.length * writesPerOutcome >= settings.state.txnOps) break;
     }
     return dueJobs;
   }
 
   private async commitCancellation(id: string): Promise<void> {
-    const { jobIndex, mirror, commits, wallClock, log, readOutcome } = this.ports;
+    const { jobIndex, replica, commits, wallClock, log, readOutcome } = this.ports;
     const job = jobIndex.openJob(id);
     if (!job) return;
     const cancellation = { outcome: 'cancelled', tasks: job.spec.tasks, endedAt: wallClock() } as const;
@@ -119,7 +119,7 @@
         { event: 'dependent-cancelled', job: id },
         'job cancelled because a job that it depends on was cancelled',
       );
-      mirror.recordOutcome(outcomeKey(id), { value: writes[0].value, version: outcome.revision });
+      replica.recordOutcome(outcomeKey(id), { value: writes[0].value, version: outcome.revision });
     } else if (outcome.kind === 'conflict' && outcome.failed.includes(outcomeKey(id))) {
       await readOutcome(id);
     }
--- a/src/dependencies/dependency-graph.test.ts
+++ b/src/dependencies/dependency-graph.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from 'node:test';
 
 import type { JobSpec } from '../model/types.js';
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import type { OutcomeRecord } from '../wire/job-records.js';
 import { DependencyGraph } from './dependency-graph.js';
 
--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -26,7 +26,7 @@
 /** Waits for a job whose running tasks, two or more, are all on machines of one controller; returns both. */
 async function awaitJobWithOneOwner(cluster: Cluster, ids: string[]): Promise<{ id: string; owner: string }> {
   let found: { id: string; owner: string } | undefined;
-  await cluster.until('all running tasks of a job are on machines of one controller', () => {
+  await cluster.waitUntil('all running tasks of a job are on machines of one controller', () => {
     for (const id of ids) {
       const machines = [...cluster.workers.values()].filter((w) =>
         w.running.some((p) => p.startsWith(`${id}/`)),
@@ -43,7 +43,7 @@
 
 /** How often tasks of the job were started. */
 const startCountOf = (cluster: Cluster, id: string): number =>
-  cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
+  cluster.history.events.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
 // The state service refuses one controller, a peer confirms a cancel to the user, and then the service is
 // down for all controllers. Guards against a refused controller that measures the outage from the last
@@ -54,19 +54,19 @@
   { port: 23_000, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 4), i);
     const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     const others = ids.filter((other) => other !== id);
-    await cluster.until('all tasks run', () => ids.every((one) => cluster.runningOf(one).length === 4));
-    cluster.store.refused.add(owner);
+    await cluster.waitUntil('all tasks run', () => ids.every((one) => cluster.runningOf(one).length === 4));
+    cluster.store.refusedClients.add(owner);
     await pause(heartbeatIntervalMs / 4);
-    const status = await cluster.cancelSurely(
+    const status = await cluster.cancelUntilEnded(
       id,
       [0, 1, 2].filter((node) => node !== nodeOf(owner)),
     );
     assert.equal(status, 'cancelled');
-    cluster.store.down = true;
-    await cluster.until(
+    cluster.store.hasOutage = true;
+    await cluster.waitUntil(
       'the tasks of the cancelled job have ended',
       () => cluster.runningOf(id).length === 0,
       cancelDeadlineMs,
@@ -75,11 +75,11 @@
     // The statuses of its peers allowed the owner to renew the other worker leases: no other task ended.
     for (const other of others)
       assert.deepEqual([cluster.runningOf(other).length, startCountOf(cluster, other)], [4, 4]);
-    cluster.store.refused.clear();
-    cluster.store.down = false;
-    await cluster.until(
+    cluster.store.refusedClients.clear();
+    cluster.store.hasOutage = false;
+    await cluster.waitUntil(
       'the owner of the tasks reports the job as cancelled',
-      async () => (await cluster.ask(nodeOf(owner), id)) === 'cancelled',
+      async () => (await cluster.queryStatus(nodeOf(owner), id)) === 'cancelled',
     );
   },
 );
@@ -91,17 +91,17 @@
   { port: 23_040, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 3), i);
     const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
-    assert.equal(await cluster.cancelSurely(id, [nodeOf(owner)]), 'cancelled');
-    cluster.store.down = true;
-    await cluster.until(
+    assert.equal(await cluster.cancelUntilEnded(id, [nodeOf(owner)]), 'cancelled');
+    cluster.store.hasOutage = true;
+    await cluster.waitUntil(
       'the tasks of the cancelled job have ended',
       () => cluster.runningOf(id).length === 0,
       workerLeaseMs,
     );
     await pause(cancelDeadlineMs);
-    cluster.store.down = false;
+    cluster.store.hasOutage = false;
   },
 );
 
@@ -112,20 +112,20 @@
   { port: 23_080, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 3), i);
     const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
-    cluster.store.refused.add(owner);
-    for (const link of cluster.peersOf(owner)) link.cut();
-    await cluster.cancelSurely(
+    cluster.store.refusedClients.add(owner);
+    for (const link of cluster.peerLinksOf(owner)) link.cut();
+    await cluster.cancelUntilEnded(
       id,
       [0, 1, 2].filter((node) => node !== nodeOf(owner)),
     );
-    cluster.store.down = true;
+    cluster.store.hasOutage = true;
     await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
-    cluster.store.refused.clear();
-    cluster.store.down = false;
-    for (const link of cluster.peersOf(owner)) link.heal();
+    cluster.store.refusedClients.clear();
+    cluster.store.hasOutage = false;
+    for (const link of cluster.peerLinksOf(owner)) link.heal();
   },
 );
 
@@ -136,21 +136,21 @@
   { port: 23_120, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 3), i);
     const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     const confirmingNode = (nodeOf(owner) + 1) % 3;
-    cluster.store.refused.add(owner);
-    for (const link of cluster.peersOf(owner)) link.cut();
-    await cluster.cancelSurely(id, [confirmingNode]);
-    cluster.store.down = true;
+    cluster.store.refusedClients.add(owner);
+    for (const link of cluster.peerLinksOf(owner)) link.cut();
+    await cluster.cancelUntilEnded(id, [confirmingNode]);
+    cluster.store.hasOutage = true;
     await cluster.restart(labels[confirmingNode] ?? '', 50);
     // The links first deliver the delayed statuses of both incarnations, then the current ones of the new
     // incarnation.
-    for (const link of cluster.peersOf(owner)) link.heal();
+    for (const link of cluster.peerLinksOf(owner)) link.heal();
     await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
-    cluster.store.refused.clear();
-    cluster.store.down = false;
+    cluster.store.refusedClients.clear();
+    cluster.store.hasOutage = false;
   },
 );
 
@@ -161,24 +161,24 @@
   { port: 23_160, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 3), i);
-    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 3));
-    const leader = await cluster.leading();
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 3), i);
+    await cluster.waitUntil('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 3));
+    const leader = await cluster.waitForLeader();
     const otherNodes = [0, 1, 2].filter((node) => node !== nodeOf(leader));
-    cluster.store.held.add(leader);
-    for (const link of cluster.peersOf(leader)) link.cut();
-    for (const id of ids) await cluster.cancelSurely(id, otherNodes);
+    cluster.store.partitionedClients.add(leader);
+    for (const link of cluster.peerLinksOf(leader)) link.cut();
+    for (const id of ids) await cluster.cancelUntilEnded(id, otherNodes);
     // The partitioned leader may leave status requests unanswered, but must not return an outdated status.
     for (let i = 0; i < 10; i++) {
-      for (const id of ids) await cluster.ask(nodeOf(leader), id);
+      for (const id of ids) await cluster.queryStatus(nodeOf(leader), id);
       await pause(cancelDeadlineMs / 8);
     }
     for (const id of ids) assert.deepEqual(cluster.runningOf(id), []);
-    cluster.store.held.clear();
-    for (const link of cluster.peersOf(leader)) link.heal();
-    await cluster.until(
+    cluster.store.partitionedClients.clear();
+    for (const link of cluster.peerLinksOf(leader)) link.heal();
+    await cluster.waitUntil(
       'the partitioned controller reports the cancellation',
-      async () => (await cluster.ask(nodeOf(leader), ids[0] ?? '')) === 'cancelled',
+      async () => (await cluster.queryStatus(nodeOf(leader), ids[0] ?? '')) === 'cancelled',
     );
   },
 );
@@ -190,27 +190,27 @@
   { port: 23_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 2), i);
-    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 2));
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 2), i);
+    await cluster.waitUntil('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 2));
     const askAllControllers = async (): Promise<void> => {
-      await Promise.all(ids.flatMap((id) => [0, 1, 2].map((node) => cluster.ask(node, id))));
+      await Promise.all(ids.flatMap((id) => [0, 1, 2].map((node) => cluster.queryStatus(node, id))));
     };
-    cluster.store.delayMs = 300;
-    await cluster.cancelSurely(ids[0] ?? '');
+    cluster.store.answerDelayMs = 300;
+    await cluster.cancelUntilEnded(ids[0] ?? '');
     await askAllControllers();
-    cluster.store.refused.add(await cluster.leading());
-    await cluster.cancelSurely(ids[1] ?? '');
+    cluster.store.refusedClients.add(await cluster.waitForLeader());
+    await cluster.cancelUntilEnded(ids[1] ?? '');
     const cancelBeforeOutage = cluster.cancel(0, ids[2] ?? '');
-    cluster.store.down = true;
+    cluster.store.hasOutage = true;
     await cancelBeforeOutage;
     await askAllControllers();
     await pause(cancelDeadlineMs * 1.2);
     await askAllControllers();
     for (const id of ids.slice(0, 2)) assert.deepEqual(cluster.runningOf(id), []);
-    cluster.store.refused.clear();
-    cluster.store.down = false;
-    cluster.store.delayMs = 0;
-    for (const id of ids) assert.equal(await cluster.cancelSurely(id), 'cancelled');
+    cluster.store.refusedClients.clear();
+    cluster.store.hasOutage = false;
+    cluster.store.answerDelayMs = 0;
+    for (const id of ids) assert.equal(await cluster.cancelUntilEnded(id), 'cancelled');
     await askAllControllers();
   },
 );
@@ -224,32 +224,36 @@
     const [cancelled, running] = ['req-000001', 'req-000002'];
     const waiting = ['req-000003', 'req-000004'];
     const otherTeamJob = 'req-000009';
-    cluster.holdsTask = everyTask;
-    for (const [i, id] of [cancelled, running].entries()) await cluster.submitSurely(submission(id, 6), i);
-    await cluster.until(
+    cluster.shouldHoldTask = everyTask;
+    for (const [i, id] of [cancelled, running].entries())
+      await cluster.submitUntilAccepted(submission(id, 6), i);
+    await cluster.waitUntil(
       'the team has used up its quota',
       () => [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
       quotaSettlingMs,
     );
     // A job of another team causes more machines to be rented. Its cancellation then frees capacity on them.
-    await cluster.submitSurely(submission(otherTeamJob, 18, { owner: 'blue' }));
-    await cluster.until(
+    await cluster.submitUntilAccepted(submission(otherTeamJob, 18, { owner: 'blue' }));
+    await cluster.waitUntil(
       'all tasks of the other team run',
       () => cluster.runningOf(otherTeamJob).length === 18,
     );
-    for (const [i, id] of waiting.entries()) await cluster.submitSurely(submission(id, 8), i);
-    await cluster.toldEverywhere(waiting, 'pending', cancelDeadlineMs);
-    cluster.holdsTask = tasksOf(otherTeamJob, cancelled);
+    for (const [i, id] of waiting.entries()) await cluster.submitUntilAccepted(submission(id, 8), i);
+    await cluster.waitForStatusEverywhere(waiting, 'pending', cancelDeadlineMs);
+    cluster.shouldHoldTask = tasksOf(otherTeamJob, cancelled);
     const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
-    for (const worker of busyWorkers.slice(0, Math.ceil(busyWorkers.length / 2))) worker.mute = true;
-    const leader = await cluster.leading();
+    for (const worker of busyWorkers.slice(0, Math.ceil(busyWorkers.length / 2))) worker.isPartitioned = true;
+    const leader = await cluster.waitForLeader();
     cluster.stopController(leader);
-    const statuses = await Promise.all([cluster.cancelSurely(otherTeamJob), cluster.cancelSurely(cancelled)]);
+    const statuses = await Promise.all([
+      cluster.cancelUntilEnded(otherTeamJob),
+      cluster.cancelUntilEnded(cancelled),
+    ]);
     assert.deepEqual(statuses, ['cancelled', 'cancelled']);
     await pause(workerLeaseMs * 1.2);
-    for (const worker of busyWorkers) worker.mute = false;
+    for (const worker of busyWorkers) worker.isPartitioned = false;
     cluster.startController(leader);
-    await cluster.allDone([running, ...waiting]);
+    await cluster.waitUntilAllDone([running, ...waiting]);
   },
 );
 
@@ -266,26 +270,26 @@
         const delayMs = i * 40;
         requests.push(
           pause(delayMs).then(() => cluster.cancel(node, id)),
-          pause(delayMs).then(() => cluster.ask(node, id)),
+          pause(delayMs).then(() => cluster.queryStatus(node, id)),
           pause(delayMs).then(() => cluster.submit(node, submission(id, 2))),
         );
       }
     };
     const remainingTasks = new Map(ids.map((id) => [id, 2]));
-    cluster.onDone = (task) => {
+    cluster.onTaskCompleted = (task) => {
       const id = task.split('/')[0] ?? '';
       remainingTasks.set(id, (remainingTasks.get(id) ?? 0) - 1);
       if (remainingTasks.get(id) === 0) sendConcurrentRequests(id);
     };
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 2), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 2), i);
     for (const id of ids) {
-      await cluster.until('the job has ended', async () =>
-        ['done', 'cancelled'].includes(await cluster.ask(0, id)),
+      await cluster.waitUntil('the job has ended', async () =>
+        ['done', 'cancelled'].includes(await cluster.queryStatus(0, id)),
       );
     }
     await Promise.all(requests);
     for (const id of ids) {
-      const statuses = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
+      const statuses = await Promise.all([0, 1, 2].map((node) => cluster.queryStatus(node, id)));
       assert.equal(new Set(statuses).size, 1);
     }
   },
--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -24,7 +24,7 @@
   const ids = Array.from({ length }, (_, i) => idOf(first + i));
   for (const [i, id] of ids.entries()) {
     const dependency = ids[i - 1];
-    await cluster.submitSurely(
+    await cluster.submitUntilAccepted(
       submission(id, tasks, { moorings: dependency === undefined ? null : [dependency] }),
       i,
     );
@@ -35,20 +35,20 @@
 /** Submits a chain of jobs with one task each and waits until the task of the first job runs. */
 async function startChain(cluster: Cluster, length: number): Promise<string[]> {
   const chain = await submitChain(cluster, 1, length, 1);
-  await cluster.until('the first job runs', () => cluster.runningOf(idOf(1)).length === 1);
+  await cluster.waitUntil('the first job runs', () => cluster.runningOf(idOf(1)).length === 1);
   return chain;
 }
 
 /** How often tasks of the job were started. */
 const startCountOf = (cluster: Cluster, id: string): number =>
-  cluster.history.happenings.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
+  cluster.history.events.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
 async function awaitCancelledEverywhere(
   cluster: Cluster,
   ids: string[],
   withinMs = cancelDeadlineMs,
 ): Promise<void> {
-  await cluster.toldEverywhere(ids, 'cancelled', withinMs);
+  await cluster.waitForStatusEverywhere(ids, 'cancelled', withinMs);
 }
 
 // Guards against tasks that start before the dependencies of their job are done (rule `too_early`), and
@@ -58,13 +58,13 @@
   { port: 28_000, taskMs: 400, nextLimits },
   async (cluster) => {
     const chain = await submitChain(cluster, 1, 6);
-    await cluster.submitSurely(submission(idOf(20), 3, { moorings: [idOf(1)] }));
-    await cluster.submitSurely(submission(idOf(21), 3, { moorings: [idOf(1)] }));
-    await cluster.submitSurely(submission(idOf(22), 3, { moorings: [idOf(20), idOf(21), idOf(20)] }));
-    await cluster.until('the second job has started', () => startCountOf(cluster, idOf(2)) > 0);
-    cluster.lowerLimits();
+    await cluster.submitUntilAccepted(submission(idOf(20), 3, { moorings: [idOf(1)] }));
+    await cluster.submitUntilAccepted(submission(idOf(21), 3, { moorings: [idOf(1)] }));
+    await cluster.submitUntilAccepted(submission(idOf(22), 3, { moorings: [idOf(20), idOf(21), idOf(20)] }));
+    await cluster.waitUntil('the second job has started', () => startCountOf(cluster, idOf(2)) > 0);
+    cluster.applyAnnouncedLimits();
     for (const label of labels) await cluster.restart(label, 50);
-    await cluster.allDone([...chain, idOf(20), idOf(21), idOf(22)]);
+    await cluster.waitUntilAllDone([...chain, idOf(20), idOf(21), idOf(22)]);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -75,15 +75,15 @@
   'one dependency is done before all controllers restart, and another one after that',
   { port: 28_040, taskMs: 300 },
   async (cluster) => {
-    cluster.holdsTask = tasksOf(idOf(2));
-    await cluster.submitSurely(submission(idOf(1), 1));
-    await cluster.submitSurely(submission(idOf(2), 4, { owner: 'blue' }));
-    await cluster.allDone([idOf(1)]);
-    await cluster.submitSurely(submission(idOf(3), 2, { moorings: [idOf(1), idOf(2)] }));
+    cluster.shouldHoldTask = tasksOf(idOf(2));
+    await cluster.submitUntilAccepted(submission(idOf(1), 1));
+    await cluster.submitUntilAccepted(submission(idOf(2), 4, { owner: 'blue' }));
+    await cluster.waitUntilAllDone([idOf(1)]);
+    await cluster.submitUntilAccepted(submission(idOf(3), 2, { moorings: [idOf(1), idOf(2)] }));
     await Promise.all(labels.map((label) => cluster.restart(label, 50)));
-    await cluster.submitSurely(submission(idOf(4), 2, { moorings: [idOf(1)] }));
-    cluster.holdsTask = noTask;
-    await cluster.allDone([idOf(2), idOf(3), idOf(4)]);
+    await cluster.submitUntilAccepted(submission(idOf(4), 2, { moorings: [idOf(1)] }));
+    cluster.shouldHoldTask = noTask;
+    await cluster.waitUntilAllDone([idOf(2), idOf(3), idOf(4)]);
   },
 );
 
@@ -96,13 +96,13 @@
     const chain = await submitChain(cluster, 1, 10);
     const dependents = Array.from({ length: 40 }, (_, i) => idOf(100 + i));
     for (const [i, id] of dependents.entries()) {
-      await cluster.submitSurely(submission(id, 1, { moorings: [chain[2 + (i % 8)]] }), i);
+      await cluster.submitUntilAccepted(submission(id, 1, { moorings: [chain[2 + (i % 8)]] }), i);
     }
-    await cluster.until('the first job runs', () => cluster.runningOf(idOf(1)).length === 2);
-    cluster.lowerLimits();
-    const leader = await cluster.leading();
+    await cluster.waitUntil('the first job runs', () => cluster.runningOf(idOf(1)).length === 2);
+    cluster.applyAnnouncedLimits();
+    const leader = await cluster.waitForLeader();
     const confirmingNode = (labels.indexOf(leader) + 1) % 3;
-    assert.equal(await cluster.cancelSurely(idOf(1), [confirmingNode]), 'cancelled');
+    assert.equal(await cluster.cancelUntilEnded(idOf(1), [confirmingNode]), 'cancelled');
     cluster.stopController(leader);
     cluster.stopController(labels[confirmingNode] ?? '');
     await pause(heartbeatIntervalMs);
@@ -120,11 +120,11 @@
   async (cluster) => {
     for (let round = 0; round < 5; round++) {
       const firstNumber = 1 + round * 10;
-      await cluster.submitSurely(submission(idOf(firstNumber), 1), round);
-      const cancel = cluster.cancelSurely(idOf(firstNumber), [round % 3]);
+      await cluster.submitUntilAccepted(submission(idOf(firstNumber), 1), round);
+      const cancel = cluster.cancelUntilEnded(idOf(firstNumber), [round % 3]);
       for (let i = 1; i < 4; i++) {
         const moorings = [idOf(firstNumber + i - 1)];
-        await cluster.submitSurely(submission(idOf(firstNumber + i), 1, { moorings }), round + i);
+        await cluster.submitUntilAccepted(submission(idOf(firstNumber + i), 1, { moorings }), round + i);
       }
       assert.equal(await cancel, 'cancelled');
     }
@@ -147,17 +147,15 @@
     for (let i = 0; i < 6; i++) chains.push(await submitChain(cluster, 1 + i * 10, 3, 1));
     const statuses = await Promise.all(
       chains.map(async ([firstJob = ''], i) => {
-        await cluster.until('the task of the first job has completed', () =>
-          cluster.history.happenings.some(
-            (h) => h.kind === 'left' && h.task === `${firstJob}/0` && h.completed,
-          ),
+        await cluster.waitUntil('the task of the first job has completed', () =>
+          cluster.history.events.some((h) => h.kind === 'left' && h.task === `${firstJob}/0` && h.completed),
         );
         await pause(i * 40);
-        return cluster.cancelSurely(firstJob, [i % 3]);
+        return cluster.cancelUntilEnded(firstJob, [i % 3]);
       }),
     );
     for (const [i, chain] of chains.entries()) {
-      if (statuses[i] === 'done') await cluster.allDone(chain);
+      if (statuses[i] === 'done') await cluster.waitUntilAllDone(chain);
       else await awaitCancelledEverywhere(cluster, chain);
     }
   },
@@ -170,15 +168,16 @@
   { port: 28_200, taskMs: untilStopped },
   async (cluster) => {
     const chain = await startChain(cluster, 5);
-    assert.equal(await cluster.cancelSurely(idOf(1), [1]), 'cancelled');
-    cluster.store.down = true;
+    assert.equal(await cluster.cancelUntilEnded(idOf(1), [1]), 'cancelled');
+    cluster.store.hasOutage = true;
     const endAt = Date.now() + cancelDeadlineMs * 1.3;
     while (Date.now() < endAt) {
-      for (const [i, id] of chain.entries()) await cluster.ask(i % 3, id);
+      for (const [i, id] of chain.entries()) await cluster.queryStatus(i % 3, id);
       await pause(heartbeatIntervalMs);
     }
-    cluster.store.down = false;
-    for (let i = 0; i < 20; i++) await Promise.all(chain.map((id, node) => cluster.ask((node + i) % 3, id)));
+    cluster.store.hasOutage = false;
+    for (let i = 0; i < 20; i++)
+      await Promise.all(chain.map((id, node) => cluster.queryStatus((node + i) % 3, id)));
     await awaitCancelledEverywhere(cluster, chain);
   },
 );
@@ -190,14 +189,14 @@
   { port: 28_240, taskMs: untilStopped },
   async (cluster) => {
     const chain = await startChain(cluster, 4);
-    cluster.store.held.add('keel-2');
-    for (const link of cluster.peersOf('keel-2')) link.cut();
-    assert.equal(await cluster.cancelSurely(idOf(1), [0, 1]), 'cancelled');
+    cluster.store.partitionedClients.add('keel-2');
+    for (const link of cluster.peerLinksOf('keel-2')) link.cut();
+    assert.equal(await cluster.cancelUntilEnded(idOf(1), [0, 1]), 'cancelled');
     await pause(cancelDeadlineMs + workerLeaseMs);
-    cluster.store.held.delete('keel-2');
-    for (const link of cluster.peersOf('keel-2')) link.heal();
+    cluster.store.partitionedClients.delete('keel-2');
+    for (const link of cluster.peerLinksOf('keel-2')) link.heal();
     for (let i = 0; i < 20; i++) {
-      await Promise.all(chain.map((id) => cluster.ask(2, id)));
+      await Promise.all(chain.map((id) => cluster.queryStatus(2, id)));
       await pause(heartbeatIntervalMs / 4);
     }
     await awaitCancelledEverywhere(cluster, chain);
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -27,7 +27,7 @@
 async function submitJobsForAllMachines(cluster: Cluster): Promise<string[]> {
   const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => idOf(i + 1));
   for (const [i, id] of ids.entries()) {
-    await cluster.submitSurely(submission(id, tasksPerJob, { owner: 'blue', cpus: 8 }), i);
+    await cluster.submitUntilAccepted(submission(id, tasksPerJob, { owner: 'blue', cpus: 8 }), i);
   }
   return ids;
 }
@@ -58,7 +58,7 @@
 
 /** The number of task starts beyond the first start of each task. */
 function countTaskRestarts(cluster: Cluster): number {
-  const startedTasks = cluster.history.happenings.flatMap((event) =>
+  const startedTasks = cluster.history.events.flatMap((event) =>
     event.kind === 'started' ? [event.task] : [],
   );
   return startedTasks.length - new Set(startedTasks).size;
@@ -71,34 +71,34 @@
   'one controller is left with 4000 machines as a job is cancelled, and then all controllers restart',
   { port: 30_000, taskMs: staggeredTaskMs, capacity: machineCount / 2, times },
   async (cluster) => {
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     const ids = await submitJobsForAllMachines(cluster);
-    await cluster.until(
+    await cluster.waitUntil(
       '90% of the machines run tasks',
       () => busyMachineCount(cluster) >= 0.9 * machineCount,
       rampUpMs,
     );
-    const leader = await cluster.leading();
+    const leader = await cluster.waitForLeader();
     const [survivor = '', other = ''] = labels.filter((label) => label !== leader);
     const cancelled = findJobOfOtherControllers(cluster, ids, survivor);
     // The tasks of the other jobs run during the takeover and end after it.
-    cluster.holdsTask = tasksOf(cancelled);
+    cluster.shouldHoldTask = tasksOf(cancelled);
     cluster.stopController(leader);
     cluster.stopController(other);
-    assert.equal(await cluster.cancelSurely(cancelled, [labels.indexOf(survivor)]), 'cancelled');
-    await cluster.until(
+    assert.equal(await cluster.cancelUntilEnded(cancelled, [labels.indexOf(survivor)]), 'cancelled');
+    await cluster.waitUntil(
       'one controller owns all blocks',
       () => new Set(cluster.owners()).size === 1,
       cancelDeadlineMs,
     );
-    await cluster.until(
+    await cluster.waitUntil(
       'the tasks of the cancelled job have ended',
       () => cluster.runningOf(cancelled).length === 0,
       cancelDeadlineMs,
     );
     cluster.stopController(survivor);
     for (const label of labels) cluster.startController(label);
-    await cluster.allDone(
+    await cluster.waitUntilAllDone(
       ids.filter((id) => id !== cancelled),
       2 * cancelDeadlineMs,
     );
--- a/src/fault-scenarios/late-and-lost-messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -18,16 +18,16 @@
 
 /** Submits the jobs and waits until some of their tasks run. No task ends before that. */
 async function submitAndAwaitRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
-  cluster.holdsTask = everyTask;
+  cluster.shouldHoldTask = everyTask;
   await submitAll(cluster, ids, tasks);
-  await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
-  cluster.holdsTask = noTask;
+  await cluster.waitUntil('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
+  cluster.shouldHoldTask = noTask;
 }
 
 /** Submits the jobs for a team without a quota, so that tasks wait only for free capacity on machines. */
 async function submitAll(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   for (const [i, id] of ids.entries())
-    await cluster.submitSurely(submission(id, tasks, { owner: 'blue' }), i);
+    await cluster.submitUntilAccepted(submission(id, tasks, { owner: 'blue' }), i);
 }
 
 // Guards against outdated data that a transaction writes if it is executed after newer ones: an old page, an
@@ -37,20 +37,20 @@
     `transactions that got no response are applied late, after newer ones (seed ${seed})`,
     { port: 24_000 + seed * 40, taskMs, seed },
     async (cluster) => {
-      cluster.store.late = { share: 0.25, fromMs: heartbeatIntervalMs, toMs: 6 * heartbeatIntervalMs };
+      cluster.store.lateCommits = { share: 0.25, fromMs: heartbeatIntervalMs, toMs: 6 * heartbeatIntervalMs };
       await submitAll(cluster, jobIds, 4);
       const [cancelled = '', ...kept] = jobIds;
-      await cluster.cancelSurely(cancelled);
-      await cluster.restart(await cluster.leading());
+      await cluster.cancelUntilEnded(cancelled);
+      await cluster.restart(await cluster.waitForLeader());
       const cancelRequests: Promise<unknown>[] = [];
       const awaitEnd = (id: string): Promise<void> =>
-        cluster.until(`${id} has ended`, async () =>
-          ['done', 'cancelled'].includes(await cluster.ask(0, id)),
+        cluster.waitUntil(`${id} has ended`, async () =>
+          ['done', 'cancelled'].includes(await cluster.queryStatus(0, id)),
         );
       for (let i = 0; i < 8; i++) {
-        for (const [j, id] of jobIds.entries()) await cluster.ask((i + j) % 3, id);
+        for (const [j, id] of jobIds.entries()) await cluster.queryStatus((i + j) % 3, id);
         const addedJob = `req-0001${i}`;
-        await cluster.submitSurely(submission(addedJob, 2), i);
+        await cluster.submitUntilAccepted(submission(addedJob, 2), i);
         // Every second job gets one cancel request without retries, at about the time of its end. The cancel
         // may take effect after the end of the job.
         const cancelDelayMs = taskMs * (1 + (i % 3) / 2);
@@ -60,17 +60,17 @@
             awaitEnd(addedJob),
           );
         else kept.push(addedJob);
-        if (i % 4 === 3) await cluster.restart(await cluster.leading());
+        if (i % 4 === 3) await cluster.restart(await cluster.waitForLeader());
         await pause(heartbeatIntervalMs);
       }
-      await cluster.until(
+      await cluster.waitUntil(
         'more than two transactions have been applied late',
-        () => cluster.store.carriedOutLate > 2,
+        () => cluster.store.lateCommitCount > 2,
       );
-      cluster.store.late = undefined;
+      cluster.store.lateCommits = undefined;
       await Promise.all(cancelRequests);
-      await cluster.allDone(kept);
-      for (const happening of cluster.history.happenings) {
+      await cluster.waitUntilAllDone(kept);
+      for (const happening of cluster.history.events) {
         if (happening.kind === 'asked to cancel') await awaitEnd(happening.id);
       }
     },
@@ -84,16 +84,16 @@
   { port: 24_320, taskMs },
   async (cluster) => {
     const id = 'req-000001';
-    cluster.holdsTask = everyTask;
-    await cluster.submitSurely(submission(id, 2));
-    await cluster.until('a task of the job runs', () => cluster.runningOf(id).length > 0);
-    cluster.store.keeps = (key) => key.startsWith('sk/end/');
+    cluster.shouldHoldTask = everyTask;
+    await cluster.submitUntilAccepted(submission(id, 2));
+    await cluster.waitUntil('a task of the job runs', () => cluster.runningOf(id).length > 0);
+    cluster.store.shouldWithholdCommit = (key) => key.startsWith('sk/end/');
     assert.equal(await cluster.cancel(0, id), 'turned away');
-    cluster.holdsTask = noTask;
-    await cluster.allDone([id]);
-    assert.equal(cluster.store.deliver(), 1);
+    cluster.shouldHoldTask = noTask;
+    await cluster.waitUntilAllDone([id]);
+    assert.equal(cluster.store.applyWithheldCommits(), 1);
     await pause(2 * heartbeatIntervalMs);
-    for (const node of [0, 1, 2]) assert.equal(await cluster.ask(node, id), 'done');
+    for (const node of [0, 1, 2]) assert.equal(await cluster.queryStatus(node, id), 'done');
   },
 );
 
@@ -104,18 +104,19 @@
   { port: 24_360, taskMs: 6000, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    cluster.store.keeps = (key) => key.startsWith('sk/run/');
+    cluster.store.shouldWithholdCommit = (key) => key.startsWith('sk/run/');
     // All tasks run at the same time, however late the page without a response is written again, and they
     // still run when the controllers restart.
-    cluster.holdsTask = everyTask;
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4, { owner: 'blue' }), i);
-    await cluster.until('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 4));
+    cluster.shouldHoldTask = everyTask;
+    for (const [i, id] of ids.entries())
+      await cluster.submitUntilAccepted(submission(id, 4, { owner: 'blue' }), i);
+    await cluster.waitUntil('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 4));
     await pause(2 * heartbeatIntervalMs);
-    assert.equal(cluster.store.deliver(), 1);
+    assert.equal(cluster.store.applyWithheldCommits(), 1);
     for (const label of labels) await cluster.restart(label, 50);
-    cluster.holdsTask = noTask;
-    await cluster.allDone(ids);
-    const starts = cluster.history.happenings.filter(({ kind }) => kind === 'started');
+    cluster.shouldHoldTask = noTask;
+    await cluster.waitUntilAllDone(ids);
+    const starts = cluster.history.events.filter(({ kind }) => kind === 'started');
     assert.equal(starts.length, 12);
   },
 );
@@ -128,7 +129,7 @@
   async (cluster) => {
     await submitAndAwaitRunning(cluster, jobIds, 4);
     const [cancelled = '', ...kept] = jobIds;
-    cluster.holdsTask = tasksOf(cancelled);
+    cluster.shouldHoldTask = tasksOf(cancelled);
     for (const stallMs of [
       heartbeatIntervalMs,
       workerLeaseMs / 2,
@@ -136,13 +137,14 @@
       workerLeaseMs * 1.4,
     ]) {
       const stalledWorkers = [...cluster.workers.values()].filter((_, i) => i % 2 === 0);
-      for (const worker of stalledWorkers) worker.hang();
-      if (stallMs === workerLeaseMs * 0.9) assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
+      for (const worker of stalledWorkers) worker.pause();
+      if (stallMs === workerLeaseMs * 0.9)
+        assert.equal(await cluster.cancelUntilEnded(cancelled), 'cancelled');
       await pause(stallMs);
       for (const worker of stalledWorkers) worker.resume();
       await pause(heartbeatIntervalMs);
     }
-    await cluster.allDone(kept);
+    await cluster.waitUntilAllDone(kept);
   },
 );
 
@@ -153,22 +155,23 @@
   { port: 24_200, taskMs: 3000, capacity: 6 },
   async (cluster) => {
     await submitAndAwaitRunning(cluster, jobIds, 2);
-    for (const worker of cluster.workers.values()) worker.late = { share: 0.5, toMs: 1.5 * workerLeaseMs };
+    for (const worker of cluster.workers.values())
+      worker.duplicateHeartbeats = { share: 0.5, toMs: 1.5 * workerLeaseMs };
     // Two workers lose their lease before the copies of their heartbeats arrive. This ends their agent epoch
     // and their task attempts.
     const isolatedWorkers = [...cluster.workers.values()].slice(0, 2);
-    for (const worker of isolatedWorkers) worker.mute = true;
+    for (const worker of isolatedWorkers) worker.isPartitioned = true;
     await pause(1.1 * workerLeaseMs);
-    for (const worker of isolatedWorkers) worker.mute = false;
+    for (const worker of isolatedWorkers) worker.isPartitioned = false;
     for (let i = 0; i < 5; i++) {
       for (const worker of cluster.workers.values()) {
         for (const heartbeatsAgo of [2 + i * 2, 40])
-          worker.repeat(heartbeatsAgo, labels.indexOf(cluster.ownerOf(worker.machine.id)));
+          worker.sendDuplicate(heartbeatsAgo, labels.indexOf(cluster.ownerOf(worker.machine.id)));
       }
-      if (i === 2) await cluster.restart(await cluster.leading());
+      if (i === 2) await cluster.restart(await cluster.waitForLeader());
       await pause(heartbeatIntervalMs);
     }
-    await cluster.allDone(jobIds);
+    await cluster.waitUntilAllDone(jobIds);
   },
 );
 
@@ -180,19 +183,19 @@
   async (cluster) => {
     await submitAndAwaitRunning(cluster, jobIds, 2);
     const [cancelled = '', ...kept] = jobIds;
-    cluster.holdsTask = tasksOf(cancelled);
+    cluster.shouldHoldTask = tasksOf(cancelled);
     // Machines that are rented later are not partitioned. Every second present machine is not partitioned at
     // first.
     const workers = [...cluster.workers.values()];
-    for (const [i, worker] of workers.entries()) worker.mute = i % 2 === 0;
-    assert.equal(await cluster.cancelSurely(cancelled), 'cancelled');
+    for (const [i, worker] of workers.entries()) worker.isPartitioned = i % 2 === 0;
+    assert.equal(await cluster.cancelUntilEnded(cancelled), 'cancelled');
     await pause(0.9 * workerLeaseMs);
-    for (const worker of workers) worker.mute = true;
+    for (const worker of workers) worker.isPartitioned = true;
     await pause(1.5 * workerLeaseMs);
-    for (const worker of workers) worker.mute = false;
+    for (const worker of workers) worker.isPartitioned = false;
     for (const label of labels)
-      assert.notEqual(await cluster.ask(labels.indexOf(label), cancelled), 'pending');
-    await cluster.allDone(kept);
+      assert.notEqual(await cluster.queryStatus(labels.indexOf(label), cancelled), 'pending');
+    await cluster.waitUntilAllDone(kept);
   },
 );
 
@@ -203,14 +206,14 @@
   { port: 24_280, taskMs: 2000, capacity: 6 },
   async (cluster) => {
     cluster.cloud.listLagMs = heartbeatIntervalMs;
-    cluster.cloud.losesRentals = 3;
-    cluster.cloud.lateReleases = { count: 4, ms: 4 * heartbeatIntervalMs };
+    cluster.cloud.rentalAnswersToDrop = 3;
+    cluster.cloud.delayedReleases = { count: 4, ms: 4 * heartbeatIntervalMs };
     await submitAndAwaitRunning(cluster, jobIds, 4);
     const stalledWorkers = [...cluster.workers.values()].slice(0, 2);
-    for (const worker of stalledWorkers) worker.hang();
-    await cluster.restart(await cluster.leading());
+    for (const worker of stalledWorkers) worker.pause();
+    await cluster.restart(await cluster.waitForLeader());
     await pause(workerLeaseMs);
     for (const worker of stalledWorkers) worker.resume();
-    await cluster.allDone(jobIds);
+    await cluster.waitUntilAllDone(jobIds);
   },
 );
--- a/src/fault-scenarios/leader-failover.test.ts
+++ b/src/fault-scenarios/leader-failover.test.ts
@@ -24,10 +24,10 @@
   { port: 22_000, taskMs: 800 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
-    const firstLeader = await cluster.leading();
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 4), i);
+    const firstLeader = await cluster.waitForLeader();
     cluster.stopController(firstLeader);
-    const secondLeader = await cluster.leading(firstLeader);
+    const secondLeader = await cluster.waitForLeader(firstLeader);
     cluster.startController(firstLeader);
     await cluster.restart(secondLeader);
     for (const label of labels) cluster.stopController(label);
@@ -35,15 +35,15 @@
     cluster.startController(firstLeader);
     await pause(300);
     for (const label of labels) if (label !== firstLeader) cluster.startController(label);
-    cluster.holdsTask = tasksOf('req-000004');
-    await cluster.submitSurely(submission('req-000004', 9));
-    await cluster.until('a task of the job runs', () => cluster.runningOf('req-000004').length > 0);
-    cluster.holdsTask = noTask;
+    cluster.shouldHoldTask = tasksOf('req-000004');
+    await cluster.submitUntilAccepted(submission('req-000004', 9));
+    await cluster.waitUntil('a task of the job runs', () => cluster.runningOf('req-000004').length > 0);
+    cluster.shouldHoldTask = noTask;
     // Each controller is back before the lease of its previous incarnation expires. Until then, the block is
     // still leased to the previous incarnation.
     for (const label of labels) await cluster.restart(label, 50);
-    await cluster.submitSurely(submission('req-000005', 9));
-    await cluster.allDone([...ids, 'req-000004', 'req-000005']);
+    await cluster.submitUntilAccepted(submission('req-000005', 9));
+    await cluster.waitUntilAllDone([...ids, 'req-000004', 'req-000005']);
   },
 );
 
@@ -54,25 +54,26 @@
   { port: 22_040, taskMs: (task) => [300, 1200, 1500][indexOf(task)] ?? 300 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    cluster.holdsTask = (task) => indexOf(task) > 0;
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, i === 0 ? 2 : 3), i);
+    cluster.shouldHoldTask = (task) => indexOf(task) > 0;
+    for (const [i, id] of ids.entries())
+      await cluster.submitUntilAccepted(submission(id, i === 0 ? 2 : 3), i);
     const completedCount = (): number =>
-      cluster.history.happenings.filter((h) => h.kind === 'left' && h.completed).length;
-    await cluster.until('the first tasks have ended', () => completedCount() >= 3);
-    const oldLeader = await cluster.leading();
+      cluster.history.events.filter((h) => h.kind === 'left' && h.completed).length;
+    await cluster.waitUntil('the first tasks have ended', () => completedCount() >= 3);
+    const oldLeader = await cluster.waitForLeader();
     cluster.stopController(oldLeader);
     // The second tasks end while there is no leader or under the new leader. The third tasks end after the
     // leader has changed again.
-    cluster.holdsTask = (task) => indexOf(task) > 1;
+    cluster.shouldHoldTask = (task) => indexOf(task) > 1;
     const queriedNode = nodeOf(oldLeader) === 0 ? 1 : 0;
-    await cluster.leading(oldLeader);
-    for (const id of ids) await cluster.ask(queriedNode, id);
-    await cluster.until('the second tasks have ended', () => completedCount() >= 6);
+    await cluster.waitForLeader(oldLeader);
+    for (const id of ids) await cluster.queryStatus(queriedNode, id);
+    await cluster.waitUntil('the second tasks have ended', () => completedCount() >= 6);
     cluster.startController(oldLeader);
-    await cluster.restart(await cluster.leading());
-    cluster.holdsTask = noTask;
-    for (const id of ids) await cluster.ask(queriedNode, id);
-    await cluster.allDone(ids);
+    await cluster.restart(await cluster.waitForLeader());
+    cluster.shouldHoldTask = noTask;
+    for (const id of ids) await cluster.queryStatus(queriedNode, id);
+    await cluster.waitUntilAllDone(ids);
   },
 );
 
@@ -85,26 +86,27 @@
     // The short tasks end early and free capacity on reachable machines. A long task that is wrongly taken
     // for lost would be started there at once.
     const [longJob, shortJob] = ['req-000001', 'req-000002'];
-    cluster.holdsTask = tasksOf(longJob);
-    for (const id of [longJob, shortJob]) await cluster.submitSurely(submission(id, 9, { owner: 'blue' }));
-    await cluster.until('all long tasks run and all short tasks have completed', () => {
+    cluster.shouldHoldTask = tasksOf(longJob);
+    for (const id of [longJob, shortJob])
+      await cluster.submitUntilAccepted(submission(id, 9, { owner: 'blue' }));
+    await cluster.waitUntil('all long tasks run and all short tasks have completed', () => {
       return cluster.runningOf(longJob).length === 9 && cluster.completedOf(shortJob) === 9;
     });
     const busyWorkers = [...cluster.workers.values()].filter((w) => w.running.length > 0);
     for (const [i, worker] of busyWorkers.entries()) {
-      if (i % 3 === 0) worker.mute = true;
-      else if (i % 3 === 1) worker.deaf = true;
+      if (i % 3 === 0) worker.isPartitioned = true;
+      else if (i % 3 === 1) worker.receivesNoResponses = true;
     }
-    const oldLeader = await cluster.leading();
+    const oldLeader = await cluster.waitForLeader();
     cluster.stopController(oldLeader);
-    await cluster.leading(oldLeader);
+    await cluster.waitForLeader(oldLeader);
     await pause(workerLeaseMs * 0.8);
-    for (const worker of busyWorkers) worker.mute = false;
+    for (const worker of busyWorkers) worker.isPartitioned = false;
     await pause(workerLeaseMs * 0.7);
-    for (const worker of busyWorkers) worker.deaf = false;
+    for (const worker of busyWorkers) worker.receivesNoResponses = false;
     cluster.startController(oldLeader);
-    cluster.holdsTask = noTask;
-    await cluster.allDone([longJob, shortJob]);
+    cluster.shouldHoldTask = noTask;
+    await cluster.waitUntilAllDone([longJob, shortJob]);
   },
 );
 
@@ -114,30 +116,30 @@
   'a heartbeat is delayed until the leader has failed over, and then delivered to the new owner',
   { port: 22_120, taskMs: 2500 },
   async (cluster) => {
-    cluster.holdsTask = everyTask;
-    await cluster.submitSurely(submission('req-000001', 6));
-    await cluster.submitSurely(submission('req-000002', 6), 1);
-    await cluster.until('tasks run', () => cluster.runningOf('req-000002').length > 0);
-    const oldLeader = await cluster.leading();
+    cluster.shouldHoldTask = everyTask;
+    await cluster.submitUntilAccepted(submission('req-000001', 6));
+    await cluster.submitUntilAccepted(submission('req-000002', 6), 1);
+    await cluster.waitUntil('tasks run', () => cluster.runningOf('req-000002').length > 0);
+    const oldLeader = await cluster.waitForLeader();
     const workers = [...cluster.workers.values()].filter((w) => cluster.ownerOf(w.machine.id) === oldLeader);
     assert.ok(workers.length > 0);
-    for (const worker of workers) worker.mute = true;
+    for (const worker of workers) worker.isPartitioned = true;
     cluster.stopController(oldLeader);
-    await cluster.leading(oldLeader);
-    await cluster.until('the blocks of the machines have new owners', () =>
+    await cluster.waitForLeader(oldLeader);
+    await cluster.waitUntil('the blocks of the machines have new owners', () =>
       workers.every(({ machine }) => cluster.ownerOf(machine.id) !== oldLeader),
     );
     for (const worker of workers) {
       // Repeats the last heartbeat of the worker, and others from before it had any task. The new owner must
       // not use any of them.
       for (const heartbeatsAgo of [0, 30, 8, 0])
-        worker.repeat(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
+        worker.sendDuplicate(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
     }
     await pause(2 * heartbeatIntervalMs);
-    for (const worker of workers) worker.mute = false;
-    cluster.holdsTask = noTask;
+    for (const worker of workers) worker.isPartitioned = false;
+    cluster.shouldHoldTask = noTask;
     cluster.startController(oldLeader);
-    await cluster.allDone(['req-000001', 'req-000002']);
+    await cluster.waitUntilAllDone(['req-000001', 'req-000002']);
   },
 );
 
@@ -149,16 +151,16 @@
     const ids = ['req-000001', 'req-000002'];
     // Tasks of the first job end only when the lease of their worker expires. Tasks of the second job may
     // also end by themselves.
-    cluster.holdsTask = tasksOf('req-000001');
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 6), i);
-    await cluster.until('tasks run', () => cluster.runningOf('req-000001').length > 0);
+    cluster.shouldHoldTask = tasksOf('req-000001');
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 6), i);
+    await cluster.waitUntil('tasks run', () => cluster.runningOf('req-000001').length > 0);
     for (const label of labels) cluster.stopController(label);
     await pause(workerLeaseMs * 1.3);
     assert.deepEqual(cluster.runningOf('req-000001'), []);
     assert.equal(cluster.completedOf('req-000001'), 0);
-    cluster.holdsTask = noTask;
+    cluster.shouldHoldTask = noTask;
     for (const label of labels) cluster.startController(label);
-    await cluster.allDone(ids);
+    await cluster.waitUntilAllDone(ids);
   },
 );
 
@@ -169,16 +171,16 @@
   { port: 22_200, taskMs: 1000 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
-    for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, 4), i);
+    for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 4), i);
     for (let failover = 0; failover < 10; failover++) {
-      const leader = await cluster.leading();
-      if (failover === 4) cluster.store.down = true;
+      const leader = await cluster.waitForLeader();
+      if (failover === 4) cluster.store.hasOutage = true;
       await cluster.restart(leader, 50);
-      await pause(cluster.store.down ? heartbeatIntervalMs : 3 * heartbeatIntervalMs);
-      if (failover === 6) cluster.store.down = false;
-      for (const [i, id] of ids.entries()) await cluster.ask(i, id);
+      await pause(cluster.store.hasOutage ? heartbeatIntervalMs : 3 * heartbeatIntervalMs);
+      if (failover === 6) cluster.store.hasOutage = false;
+      for (const [i, id] of ids.entries()) await cluster.queryStatus(i, id);
     }
-    await cluster.allDone(ids);
+    await cluster.waitUntilAllDone(ids);
   },
 );
 
@@ -190,14 +192,14 @@
   { port: 22_240, taskMs: 1000 },
   async (cluster) => {
     const { store } = cluster;
-    store.delayMs = heartbeatIntervalMs * 1.5;
-    store.endAllLeases();
-    await cluster.leading();
+    store.answerDelayMs = heartbeatIntervalMs * 1.5;
+    store.expireAllLeases();
+    await cluster.waitForLeader();
     const fencingToken = cluster.leaderToken();
     await pause(workerLeaseMs);
     assert.equal(cluster.leaderToken(), fencingToken);
-    store.delayMs = 0;
-    await cluster.submitSurely(submission('req-000001', 3));
-    await cluster.allDone(['req-000001']);
+    store.answerDelayMs = 0;
+    await cluster.submitUntilAccepted(submission('req-000001', 3));
+    await cluster.waitUntilAllDone(['req-000001']);
   },
 );
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -60,7 +60,7 @@
 }
 
 function hasStarted(cluster: Cluster, id: string): boolean {
-  return cluster.history.happenings.some((h) => h.kind === 'started' && h.task.startsWith(`${id}/`));
+  return cluster.history.events.some((h) => h.kind === 'started' && h.task.startsWith(`${id}/`));
 }
 
 /** Submits a job to one controller and retries until this controller accepts the job. */
@@ -72,7 +72,7 @@
   overrides: Record<string, unknown>,
 ): Promise<void> {
   const job = submission(id, tasks, overrides);
-  await cluster.until(`${id} is accepted at ${label}`, async () =>
+  await cluster.waitUntil(`${id} is accepted at ${label}`, async () =>
     [200, 201].includes(await cluster.submit(nodeOf(label), job)),
   );
 }
@@ -100,9 +100,9 @@
 
 /** Waits until the job runs, cancels it at one controller and waits until its tasks have ended in time. */
 async function cancelAt(cluster: Cluster, label: string, id: string): Promise<void> {
-  await cluster.until(`${id} runs`, () => cluster.runningOf(id).length > 0);
-  assert.equal(await cluster.cancelSurely(id, [nodeOf(label)]), 'cancelled');
-  await cluster.until(
+  await cluster.waitUntil(`${id} runs`, () => cluster.runningOf(id).length > 0);
+  assert.equal(await cluster.cancelUntilEnded(id, [nodeOf(label)]), 'cancelled');
+  await cluster.waitUntil(
     'the tasks of the cancelled job have ended',
     () => cluster.runningOf(id).length === 0,
     cancelDeadlineMs,
@@ -127,7 +127,7 @@
  */
 async function awaitLeaderOf(cluster: Cluster, group: VersionGroup, otherGroup: VersionGroup): Promise<void> {
   for (;;) {
-    const leader = await cluster.leading();
+    const leader = await cluster.waitForLeader();
     if (group.labels.includes(leader)) return;
     await otherGroup.restart(leader);
   }
@@ -153,10 +153,10 @@
     const term = cluster.leaderToken();
     const submitted = await submitVariedJobs(cluster, others.labels[0] ?? '', firstNumber + 10 * round);
     ids.push(...submitted);
-    await cluster.until('the first of the submitted jobs has started', () =>
+    await cluster.waitUntil('the first of the submitted jobs has started', () =>
       hasStarted(cluster, submitted[0] ?? ''),
     );
-    if (cluster.leaderToken() === term && leaders.labels.includes(await cluster.leading())) return ids;
+    if (cluster.leaderToken() === term && leaders.labels.includes(await cluster.waitForLeader())) return ids;
   }
   return assert.fail(
     `no term of ${leaders.labels.join(' or ')} lasted until the first of the submitted jobs had started`,
@@ -171,22 +171,22 @@
   {
     port: 31_000,
     capacity: 10,
-    earlier: allEarlier,
+    earlierVersion: allEarlier,
     nextLimits,
     taskMs: 1500,
   },
   async (cluster) => {
-    const first = await cluster.leading();
+    const first = await cluster.waitForLeader();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     const restartAsEarlier = (label: string): Promise<void> => cluster.downgrade(label, leadershipExpiryMs);
     const restartAsCurrent = (label: string): Promise<void> => cluster.upgrade(label, leadershipExpiryMs);
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     await submitSmallJobs(cluster, first, [idOf(1), idOf(2)], 6);
     const ids = [idOf(10), idOf(11), idOf(12)];
     await submitSmallJobs(cluster, first, ids, 100);
-    await cluster.until('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
+    await cluster.waitUntil('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
     // Tasks of the first two jobs do not end by themselves: these jobs are cancelled below.
-    cluster.holdsTask = tasksOf(idOf(1), idOf(2));
+    cluster.shouldHoldTask = tasksOf(idOf(1), idOf(2));
 
     await cluster.upgrade(second);
     const earlierPair: VersionGroup = { labels: [first, third], restart: restartAsEarlier };
@@ -197,13 +197,13 @@
     // Leadership and the block of the earlier version move to this version.
     await cluster.upgrade(third);
     cluster.processes.kill(first);
-    await cluster.leading(first);
-    await cluster.until(
+    await cluster.waitForLeader(first);
+    await cluster.waitUntil(
       'the block of the killed controller has another owner',
       () => !cluster.owners().includes(first),
     );
     cluster.startProcess(first, allEarlier.program);
-    await cluster.until('the restarted controller owns a block again', () =>
+    await cluster.waitUntil('the restarted controller owns a block again', () =>
       cluster.owners().includes(first),
     );
     const currentPair: VersionGroup = { labels: [second, third], restart: restartAsCurrent };
@@ -214,22 +214,22 @@
     // The earlier version leads and owns all blocks for a while. It continues to lead beside this version.
     cluster.stopController(second);
     cluster.stopController(third);
-    await cluster.until(
+    await cluster.waitUntil(
       'the controller of the earlier version leads',
-      async () => (await cluster.leading()) === first,
+      async () => (await cluster.waitForLeader()) === first,
     );
-    await cluster.until('the controller of the earlier version owns all blocks', () =>
+    await cluster.waitUntil('the controller of the earlier version owns all blocks', () =>
       cluster.owners().every((owner) => owner === first),
     );
     cluster.startController(second);
     await cluster.downgrade(third);
-    await cluster.until('every controller owns a block', () =>
+    await cluster.waitUntil('every controller owns a block', () =>
       labels.every((label) => cluster.owners().includes(label)),
     );
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 300)));
 
-    await cluster.allDone(ids, 60_000);
-    await cluster.toldEverywhere([idOf(1), idOf(2)], 'cancelled', cancelDeadlineMs);
+    await cluster.waitUntilAllDone(ids, 60_000);
+    await cluster.waitForStatusEverywhere([idOf(1), idOf(2)], 'cancelled', cancelDeadlineMs);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -261,10 +261,10 @@
   const ids: string[] = [];
   while (ids.length < maxJobs) {
     const added = idOf(ids.length + 1);
-    await cluster.submitSurely(submission(added, tasksPerJob, { owner: 'blue' }), ids.length);
+    await cluster.submitUntilAccepted(submission(added, tasksPerJob, { owner: 'blue' }), ids.length);
     ids.push(added);
     if (ids.length < minJobs) continue;
-    await cluster.until('all tasks run', () =>
+    await cluster.waitUntil('all tasks run', () =>
       ids.every((id) => cluster.runningOf(id).length === tasksPerJob),
     );
     const found = findRunningJob(cluster, owners);
@@ -282,36 +282,36 @@
   confirmingControllers: string[],
 ): Promise<void> {
   const { ids, id, owner } = await startJobs(cluster, owners);
-  cluster.store.refused.add(owner);
+  cluster.store.refusedClients.add(owner);
   await pause(heartbeatIntervalMs / 4);
-  assert.equal(await cluster.cancelSurely(id, confirmingControllers.map(nodeOf)), 'cancelled');
-  cluster.store.down = true;
-  await cluster.until(
+  assert.equal(await cluster.cancelUntilEnded(id, confirmingControllers.map(nodeOf)), 'cancelled');
+  cluster.store.hasOutage = true;
+  await cluster.waitUntil(
     'the tasks of the cancelled job have ended',
     () => cluster.runningOf(id).length === 0,
     cancelDeadlineMs,
   );
   await pause(cancelDeadlineMs * 1.2);
-  const startCount = cluster.history.happenings.filter(({ kind }) => kind === 'started').length;
+  const startCount = cluster.history.events.filter(({ kind }) => kind === 'started').length;
   assert.equal(startCount, tasksPerJob * ids.length);
   const runningCounts = ids.map((one) => cluster.runningOf(one).length);
   assert.deepEqual(
     runningCounts,
     ids.map((one) => (one === id ? 0 : tasksPerJob)),
   );
-  cluster.store.refused.clear();
-  cluster.store.down = false;
-  await cluster.toldEverywhere([id], 'cancelled', 15_000);
+  cluster.store.refusedClients.clear();
+  cluster.store.hasOutage = false;
+  await cluster.waitForStatusEverywhere([id], 'cancelled', 15_000);
 }
 
 scenario(
   'a job of this version is cancelled at an earlier one while the state service refuses its owner, and then fails',
-  { port: 31_040, taskMs: untilStopped, capacity: 10, earlier: oneEarlier },
+  { port: 31_040, taskMs: untilStopped, capacity: 10, earlierVersion: oneEarlier },
   (cluster) => cancelBeforeOutage(cluster, ['keel-1', 'keel-2'], ['keel-0']),
 );
 
 scenario(
   'a job of an earlier version is cancelled at this one while the state service refuses its owner, and then fails',
-  { port: 31_080, taskMs: untilStopped, capacity: 10, earlier: twoEarlier },
+  { port: 31_080, taskMs: untilStopped, capacity: 10, earlierVersion: twoEarlier },
   (cluster) => cancelBeforeOutage(cluster, ['keel-0', 'keel-2'], ['keel-1']),
 );
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -19,7 +19,7 @@
 } from '../testing/cluster.js';
 import { type EarlierBuild, buildCommit, productionCommit } from '../testing/earlier-build.js';
 import { scenario } from '../testing/scenario.js';
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 
 /** Lower limits that the settings announce for the state service. */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
@@ -51,12 +51,12 @@
 ): Promise<string[]> {
   const ids = Array.from({ length: count }, (_, i) => idOf(firstNumber + i));
   const small = { owner: 'blue', cpus: 0.25, memoryGb: 0.25 };
-  for (const [i, id] of ids.entries()) await cluster.submitSurely(submission(id, tasks, small), i);
+  for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, tasks, small), i);
   return ids;
 }
 
 function largestValueBytes(cluster: Cluster): number {
-  return Math.max(...[...cluster.store.keys.values()].map(({ value }) => sizeOf(value)));
+  return Math.max(...[...cluster.store.keys.values()].map(({ value }) => jsonSizeBytes(value)));
 }
 
 function haveAllAnnouncedFormat(cluster: Cluster): boolean {
@@ -78,14 +78,14 @@
 // version.
 scenario(
   'controllers are upgraded one by one while jobs run; one dies before its upgrade and restarts with the earlier version',
-  { port: 29_000, capacity: 10, earlier, nextLimits, taskMs: 2500 },
+  { port: 29_000, capacity: 10, earlierVersion: earlier, nextLimits, taskMs: 2500 },
   async (cluster) => {
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 4, 150);
-    await cluster.until('tasks run', () => cluster.runningOf(idOf(1)).length > 0);
+    await cluster.waitUntil('tasks run', () => cluster.runningOf(idOf(1)).length > 0);
     // The tasks of the job that is cancelled below do not end by themselves.
-    cluster.holdsTask = tasksOf(idOf(3));
-    const first = await cluster.leading();
+    cluster.shouldHoldTask = tasksOf(idOf(3));
+    const first = await cluster.waitForLeader();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     // A leader of the earlier version with a block owner of this version. A controller of the earlier version
     // takes over the block of that owner and gives it back.
@@ -93,7 +93,7 @@
     ids.push(...(await submitSmallJobs(cluster, 50, 2, 100)));
     await pause(4 * heartbeatIntervalMs);
     cluster.stopController(second);
-    await cluster.until(
+    await cluster.waitUntil(
       'the block of the stopped controller has another owner',
       () => !cluster.owners().includes(second),
     );
@@ -105,22 +105,24 @@
     cluster.startProcess(third, earlier.program);
     ids.push(...(await submitSmallJobs(cluster, 100, 3, 100)));
     await pause(3 * heartbeatIntervalMs);
-    assert.equal(await cluster.cancelSurely(idOf(3)), 'cancelled');
+    assert.equal(await cluster.cancelUntilEnded(idOf(3)), 'cancelled');
     // A leader of this version with block owners of the earlier version.
     await cluster.upgrade(first);
     await pause(3 * heartbeatIntervalMs);
     ids.push(...(await submitSmallJobs(cluster, 200, 3, 100)));
     await cluster.upgrade(third);
-    await cluster.until('all controllers have stored their format', () => haveAllAnnouncedFormat(cluster));
-    await cluster.submitSurely(submission(idOf(300), 4, { moorings: [idOf(200)] }));
-    await cluster.until('all ledgers have the new layout', () => haveAllLedgersNewLayout(cluster));
-    await cluster.until(
+    await cluster.waitUntil('all controllers have stored their format', () =>
+      haveAllAnnouncedFormat(cluster),
+    );
+    await cluster.submitUntilAccepted(submission(idOf(300), 4, { moorings: [idOf(200)] }));
+    await cluster.waitUntil('all ledgers have the new layout', () => haveAllLedgersNewLayout(cluster));
+    await cluster.waitUntil(
       'every stored value is within the new size limit',
       () => largestValueBytes(cluster) <= nextValueBytes,
     );
-    cluster.lowerLimits();
+    cluster.applyAnnouncedLimits();
     ids.push(...(await submitSmallJobs(cluster, 400, 3, 200)));
-    await cluster.allDone([...ids.filter((id) => id !== idOf(3)), idOf(300)], 40_000);
+    await cluster.waitUntilAllDone([...ids.filter((id) => id !== idOf(3)), idOf(300)], 40_000);
     assert.deepEqual(cluster.store.sizeRefusals, []);
   },
 );
@@ -129,25 +131,25 @@
 // immediately.
 scenario(
   'all controllers are upgraded at the same time, and the limits of the state service are lowered as they return',
-  { port: 29_040, taskMs: 5000, capacity: 10, earlier, nextLimits },
+  { port: 29_040, taskMs: 5000, capacity: 10, earlierVersion: earlier, nextLimits },
   async (cluster) => {
     // No task ends before the ledger is large: the end of a task makes the ledger smaller.
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 6, 200);
-    await cluster.until(
+    await cluster.waitUntil(
       'a stored value exceeds the new size limit',
       () => largestValueBytes(cluster) > nextValueBytes,
     );
-    cluster.holdsTask = noTask;
+    cluster.shouldHoldTask = noTask;
     await Promise.all(labels.map((label) => cluster.upgrade(label)));
-    await cluster.until('a controller has stored its format', () =>
+    await cluster.waitUntil('a controller has stored its format', () =>
       labels.some((label) => cluster.store.value(`formats/${label}`) !== undefined),
     );
-    cluster.lowerLimits();
+    cluster.applyAnnouncedLimits();
     // A job with dependencies is refused until all controllers support dependencies, and is then accepted.
-    await cluster.submitSurely(submission('req-000100', 4, { moorings: [ids[0], ids[1]] }));
+    await cluster.submitUntilAccepted(submission('req-000100', 4, { moorings: [ids[0], ids[1]] }));
     for (const label of labels) await cluster.restart(label, 50);
-    await cluster.allDone([...ids, 'req-000100'], 60_000);
+    await cluster.waitUntilAllDone([...ids, 'req-000100'], 60_000);
     assert.ok(largestValueBytes(cluster) <= nextValueBytes, `${largestValueBytes(cluster)} bytes`);
   },
 );
@@ -156,31 +158,31 @@
 // or a refusal of the state service occurs during this change.
 scenario(
   'the state service refuses a leader of the earlier version, a new leader takes over, and a job is cancelled meanwhile',
-  { port: 29_080, taskMs: 8000, capacity: 10, earlier, nextLimits },
+  { port: 29_080, taskMs: 8000, capacity: 10, earlierVersion: earlier, nextLimits },
   async (cluster) => {
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 4, 20);
-    await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
+    await cluster.waitUntil('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
     // The tasks of the job that is cancelled below do not end by themselves.
-    cluster.holdsTask = tasksOf('req-000002');
-    const first = await cluster.leading();
+    cluster.shouldHoldTask = tasksOf('req-000002');
+    const first = await cluster.waitForLeader();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
     await cluster.upgrade(second);
-    cluster.store.refused.add(first);
+    cluster.store.refusedClients.add(first);
     const nodes = [second, third].map((label) => labels.indexOf(label));
-    assert.equal(await cluster.cancelSurely('req-000002', nodes), 'cancelled');
-    await cluster.leading(first);
+    assert.equal(await cluster.cancelUntilEnded('req-000002', nodes), 'cancelled');
+    await cluster.waitForLeader(first);
     cluster.processes.kill(third);
-    await cluster.until(
+    await cluster.waitUntil(
       'the tasks of the cancelled job have ended',
       () => cluster.runningOf('req-000002').length === 0,
       5000,
     );
-    cluster.store.refused.clear();
+    cluster.store.refusedClients.clear();
     await cluster.upgrade(third);
     await pause(workerLeaseMs / 2);
     await cluster.upgrade(first);
-    await cluster.allDone(
+    await cluster.waitUntilAllDone(
       ids.filter((id) => id !== 'req-000002'),
       40_000,
     );
--- a/src/fault-scenarios/stale-reads.test.ts
+++ b/src/fault-scenarios/stale-reads.test.ts
@@ -25,9 +25,9 @@
     client === controller && keys.includes(`sk/end/${id}`);
 
 const awaitHeldAnswer = async (cluster: Cluster): Promise<void> =>
-  cluster.until(
+  cluster.waitUntil(
     'the state service has executed a transaction and holds its response',
-    () => cluster.store.answersHeld > 0,
+    () => cluster.store.heldAnswerCount > 0,
   );
 
 // Guards against an outdated answer (rule `went_back`): a later repetition shared the answer of an earlier
@@ -38,15 +38,15 @@
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00000${node}`;
-      await cluster.submitSurely(submission(id, 1));
-      await cluster.until('all controllers report the job as open', async () => {
-        const statuses = await Promise.all([0, 1, 2].map((other) => cluster.ask(other, id)));
+      await cluster.submitUntilAccepted(submission(id, 1));
+      await cluster.waitUntil('all controllers report the job as open', async () => {
+        const statuses = await Promise.all([0, 1, 2].map((other) => cluster.queryStatus(other, id)));
         return statuses.every((status) => status === 'pending' || status === 'running');
       });
-      cluster.store.holdsAnswers = transactionsOnOutcome(label, id);
+      cluster.store.shouldHoldAnswer = transactionsOnOutcome(label, id);
       const earlier = cluster.submit(node, submission(id, 1));
       await awaitHeldAnswer(cluster);
-      assert.equal(await cluster.cancelSurely(id, [(node + 1) % 3]), 'cancelled');
+      assert.equal(await cluster.cancelUntilEnded(id, [(node + 1) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
       await pause(heartbeatIntervalMs / 10);
       cluster.store.releaseAnswers();
@@ -63,11 +63,11 @@
   async (cluster) => {
     for (const [node, label] of labels.entries()) {
       const id = `req-00001${node}`;
-      cluster.store.holdsAnswers = transactionsOnOutcome(label, id);
+      cluster.store.shouldHoldAnswer = transactionsOnOutcome(label, id);
       const first = cluster.submit(node, submission(id, 1));
       await awaitHeldAnswer(cluster);
-      await cluster.submitSurely(submission(id, 1), (node + 1) % 3);
-      assert.equal(await cluster.cancelSurely(id, [(node + 2) % 3]), 'cancelled');
+      await cluster.submitUntilAccepted(submission(id, 1), (node + 1) % 3);
+      assert.equal(await cluster.cancelUntilEnded(id, [(node + 2) % 3]), 'cancelled');
       const later = cluster.submit(node, submission(id, 1));
       await pause(heartbeatIntervalMs / 10);
       cluster.store.releaseAnswers();
@@ -83,14 +83,14 @@
   { port: 26_200, taskMs: untilStopped, capacity: 6 },
   async (cluster) => {
     const id = 'req-000031';
-    cluster.store.keeps = (key) => key === `sk/job/${id}`;
+    cluster.store.shouldWithholdCommit = (key) => key === `sk/job/${id}`;
     assert.equal(await cluster.submit(0, submission(id, 2)), 503);
-    await cluster.submitSurely(submission(id, 2), 1);
-    assert.equal(await cluster.cancelSurely(id, [2]), 'cancelled');
-    assert.equal(cluster.store.deliver(), 1);
+    await cluster.submitUntilAccepted(submission(id, 2), 1);
+    assert.equal(await cluster.cancelUntilEnded(id, [2]), 'cancelled');
+    assert.equal(cluster.store.applyWithheldCommits(), 1);
     await pause(workerLeaseMs);
     for (const node of labels.keys()) {
-      assert.equal(await cluster.ask(node, id), 'cancelled');
+      assert.equal(await cluster.queryStatus(node, id), 'cancelled');
       assert.equal(await cluster.submit(node, submission(id, 2)), 200);
     }
     assert.equal(cluster.store.value(`job/${id}`), undefined);
@@ -106,29 +106,29 @@
     const paused = 'keel-2';
     const node = labels.indexOf(paused);
     for (const id of ['req-000041', 'req-000042', 'req-000043']) {
-      await cluster.submitSurely(submission(id, 1));
-      await cluster.until('the controller reports the job as open', async () =>
-        ['pending', 'running'].includes(await cluster.ask(node, id)),
+      await cluster.submitUntilAccepted(submission(id, 1));
+      await cluster.waitUntil('the controller reports the job as open', async () =>
+        ['pending', 'running'].includes(await cluster.queryStatus(node, id)),
       );
-      cluster.store.holdsAnswers = transactionsOnOutcome(paused, id);
-      const earlier = [cluster.submit(node, submission(id, 1)), cluster.ask(node, id)];
+      cluster.store.shouldHoldAnswer = transactionsOnOutcome(paused, id);
+      const earlier = [cluster.submit(node, submission(id, 1)), cluster.queryStatus(node, id)];
       await awaitHeldAnswer(cluster);
       cluster.processes.pause(paused);
       cluster.store.releaseAnswers();
       await pause(heartbeatIntervalMs / 4);
       // Only the responses from before the pause reach the controller. Its watch, the statuses of its peers
       // and its own requests after the pause are held back.
-      cluster.store.held.add(paused);
-      for (const link of cluster.peersOf(paused)) link.cut();
-      assert.equal(await cluster.cancelSurely(id, [0, 1]), 'cancelled');
-      const later = [cluster.submit(node, submission(id, 1)), cluster.ask(node, id)];
+      cluster.store.partitionedClients.add(paused);
+      for (const link of cluster.peerLinksOf(paused)) link.cut();
+      assert.equal(await cluster.cancelUntilEnded(id, [0, 1]), 'cancelled');
+      const later = [cluster.submit(node, submission(id, 1)), cluster.queryStatus(node, id)];
       await pause(heartbeatIntervalMs);
       cluster.processes.continue(paused);
       await pause(heartbeatIntervalMs);
-      cluster.store.held.delete(paused);
-      for (const link of cluster.peersOf(paused)) link.heal();
+      cluster.store.partitionedClients.delete(paused);
+      for (const link of cluster.peerLinksOf(paused)) link.heal();
       await Promise.all([...earlier, ...later]);
-      assert.equal(await cluster.ask(node, id), 'cancelled');
+      assert.equal(await cluster.queryStatus(node, id), 'cancelled');
     }
   },
 );
@@ -142,7 +142,7 @@
   const rounds = 3;
   for (let round = 0; round < rounds; round++) {
     for (const node of labels.keys()) {
-      requests.push(cluster.ask(node, id), cluster.submit(node, submission(id, 1)));
+      requests.push(cluster.queryStatus(node, id), cluster.submit(node, submission(id, 1)));
     }
     await pause(heartbeatIntervalMs / 20);
   }
@@ -155,13 +155,17 @@
  */
 async function followJob(cluster: Cluster, id: string, random: () => number): Promise<void> {
   const queries: Promise<unknown>[] = [];
-  await cluster.submitSurely(submission(id, 1), Math.floor(random() * labels.length));
+  await cluster.submitUntilAccepted(submission(id, 1), Math.floor(random() * labels.length));
   queries.push(queryAllControllers(cluster, id));
   if (random() < 0.6) {
     await pause(random() * heartbeatIntervalMs);
-    await cluster.cancelSurely(id, [Math.floor(random() * labels.length), 0, 1, 2]);
+    await cluster.cancelUntilEnded(id, [Math.floor(random() * labels.length), 0, 1, 2]);
   } else {
-    await cluster.until(`${id} has ended`, async () => (await cluster.ask(0, id)) === 'done', 25_000);
+    await cluster.waitUntil(
+      `${id} has ended`,
+      async () => (await cluster.queryStatus(0, id)) === 'done',
+      25_000,
+    );
   }
   queries.push(queryAllControllers(cluster, id));
   await Promise.all(queries);
@@ -175,26 +179,26 @@
     async (cluster) => {
       const random = seeded(seed);
       const ids = Array.from({ length: 24 }, (_, i) => `req-00002${i.toString().padStart(2, '0')}`);
-      cluster.store.lateAnswers = { share: 0.5, toMs: 600 };
+      cluster.store.delayedAnswers = { share: 0.5, toMs: 600 };
       const users = ids.map(async (id) => {
         await pause(random() * 1.5 * workerLeaseMs);
         await followJob(cluster, id, random);
       });
       await pause(workerLeaseMs / 2);
-      cluster.store.losesAnswers = 5;
+      cluster.store.answersToDrop = 5;
       await cluster.restart(labels[seed % labels.length] ?? '', 100);
-      cluster.store.late = { share: 0.1, fromMs: heartbeatIntervalMs, toMs: workerLeaseMs };
+      cluster.store.lateCommits = { share: 0.1, fromMs: heartbeatIntervalMs, toMs: workerLeaseMs };
       const partitioned = labels[(seed + 1) % labels.length] ?? '';
-      cluster.store.held.add(partitioned);
+      cluster.store.partitionedClients.add(partitioned);
       await pause(workerLeaseMs / 2);
-      cluster.store.held.delete(partitioned);
-      cluster.store.late = undefined;
+      cluster.store.partitionedClients.delete(partitioned);
+      cluster.store.lateCommits = undefined;
       await Promise.all(labels.map((label, i) => cluster.restart(label, 100 + 100 * i)));
       await Promise.all(users);
-      cluster.store.lateAnswers = undefined;
+      cluster.store.delayedAnswers = undefined;
       for (const id of ids) {
-        await cluster.until(`${id} has the same outcome at all controllers`, async () => {
-          const statuses = await Promise.all([0, 1, 2].map((node) => cluster.ask(node, id)));
+        await cluster.waitUntil(`${id} has the same outcome at all controllers`, async () => {
+          const statuses = await Promise.all([0, 1, 2].map((node) => cluster.queryStatus(node, id)));
           return (
             statuses.every((status) => status === statuses[0]) &&
             ['done', 'cancelled'].includes(statuses[0] ?? '')
--- a/src/fault-scenarios/zones-and-capacity.test.ts
+++ b/src/fault-scenarios/zones-and-capacity.test.ts
@@ -17,11 +17,11 @@
 
 /** Waits until a task of the job runs, and stops the machine of such a task together with all tasks on it. */
 async function loseMachine(cluster: Cluster, id: string): Promise<void> {
-  await cluster.until(`${id} runs and loses a machine`, () => {
+  await cluster.waitUntil(`${id} runs and loses a machine`, () => {
     const worker = [...cluster.workers.values()].find((w) =>
       w.running.some((task) => task.startsWith(`${id}/`)),
     );
-    if (worker) cluster.cloud.die(worker.machine.id);
+    if (worker) cluster.cloud.failMachine(worker.machine.id);
     return worker !== undefined;
   });
 }
@@ -40,15 +40,15 @@
     ];
     const ids = jobs.map(({ id }) => String(id));
     // No task ends before each job has lost two machines.
-    cluster.holdsTask = everyTask;
-    for (const [i, job] of jobs.entries()) await cluster.submitSurely(job, i);
-    await cluster.until('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
+    cluster.shouldHoldTask = everyTask;
+    for (const [i, job] of jobs.entries()) await cluster.submitUntilAccepted(job, i);
+    await cluster.waitUntil('all jobs run', () => ids.every((id) => cluster.runningOf(id).length > 0));
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
-    await cluster.restart(await cluster.leading());
+    await cluster.restart(await cluster.waitForLeader());
     await pause(2 * heartbeatIntervalMs);
     await Promise.all(ids.map((id) => loseMachine(cluster, id)));
-    cluster.holdsTask = noTask;
-    await cluster.allDone(ids);
+    cluster.shouldHoldTask = noTask;
+    await cluster.waitUntilAllDone(ids);
   },
 );
 
@@ -61,31 +61,31 @@
     const cancelled = ['req-000001', 'req-000002'];
     const kept = ['req-000011', 'req-000012', 'req-000013'];
     const ids = [...cancelled, ...kept];
-    cluster.holdsTask = everyTask;
+    cluster.shouldHoldTask = everyTask;
     for (const [i, id] of ids.entries()) {
-      await cluster.submitSurely(submission(id, 3, { owner: 'blue' }), i);
+      await cluster.submitUntilAccepted(submission(id, 3, { owner: 'blue' }), i);
     }
     const busyInsideCount = (): number =>
       [...cluster.workers.values()].filter((w) => w.machine.zone === 'a' && w.running.length > 0).length;
-    await cluster.until('all tasks run, some of them in the zone', () => {
+    await cluster.waitUntil('all tasks run, some of them in the zone', () => {
       return ids.every((id) => cluster.runningOf(id).length === 3) && busyInsideCount() > 0;
     });
-    cluster.cutZones.add('a');
-    cluster.store.held.add('keel-0');
-    for (const link of cluster.peersOf('keel-0')) link.cut();
+    cluster.partitionedZones.add('a');
+    cluster.store.partitionedClients.add('keel-0');
+    for (const link of cluster.peerLinksOf('keel-0')) link.cut();
     // Tasks of the kept jobs end at about the end of the partition. Tasks of the cancelled jobs do not end by
     // themselves.
-    cluster.holdsTask = tasksOf(...cancelled);
-    for (const id of cancelled) assert.equal(await cluster.cancelSurely(id, [1, 2]), 'cancelled');
+    cluster.shouldHoldTask = tasksOf(...cancelled);
+    for (const id of cancelled) assert.equal(await cluster.cancelUntilEnded(id, [1, 2]), 'cancelled');
     const endAt = Date.now() + cancelDeadlineMs * 1.2;
     while (Date.now() < endAt) {
-      for (const [i, id] of ids.entries()) await cluster.ask(1 + (i % 2), id);
+      for (const [i, id] of ids.entries()) await cluster.queryStatus(1 + (i % 2), id);
       await pause(heartbeatIntervalMs);
     }
-    cluster.cutZones.clear();
-    cluster.store.held.clear();
-    for (const link of cluster.peersOf('keel-0')) link.heal();
-    await cluster.allDone(kept);
+    cluster.partitionedZones.clear();
+    cluster.store.partitionedClients.clear();
+    for (const link of cluster.peerLinksOf('keel-0')) link.heal();
+    await cluster.waitUntilAllDone(kept);
   },
 );
 
@@ -95,7 +95,7 @@
   'jobs of high and of low urgency exceed the capacity while the state service is slow',
   { port: 25_080, taskMs: 300, capacity: 2 },
   async (cluster) => {
-    cluster.store.delayMs = heartbeatIntervalMs / 2;
+    cluster.store.answerDelayMs = heartbeatIntervalMs / 2;
     const jobs = Array.from({ length: 12 }, (_, i) =>
       submission(`req-0001${String(i).padStart(2, '0')}`, i === 0 ? 30 : 4, {
         urgency: i % 2 === 0 ? 'high' : 'best_effort',
@@ -106,18 +106,18 @@
     const { pieces, ...incomplete } = submission('req-000201', 1);
     assert.equal(pieces, 1);
     await Promise.all([
-      ...jobs.map((job, i) => cluster.submitSurely(job, i)),
-      cluster.until(
+      ...jobs.map((job, i) => cluster.submitUntilAccepted(job, i)),
+      cluster.waitUntil(
         'a submission with a missing field is refused',
         async () => (await cluster.submit(1, incomplete)) === 400,
       ),
-      cluster.until(
+      cluster.waitUntil(
         'a job that fits no machine is refused',
         async () => (await cluster.submit(2, submission('req-000202', 1, { cpus: 64 }))) === 422,
       ),
     ]);
     // A repeated submission of an accepted job gets neither error, even if its fields have changed.
     assert.equal(await cluster.submit(1, submission('req-000101', 4, { cpus: 64, owner: 'red' })), 200);
-    await cluster.allDone(jobs.map(({ id }) => String(id)));
+    await cluster.waitUntilAllDone(jobs.map(({ id }) => String(id)));
   },
 );
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,15 +1,15 @@
 /** Validates a submitted job against the settings and the machine types, without access to the store. */
 import { type JobSpec, type MachineType, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import { sizeOf } from '../wire/codec.js';
-import { jobRecord, minTaskRangesBytes } from '../wire/job-records.js';
+import { jsonSizeBytes } from '../wire/codec.js';
+import { jobRecord, reservedTaskRangesBytes } from '../wire/job-records.js';
 
 /**
  * Returns the reason why the job's record is too large for a stored value of `valueBytes`; undefined if it
  * fits.
  */
 export function tooLargeReason(job: JobSpec, valueBytes: number): string | undefined {
-  const bytes = sizeOf(jobRecord({ spec: job, taskRanges: [] })) + minTaskRangesBytes;
+  const bytes = jsonSizeBytes(jobRecord({ spec: job, taskRanges: [] })) + reservedTaskRangesBytes;
   return bytes > valueBytes ? 'the description of the job is too large' : undefined;
 }
 
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the cancellations that this controller may have confirmed to users, and lists them for its peers.
  */
-import type { ListedCancellations } from '../wire/peer-status.js';
+import type { CancellationList } from '../wire/peer-status.js';
 
 /** Maximum number of cancellations to track; more than users request during an outage. */
 const maxTrackedCancellations = 4000;
@@ -43,7 +43,7 @@
    * after the revision `cancelledSince`, which is above `revision` if older entries are missing from the
    * list.
    */
-  since(revision: number): ListedCancellations {
+  listSince(revision: number): CancellationList {
     const cancelledSince = Math.max(this.firstRevision() ?? Infinity, this.highestDroppedVersion, revision);
     // Fast path: this runs for every status sent to every peer, and most peers already have all
     // cancellations.
--- a/src/intake/dependencies.test.ts
+++ b/src/intake/dependencies.test.ts
@@ -3,20 +3,20 @@
 import { describe, test } from 'node:test';
 
 import type { Reply } from '../base/replies.js';
-import { HeldStore } from '../testing/held-store.js';
-import { tick } from '../testing/ticks.js';
-import { UserSide, type UserSideOptions } from '../testing/user-side.js';
+import { InMemoryStore } from '../testing/in-memory-store.js';
+import { UserApiFixture, type UserApiFixtureOptions } from '../testing/user-api-fixture.js';
+import { waitUntil } from '../testing/wait-until.js';
 
 const firstJob = 'req-000001';
 const secondJob = 'req-000002';
 const thirdJob = 'req-000003';
 
 async function createControllers(
-  options: UserSideOptions = {},
-): Promise<{ store: HeldStore; controller: UserSide; otherController: UserSide }> {
-  const store = new HeldStore();
-  const controller = await UserSide.create(store, firstJob, options);
-  return { store, controller, otherController: await UserSide.create(store, firstJob, options) };
+  options: UserApiFixtureOptions = {},
+): Promise<{ store: InMemoryStore; controller: UserApiFixture; otherController: UserApiFixture }> {
+  const store = new InMemoryStore();
+  const controller = await UserApiFixture.create(store, firstJob, options);
+  return { store, controller, otherController: await UserApiFixture.create(store, firstJob, options) };
 }
 
 const statusIn = ({ body }: Reply): string => (body as { status: string }).status;
@@ -124,7 +124,7 @@
     const { store, controller, otherController } = await createControllers();
     await controller.submit();
     await controller.submit({ moorings: [firstJob] }, secondJob);
-    const staleController = await UserSide.create(store, firstJob, { knowsCancellations: false });
+    const staleController = await UserApiFixture.create(store, firstJob, { knowsCancellations: false });
     assert.equal((await staleController.query(secondJob)).status, 503);
     await otherController.cancel();
     await staleController.query();
@@ -153,10 +153,10 @@
   // The outcome of the first job is committed; the controller that received the cancel request stops before
   // it cancels any dependent.
   await store.endAsCancelled(chain[0] ?? '');
-  const otherController = await UserSide.create(store, firstJob, { listsJobs: true });
+  const otherController = await UserApiFixture.create(store, firstJob, { loadsOpenJobs: true });
   const stop = new AbortController();
   void otherController.cascade.run(stop.signal);
-  await tick(() => [...chain, ...fanOut].every((id) => store.has(`end/${id}`)));
+  await waitUntil(() => [...chain, ...fanOut].every((id) => store.has(`end/${id}`)));
   stop.abort();
   assert.ok(store.largestWrites <= 20);
 });
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
-import { HeldStore, settled } from '../testing/held-store.js';
-import { UserSide } from '../testing/user-side.js';
+import { InMemoryStore, runPendingCallbacks } from '../testing/in-memory-store.js';
+import { UserApiFixture } from '../testing/user-api-fixture.js';
 
 const id = 'req-000001';
 
@@ -11,14 +11,14 @@
   // Guards against a commit queue that stays long because repeated submissions are queued too: in one day of
   // the larger fleet, only 361 of 1431 jobs were accepted.
   test('a repetition that arrives while the first attempt is in flight causes no second commit', async () => {
-    const store = new HeldStore();
-    const controller = await UserSide.create(store, id);
+    const store = new InMemoryStore();
+    const controller = await UserApiFixture.create(store, id);
     store.holdsAnswers = true;
     const replies = [controller.submit(), controller.submit()];
-    await settled();
-    assert.deepEqual([store.executed, store.held], [{ writing: 1, comparing: 0, listing: 0 }, 1]);
+    await runPendingCallbacks();
+    assert.deepEqual([store.executed, store.heldAnswerCount], [{ writing: 1, comparing: 0, listing: 0 }, 1]);
     store.holdsAnswers = false;
-    await store.release();
+    await store.releaseOldestAnswer();
     assert.deepEqual(
       (await Promise.all(replies)).map(({ status }) => status),
       [201, 200],
@@ -31,22 +31,22 @@
   // Guards against refusing a valid submission because of the content of an earlier submission with the same
   // id.
   test('a repetition that differs from the first attempt is validated by its own content', async () => {
-    const store = new HeldStore();
-    const controller = await UserSide.create(store, id);
+    const store = new InMemoryStore();
+    const controller = await UserApiFixture.create(store, id);
     store.holdsAnswers = true;
     const tooLarge = controller.submit({ cpus: 64 });
-    await settled();
+    await runPendingCallbacks();
     const valid = controller.submit();
-    await settled();
+    await runPendingCallbacks();
     store.holdsAnswers = false;
-    await store.release();
-    await store.release();
+    await store.releaseOldestAnswer();
+    await store.releaseOldestAnswer();
     assert.deepEqual([(await tooLarge).status, (await valid).status], [422, 201]);
   });
 
   test('a submission whose commit would wait longer than its user does is refused at once with Retry-After', async () => {
-    const store = new HeldStore();
-    const controller = await UserSide.create(store, id, { writeWaitMs: 7000 });
+    const store = new InMemoryStore();
+    const controller = await UserApiFixture.create(store, id, { writeWaitMs: 7000 });
     const reply = await controller.submit();
     assert.deepEqual([reply.status, reply.retryAfterS, store.executed.writing], [429, 7, 0]);
   });
@@ -55,14 +55,14 @@
 describe('queries for jobs that ended before the controller restarted', () => {
   const ids = Array.from({ length: 60 }, (_, i) => `req-${(7 * i).toString().padStart(6, '0')}`);
 
-  async function endedJobs(): Promise<{ store: HeldStore; restarted: UserSide }> {
-    const store = new HeldStore();
-    const earlier = await UserSide.create(store, id);
+  async function endedJobs(): Promise<{ store: InMemoryStore; restarted: UserApiFixture }> {
+    const store = new InMemoryStore();
+    const earlier = await UserApiFixture.create(store, id);
     for (const job of ids) {
       await earlier.submit({}, job);
       await earlier.cancel(job);
     }
-    return { store, restarted: await UserSide.create(store, id) };
+    return { store, restarted: await UserApiFixture.create(store, id) };
   }
 
   // Guards against queries without an answer (the checker's `forgotten`): after all controllers had
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,7 +1,14 @@
 /** HTTP routes for user requests (submit, query, cancel) and for the health check. */
 import type { FastPathRoute, Reply, Route } from '../base/replies.js';
 import type { JobIndex } from '../placement/job-index.js';
-import { isJobId, jobAnswer, jobDetails, jobIdIn, type JobStatus, parseJob } from '../wire/jobs.js';
+import {
+  isJobId,
+  jobDetailsResponse,
+  type JobStatus,
+  jobStatusResponse,
+  parseJob,
+  submittedJobId,
+} from '../wire/jobs.js';
 import { JobCanceller, type JobCancellerPorts } from './job-canceller.js';
 import { type JobStatusPorts, JobStatusReader, type JobStatusResult } from './job-status-reader.js';
 import { type SubmissionPorts, Submissions } from './submissions.js';
@@ -49,13 +56,13 @@
   private async submit(body: unknown): Promise<Reply> {
     const job = parseJob(body, this.ports.wallClock());
     if (typeof job === 'string')
-      return this.refuseUnlessAccepted(jobIdIn(body), { status: 400, body: { error: job } });
+      return this.refuseUnlessAccepted(submittedJobId(body), { status: 400, body: { error: job } });
     const result = await this.submissions.submit(job);
     switch (result.kind) {
       case 'created':
         return {
           status: 201,
-          body: jobAnswer(job.id, this.statuses.knownOutcome(job.id)?.outcome ?? 'pending'),
+          body: jobStatusResponse(job.id, this.statuses.knownOutcome(job.id)?.outcome ?? 'pending'),
         };
       case 'accepted-before':
         return this.replyToRepetition(job.id, await this.statuses.read(job.id));
@@ -81,9 +88,9 @@
   private replyToRepetition(id: string, result: JobStatusResult): Reply {
     switch (result.kind) {
       case 'ended':
-        return { status: 200, body: jobAnswer(id, result.outcome) };
+        return { status: 200, body: jobStatusResponse(id, result.outcome) };
       case 'open':
-        return { status: 200, body: jobAnswer(id, this.statusOfOpenJob(id)) };
+        return { status: 200, body: jobStatusResponse(id, this.statusOfOpenJob(id)) };
       case 'never-accepted':
       case 'unavailable':
         return this.unavailable();
@@ -96,11 +103,11 @@
     switch (result.kind) {
       case 'ended': {
         const done = result.outcome === 'done' ? result.tasks : 0;
-        return { status: 200, body: jobDetails(id, result.outcome, done, 0) };
+        return { status: 200, body: jobDetailsResponse(id, result.outcome, done, 0) };
       }
       case 'open': {
         const { done, active } = this.ports.jobIndex.progress(id);
-        return { status: 200, body: jobDetails(id, this.statusOfOpenJob(id, active), done, active) };
+        return { status: 200, body: jobDetailsResponse(id, this.statusOfOpenJob(id, active), done, active) };
       }
       case 'never-accepted':
         return unknownJob;
@@ -114,7 +121,7 @@
     const result = await this.canceller.cancel(id);
     switch (result.kind) {
       case 'ended':
-        return { status: 200, body: jobAnswer(id, result.outcome) };
+        return { status: 200, body: jobStatusResponse(id, result.outcome) };
       case 'never-accepted':
         return unknownJob;
       case 'unavailable':
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -3,13 +3,13 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { parseJobRecord } from '../wire/job-records.js';
 import { jobKey, outcomeKey, type StoredValue } from '../wire/keys.js';
 import {
-  changesPerOutcome,
   type OutcomeTransaction,
   outcomeTransaction,
+  writesPerOutcome,
 } from '../wire/outcome-transaction.js';
 import type { JobStatusReader, JobStatusResult } from './job-status-reader.js';
 
@@ -19,7 +19,7 @@
   /** Time of day in ms. */
   wallClock: () => number;
   settings: Settings;
-  mirror: Mirror;
+  replica: StoreReplica;
   jobIndex: Pick<JobIndex, 'openJob' | 'dependencies'>;
   /** Commit queue shared by submissions and cancellations. */
   writes: CommitQueue;
@@ -69,8 +69,8 @@
    * accepted even while submissions are refused because of overload.
    */
   private async commitWithRetries(id: string): Promise<AttemptResult> {
-    const { mirror, store } = this.ports;
-    let record: StoredValue | undefined = mirror.get(jobKey(id));
+    const { replica, store } = this.ports;
+    let record: StoredValue | undefined = replica.get(jobKey(id));
     for (let attempts = 0; attempts < maxAttempts; attempts++) {
       try {
         record ??= await store.read(jobKey(id), 'intake');
@@ -90,7 +90,7 @@
     record: StoredValue,
     withDependents: boolean,
   ): Promise<AttemptResult> {
-    const { mirror, writes } = this.ports;
+    const { replica, writes } = this.ports;
     const tasks = parseJobRecord(record.value)?.spec.tasks ?? 0;
     const jobCancellation = this.cancellation(id, record.version, tasks);
     const cancellations = [jobCancellation, ...(withDependents ? this.cancellationsOfDependents(id) : [])];
@@ -100,7 +100,7 @@
     );
     if (outcome.kind === 'applied') {
       const outcomes = cancellations.map((cancellation) => cancellation.writes[0]);
-      mirror.recordOutcomes(
+      replica.recordOutcomes(
         outcomes.map(({ put, value }) => ({ key: put, value, version: outcome.revision })),
       );
       return 'cancelled';
@@ -123,7 +123,7 @@
    */
   private cancellationsOfDependents(id: string): OutcomeTransaction[] {
     const { jobIndex, settings } = this.ports;
-    const maxDependents = Math.floor(settings.state.txnOps / changesPerOutcome) - 1;
+    const maxDependents = Math.floor(settings.state.txnOps / writesPerOutcome) - 1;
     return jobIndex.dependencies
       .transitiveDependents(id)
       .slice(0, maxDependents)
--- a/src/intake/job-status-reader.ts
+++ b/src/intake/job-status-reader.ts
@@ -2,7 +2,7 @@
 import type { DependencyState } from '../dependencies/dependency-graph.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { type Outcome, parseJobRecord } from '../wire/job-records.js';
 import { jobKey, outcomeKey } from '../wire/keys.js';
 import type { Condition } from '../wire/state.js';
@@ -30,7 +30,7 @@
 /** The parts of the controller that the reader uses. */
 export interface JobStatusPorts {
   store: Pick<StoreClient, 'failing' | 'read'>;
-  mirror: Mirror;
+  replica: StoreReplica;
   /** Commit queue for transactions that only compare versions and write nothing. */
   comparisons: CommitQueue;
   outcomeReader: OutcomeReader;
@@ -73,18 +73,18 @@
    * The outcome of a job if the replica holds it. Outcomes never change, so no read from the store is needed.
    */
   knownOutcome(id: string): EndedJob | undefined {
-    const outcomeRecord = this.ports.mirror.outcomeOf(id);
+    const outcomeRecord = this.ports.replica.outcomeOf(id);
     return outcomeRecord && { kind: 'ended', outcome: outcomeRecord.outcome, tasks: outcomeRecord.tasks };
   }
 
   /** Whether the replica holds the job's record. A job has a record only until it has an outcome. */
   isRecorded(id: string): boolean {
-    return this.ports.mirror.version(jobKey(id)) > 0;
+    return this.ports.replica.version(jobKey(id)) > 0;
   }
 
   private async compareWithStore(id: string): Promise<JobStatusResult> {
-    const { mirror, store, comparisons } = this.ports;
-    if (store.failing || comparisons.full || !mirror.ready) return { kind: 'unavailable' };
+    const { replica, store, comparisons } = this.ports;
+    if (store.failing || comparisons.full || !replica.ready) return { kind: 'unavailable' };
     const isRecorded = this.isRecorded(id);
     const noOutcome: Condition = { key: outcomeKey(id), version: 0 };
     const noJob: Condition = { key: jobKey(id), version: 0 };
@@ -121,12 +121,12 @@
    * from the replica was either just written or has just ended.
    */
   private async hasDependencies(id: string): Promise<boolean | undefined> {
-    const { mirror, store } = this.ports;
+    const { replica, store } = this.ports;
     if (!this.isRecorded(id)) {
       const storedRecord = await store.read(jobKey(id), 'confirm').catch(() => undefined);
-      if (storedRecord) mirror.recordCommitted(storedRecord.key, storedRecord);
+      if (storedRecord) replica.recordCommitted(storedRecord.key, storedRecord);
     }
-    const record = parseJobRecord(mirror.get(jobKey(id))?.value);
+    const record = parseJobRecord(replica.get(jobKey(id))?.value);
     return record && (record.spec.dependencies ?? []).length > 0;
   }
 
--- a/src/intake/linearizability.test.ts
+++ b/src/intake/linearizability.test.ts
@@ -3,31 +3,31 @@
 import { describe, test } from 'node:test';
 
 import type { Reply } from '../base/replies.js';
-import { HeldStore, settled } from '../testing/held-store.js';
-import { UserSide } from '../testing/user-side.js';
+import { InMemoryStore, runPendingCallbacks } from '../testing/in-memory-store.js';
+import { UserApiFixture } from '../testing/user-api-fixture.js';
 
 const id = 'req-000001';
 const cancelled = { id, status: 'cancelled' };
 
 async function twoControllers(): Promise<{
-  store: HeldStore;
-  firstController: UserSide;
-  secondController: UserSide;
+  store: InMemoryStore;
+  firstController: UserApiFixture;
+  secondController: UserApiFixture;
 }> {
-  const store = new HeldStore();
+  const store = new InMemoryStore();
   return {
     store,
-    firstController: await UserSide.create(store, id),
-    secondController: await UserSide.create(store, id),
+    firstController: await UserApiFixture.create(store, id),
+    secondController: await UserApiFixture.create(store, id),
   };
 }
 
 /** Releases the held store responses one by one until the reply has arrived. */
-async function replyOf(store: HeldStore, reply: Promise<Reply>): Promise<unknown> {
+async function replyOf(store: InMemoryStore, reply: Promise<Reply>): Promise<unknown> {
   const replies: Reply[] = [];
   void reply.then((settledReply) => replies.push(settledReply));
   const maxAnswers = 20;
-  for (let i = 0; i < maxAnswers && replies.length === 0; i++) await store.release();
+  for (let i = 0; i < maxAnswers && replies.length === 0; i++) await store.releaseOldestAnswer();
   return replies[0]?.body;
 }
 
@@ -38,17 +38,17 @@
    * submission.
    */
   async function submitAfterCancellation(
-    store: HeldStore,
-    firstController: UserSide,
-    secondController: UserSide,
+    store: InMemoryStore,
+    firstController: UserApiFixture,
+    secondController: UserApiFixture,
   ): Promise<unknown> {
     store.holdsAnswers = true;
     const earlier = firstController.submit();
-    await settled();
+    await runPendingCallbacks();
     store.holdsAnswers = false;
     assert.deepEqual((await secondController.cancel()).body, cancelled);
     const later = firstController.submit();
-    await settled();
+    await runPendingCallbacks();
     await replyOf(store, earlier);
     return replyOf(store, later);
   }
@@ -76,7 +76,7 @@
       await firstController.submit();
       store.holdsAnswers = true;
       const earlier = firstController[request]();
-      await settled();
+      await runPendingCallbacks();
       store.holdsAnswers = false;
       assert.deepEqual((await firstController.cancel()).body, cancelled);
       const { status } = (await replyOf(store, earlier)) as { status: string };
@@ -88,13 +88,13 @@
     const { store, firstController } = await twoControllers();
     store.holdsAnswers = true;
     const acceptance = firstController.submit();
-    await settled();
+    await runPendingCallbacks();
     store.holdsAnswers = false;
     // Submissions and cancellations share one commit queue, so the cancellation is sent only after the
     // response to the submission has arrived.
     const cancel = firstController.cancel();
-    await settled();
-    await store.release();
+    await runPendingCallbacks();
+    await store.releaseOldestAnswer();
     assert.deepEqual((await cancel).body, cancelled);
     assert.equal((await acceptance).status, 201);
     assert.deepEqual((await firstController.submit()).body, cancelled);
--- a/src/intake/outcome-reader.ts
+++ b/src/intake/outcome-reader.ts
@@ -1,12 +1,12 @@
 /** Reads job outcomes that the replica does not hold from the store, in batches. */
 import type { StoreClient } from '../store/client.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { outcomeKey, outcomePrefix } from '../wire/keys.js';
 
 /** The parts of the controller that the reader uses. */
 export interface OutcomeReaderPorts {
   store: Pick<StoreClient, 'listPage'>;
-  mirror: Mirror;
+  replica: StoreReplica;
 }
 
 /**
@@ -44,7 +44,7 @@
    * Reads the page that begins with the first requested key, so that each request completes at least one key.
    */
   private async readPage(): Promise<void> {
-    const { store, mirror } = this.ports;
+    const { store, replica } = this.ports;
     const [firstKey = ''] = [...this.requestedKeys].sort();
     try {
       const { items } = await store.listPage(
@@ -53,7 +53,7 @@
         outcomesPerPage,
         'intake',
       );
-      mirror.recordOutcomes(items);
+      replica.recordOutcomes(items);
       for (const { key } of items) this.requestedKeys.delete(key);
       this.requestedKeys.delete(firstKey);
     } catch {
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { jobRecord, outcomeRecord, type TaskRange } from '../wire/job-records.js';
 import { jobKey, outcomeKey } from '../wire/keys.js';
 import { impossibleReason, tooLargeReason } from './admission.js';
@@ -16,7 +16,7 @@
   wallClock: () => number;
   settings: Settings;
   store: Pick<StoreClient, 'failing' | 'writeWaitMs'>;
-  mirror: Mirror;
+  replica: StoreReplica;
   /** Commit queue shared by submissions and cancellations. */
   writes: CommitQueue;
   machineTypes: () => ReadonlyMap<string, MachineType>;
@@ -76,9 +76,9 @@
    * again, because the first attempt may have been executed before the repetition arrived. Never throws.
    */
   async submit(job: JobSpec): Promise<SubmissionResult> {
-    const { store, mirror, machineTypes, settings } = this.ports;
+    const { store, replica, machineTypes, settings } = this.ports;
     if (this.isKnownAccepted(job.id)) return { kind: 'accepted-before' };
-    if (machineTypes().size === 0 || !mirror.ready) return { kind: 'unavailable' };
+    if (machineTypes().size === 0 || !replica.ready) return { kind: 'unavailable' };
     const reason =
       impossibleReason(job, machineTypes().values(), settings.teams) ??
       tooLargeReason(job, settings.state.valueBytes);
@@ -130,30 +130,32 @@
    * is not.
    */
   private overloadRetryAfterS(): number | undefined {
-    const { mirror, settings, store, writes } = this.ports;
+    const { replica, settings, store, writes } = this.ports;
     const waitMs = store.writeWaitMs('intake', writes.writableLength);
-    const tooManyJobs = mirror.size > settings.quota.memoryMb * maxOpenJobsPerMb;
+    const tooManyJobs = replica.size > settings.quota.memoryMb * maxOpenJobsPerMb;
     if (waitMs <= maxWriteWaitMs && !writes.full && !tooManyJobs) return undefined;
     return Math.min(maxOverloadRetryS, Math.max(minOverloadRetryS, waitMs / 1000));
   }
 
   private async commitJob(job: JobSpec): Promise<SubmissionResult> {
-    const { mirror, initialRanges, jobIndex } = this.ports;
+    const { replica, initialRanges, jobIndex } = this.ports;
     if (jobIndex.dependencies.hasCancelledUpstream(job.dependencies ?? []))
       return this.commitAsCancelled(job);
     const key = jobKey(job.id);
     const value = jobRecord({ spec: job, taskRanges: initialRanges(job) });
-    return this.commitAsNew(job.id, key, value, (version) => mirror.recordCommitted(key, { value, version }));
+    return this.commitAsNew(job.id, key, value, (version) =>
+      replica.recordCommitted(key, { value, version }),
+    );
   }
 
   /**
    * Accepts a job with a cancelled dependency by committing its outcome `cancelled` instead of its record.
    */
   private async commitAsCancelled(job: JobSpec): Promise<SubmissionResult> {
-    const { mirror, wallClock } = this.ports;
+    const { replica, wallClock } = this.ports;
     const key = outcomeKey(job.id);
     const value = outcomeRecord({ outcome: 'cancelled', tasks: job.tasks, endedAt: wallClock() });
-    return this.commitAsNew(job.id, key, value, (version) => mirror.recordOutcome(key, { value, version }));
+    return this.commitAsNew(job.id, key, value, (version) => replica.recordOutcome(key, { value, version }));
   }
 
   /** Commits the first entry of a job on the condition that the job has neither a record nor an outcome. */
--- a/src/ladder/autoscaler.test.ts
+++ b/src/ladder/autoscaler.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
 
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import { silentLog } from '../base/log.js';
-import { nextTurn } from '../base/turns.js';
 import { Term } from '../leadership/term.js';
 import { JobIndex } from '../placement/job-index.js';
 import { QueueOrder } from '../placement/queue-order.js';
@@ -51,7 +51,7 @@
     this.now = now;
     for (let step = 0; step < 4; step++) {
       this.context.mock.timers.tick(evaluationMs);
-      for (let turn = 0; turn < 10; turn++) await nextTurn();
+      for (let turn = 0; turn < 10; turn++) await nextEventLoopIteration();
     }
   }
 
@@ -82,7 +82,7 @@
       },
       jobIndex: this.jobIndex,
       order: new QueueOrder([]),
-      mirror: { get: () => undefined },
+      replica: { get: () => undefined },
       commits: { commit: () => Promise.resolve({ kind: 'applied', revision: 1 }) },
       term: this.term,
       machineTypes: () => types,
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -2,9 +2,9 @@
  * The leader's autoscaler: combines machine inventory, demand, ladders, scale-out and scale-in into one loop.
  */
 import { type Clock, sleep } from '../base/clock.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
-import { nextTurn } from '../base/turns.js';
 import type { CloudClient } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { MachineType } from '../model/types.js';
@@ -13,7 +13,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { countDemand } from './demand.js';
 import { DrainedMachineReleaser } from './drained-machine-releaser.js';
@@ -37,7 +37,7 @@
   cloud: Pick<CloudClient, 'listMachines' | 'rent' | 'release'>;
   jobIndex: JobIndex;
   order: QueueOrder;
-  mirror: Pick<Mirror, 'get'>;
+  replica: Pick<StoreReplica, 'get'>;
   commits: Pick<CommitQueue, 'commit'>;
   term: Pick<Term, 'signal' | 'fencingToken' | 'startedAt'>;
   /**
@@ -137,9 +137,9 @@
     const machines = this.inventory.currentMachines();
     this.inventory.removeAssigned();
     const pools = this.buildPools(machines, now);
-    await nextTurn();
+    await nextEventLoopIteration();
     this.countDemand(pools, machines);
-    await nextTurn();
+    await nextEventLoopIteration();
     this.pools = pools;
     this.poolLog.write(pools.values(), now);
     const samples = this.failureObserver.observe({ jobIndex, pools, machines, now });
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,5 +1,5 @@
 /** Demand counting: how many slots of running and waiting tasks count for each pool. */
-import { type JobSpec, type Resources, taskKind, withinLimit } from '../model/types.js';
+import { type JobSpec, type Resources, taskRequirementsKey, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import { taskResourcesOf } from '../placement/ledger-index.js';
 import type { QueueOrder } from '../placement/queue-order.js';
@@ -48,7 +48,7 @@
   // Eligible pools are cached by task kind, because there are far fewer task kinds than jobs.
   const poolsByKind = new Map<string, Pool[]>();
   const poolsFor = (spec: JobSpec): Pool[] => {
-    const kind = taskKind(spec);
+    const kind = taskRequirementsKey(spec);
     let eligible = poolsByKind.get(kind);
     if (!eligible) poolsByKind.set(kind, (eligible = eligiblePools(spec, pools.values())));
     return eligible;
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -5,7 +5,7 @@
 import type { FailureSample } from './threshold-tuner.js';
 
 /** The state of jobs, pools and machines at one evaluation. */
-export interface ObservedState {
+export interface ObservedClusterState {
   jobIndex: JobIndex;
   pools: ReadonlyMap<string, Pool>;
   machines: ReadonlyMap<string, LeasedMachine>;
@@ -33,7 +33,7 @@
   constructor(private readonly graceMs: number) {}
 
   /** Returns the samples of arrivals and displacements since the last observation. */
-  observe(state: ObservedState): PoolSample[] {
+  observe(state: ObservedClusterState): PoolSample[] {
     const samples: PoolSample[] = [];
     for (const job of state.jobIndex.jobs.values()) {
       if (state.now - job.readySeenAt < this.graceMs) continue;
@@ -44,7 +44,7 @@
     return samples;
   }
 
-  private observeJob(job: IndexedJob, state: ObservedState): PoolSample | undefined {
+  private observeJob(job: IndexedJob, state: ObservedClusterState): PoolSample | undefined {
     const displaced = countDisplacedTasks(job, state.jobIndex);
     const previouslyDisplaced = this.displacedTasksByJob.get(job.id);
     this.displacedTasksByJob.set(job.id, displaced);
@@ -83,7 +83,7 @@
 }
 
 /** The pool of the first machine in `machines` that runs a task of the job; undefined if there is none. */
-function poolInUse(job: IndexedJob, { jobIndex, machines, pools }: ObservedState): Pool | undefined {
+function poolInUse(job: IndexedJob, { jobIndex, machines, pools }: ObservedClusterState): Pool | undefined {
   for (const entry of jobIndex.entriesOf(job.id)) {
     for (const [, , machineId] of entry.active) {
       const machine = machines.get(machineId);
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
 import { Ladder } from './ladder.js';
 
@@ -46,7 +46,7 @@
   for (let machineNumber = 4000; machineNumber > 1; machineNumber--) ladder.move(machineNumber, 1);
   ladder.move(4000, 1);
   const record = ladderRecord(ladder.movedThresholds, 2048);
-  assert.ok(sizeOf(record) <= 2048);
+  assert.ok(jsonSizeBytes(record) <= 2048);
   const kept = parseLadder(record);
   assert.ok(kept.length >= 100);
   assert.deepEqual(kept.at(-1), [4000, ladder.threshold(4000)]);
--- a/src/ladder/machine-inventory.ts
+++ b/src/ladder/machine-inventory.ts
@@ -2,7 +2,7 @@
  * The leader's inventory of machines: which are rented, which are to be drained, and which are terminated.
  */
 import type { Clock } from '../base/clock.js';
-import { RecentNames } from '../base/recent-names.js';
+import { ExpiringNameSet } from '../base/expiring-name-set.js';
 import type { CloudMachine } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
 import type { LeasedMachine } from '../wire/block-records.js';
@@ -33,7 +33,7 @@
   /** Machines that were rented or found in the list and are not leased to a block yet, by id. */
   readonly unassigned = new Map<string, LeasedMachine>();
   /** Ids of machines that are known to be terminated. */
-  readonly terminated: RecentNames;
+  readonly terminated: ExpiringNameSet;
   /** Ids of machines to drain and release. No more tasks are to be placed on them. */
   readonly toDrain = new Set<string>();
   /**
@@ -48,7 +48,7 @@
   constructor(private readonly ports: MachineInventoryPorts) {
     const { listLagMs } = ports.settings.cloud;
     const terminatedRetentionMs = Math.max(minTerminatedRetentionMs, listLagMs * terminatedRetentionLags);
-    this.terminated = new RecentNames(ports.clock, terminatedRetentionMs);
+    this.terminated = new ExpiringNameSet(ports.clock, terminatedRetentionMs);
     this.missingMachines = new MissingMachineDetector(listLagMs);
   }
 
--- a/src/ladder/machine-list-poller.ts
+++ b/src/ladder/machine-list-poller.ts
@@ -1,6 +1,6 @@
 /** Periodic requests for the cloud's machine list. */
 import { sleep } from '../base/clock.js';
-import { type CloudClient, maxMachinesPerList } from '../cloud/client.js';
+import { type CloudClient, maxMachinesPerPage } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineInventory } from './machine-inventory.js';
@@ -39,7 +39,7 @@
 
   private intervalMs(machines: number): number {
     const { rps, listLagMs } = this.ports.settings.cloud;
-    const calls = Math.ceil((machines + 1) / maxMachinesPerList);
+    const calls = Math.ceil((machines + 1) / maxMachinesPerPage);
     const pacedMs = (calls * 1000) / (rps * listCallShare);
     return Math.max(this.minIntervalMs, listLagMs / 2, pacedMs);
   }
--- a/src/ladder/pool-ladders.test.ts
+++ b/src/ladder/pool-ladders.test.ts
@@ -27,7 +27,7 @@
     clock: () => 0,
     log: silentLog,
     operator: defaultOperatorSettings,
-    mirror: { get: (key) => values.get(key) },
+    replica: { get: (key) => values.get(key) },
     commits: {
       commit: (conditions, writes) => {
         commits.push({ conditions, writes });
--- a/src/ladder/pool-ladders.ts
+++ b/src/ladder/pool-ladders.ts
@@ -49,7 +49,7 @@
    * saves the moved thresholds. Earlier calls have no effect.
    */
   async tune(pools: Iterable<Pool>, now: number): Promise<void> {
-    if (now - this.lastTunedAt < this.ports.operator.ladder.periodS * 1000) return;
+    if (now - this.lastTunedAt < this.ports.operator.ladder.adjustmentPeriodS * 1000) return;
     this.lastTunedAt = now;
     for (const pool of pools) await this.tunePool(pool, now);
   }
@@ -74,11 +74,17 @@
   }
 
   private createLadder(pool: Pool): TunedLadder {
-    const { targetFailureRatio, windowS, slotShare, start, spotStart } = this.ports.operator.ladder;
-    const settings = { slotShare, startShare: pool.spot ? spotStart : start };
+    const {
+      targetFailureRatio,
+      failureWindowS,
+      slotShare,
+      initialThresholdShare,
+      spotInitialThresholdShare,
+    } = this.ports.operator.ladder;
+    const settings = { slotShare, startShare: pool.spot ? spotInitialThresholdShare : initialThresholdShare };
     return {
       ladder: new Ladder(settings, this.store.load(pool.key)),
-      tuner: new ThresholdTuner({ targetFailureRatio, windowMs: windowS * 1000 }),
+      tuner: new ThresholdTuner({ targetFailureRatio, windowMs: failureWindowS * 1000 }),
     };
   }
 }
--- a/src/ladder/pool-log.ts
+++ b/src/ladder/pool-log.ts
@@ -30,7 +30,7 @@
    */
   write(pools: Iterable<Pool>, now: number): void {
     const { log, operator } = this.ports;
-    const isDue = now - this.lastLoggedAt >= operator.ladder.periodS * 1000;
+    const isDue = now - this.lastLoggedAt >= operator.ladder.adjustmentPeriodS * 1000;
     if (!isDue && !log.isLevelEnabled('debug')) return;
     const fields = { event: 'pools', pools: [...pools].map((pool) => poolFields(pool)) };
     if (!isDue) {
