--- a/src/ladder/threshold-store.ts
+++ b/src/ladder/threshold-store.ts
@@ -2,14 +2,14 @@
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { ladderKey, leaderKey } from '../wire/keys.js';
 import { ladderRecord, parseLadder } from '../wire/ladder-records.js';
 import type { Ladder, MovedThreshold } from './ladder.js';
 
 /** The parts of the controller that the threshold store uses. */
 export interface ThresholdStorePorts {
-  mirror: Pick<Mirror, 'get'>;
+  replica: Pick<StoreReplica, 'get'>;
   commits: Pick<CommitQueue, 'commit'>;
   term: Pick<Term, 'fencingToken'>;
   settings: Pick<Settings, 'state'>;
@@ -21,7 +21,7 @@
 
   /** The moved thresholds of the pool that were last saved; empty if there is no record. */
   load(pool: string): MovedThreshold[] {
-    return parseLadder(this.ports.mirror.get(ladderKey(pool))?.value);
+    return parseLadder(this.ports.replica.get(ladderKey(pool))?.value);
   }
 
   /**
--- a/src/leadership/election.test.ts
+++ b/src/leadership/election.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import { silentLog } from '../base/log.js';
-import type { ChangeListener } from '../store/mirror.js';
+import type { ChangeListener } from '../store/store-replica.js';
 import type { CommitOutcome } from '../store/transactions.js';
 import { leaderRecord } from '../wire/controller-records.js';
 import type { StoredValue } from '../wire/keys.js';
@@ -42,7 +42,7 @@
           return Promise.resolve(this.outcome);
         },
       },
-      mirror: {
+      replica: {
         ready: true,
         revision: 100,
         get: () => this.replica,
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../base/log.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import type { CommitOutcome } from '../store/transactions.js';
 import { type LeaderRecord, leaderRecord, parseLeader } from '../wire/controller-records.js';
 import { leaderKey } from '../wire/keys.js';
@@ -20,7 +20,7 @@
   log: Log;
   store: Pick<StoreClient, 'failing' | 'read'>;
   commits: Pick<CommitQueue, 'commit'>;
-  mirror: Pick<Mirror, 'ready' | 'revision' | 'get' | 'version' | 'listen'>;
+  replica: Pick<StoreReplica, 'ready' | 'revision' | 'get' | 'version' | 'listen'>;
   membership: Pick<Membership, 'leaseId'>;
   /** Label of this controller in the settings. */
   label: string;
@@ -94,22 +94,22 @@
   }
 
   private get storedLeader(): LeaderRecord | undefined {
-    return parseLeader(this.ports.mirror.get(leaderKey)?.value);
+    return parseLeader(this.ports.replica.get(leaderKey)?.value);
   }
 
   private isEligible(): boolean {
-    const { mirror, store, membership, label } = this.ports;
-    if (!mirror.ready || store.failing || membership.leaseId === undefined) return false;
+    const { replica, store, membership, label } = this.ports;
+    if (!replica.ready || store.failing || membership.leaseId === undefined) return false;
     return mayCampaign(this.storedLeader, label);
   }
 
   private async campaign(signal: AbortSignal): Promise<Term | undefined> {
-    const { commits, mirror, membership, label, incarnation, clock, log } = this.ports;
+    const { commits, replica, membership, label, incarnation, clock, log } = this.ports;
     const { leaseId } = membership;
     if (leaseId === undefined) return undefined;
     const candidate: LeaderRecord = { label, incarnation, candidacy: ++this.lastCandidacy };
     const outcome = await commits.commit(
-      [{ key: leaderKey, version: mirror.version(leaderKey) }],
+      [{ key: leaderKey, version: replica.version(leaderKey) }],
       [{ put: leaderKey, value: leaderRecord(candidate), lease: leaseId }],
     );
     const fencingToken = await this.fencingTokenOf(outcome, candidate);
@@ -139,14 +139,15 @@
   }
 
   private async holdTerm(term: Term, signal: AbortSignal): Promise<void> {
-    const { mirror, log, onElected } = this.ports;
+    const { replica, log, onElected } = this.ports;
     const { fencingToken } = term;
     this.currentTerm = term;
     const onShutdown = (): void => term.end({ kind: 'shutdown' });
     signal.addEventListener('abort', onShutdown, { once: true });
-    const stopListening = mirror.listen(() => {
-      const isOutdated = mirror.revision < fencingToken;
-      if (!isOutdated && mirror.version(leaderKey) !== fencingToken) term.end({ kind: 'leader-key-changed' });
+    const stopListening = replica.listen(() => {
+      const isOutdated = replica.revision < fencingToken;
+      if (!isOutdated && replica.version(leaderKey) !== fencingToken)
+        term.end({ kind: 'leader-key-changed' });
     });
     try {
       await onElected(term);
--- a/src/leadership/heartbeat-response-policy.test.ts
+++ b/src/leadership/heartbeat-response-policy.test.ts
@@ -30,7 +30,7 @@
 // whole outage.
 test('the response window is extended only if every peer has listed its cancellations up to a later time', () => {
   const peer = (cancellationsKnownUntil: number, storeContactAgeMs = 15_000): LastPeerStatus => ({
-    notBefore: 26_000,
+    createdNotBefore: 26_000,
     storeContactAgeMs,
     cancellationsKnownUntil,
   });
@@ -49,7 +49,7 @@
 });
 
 test('a controller stops answering once its lease has expired, if a peer still has contact with the store', () => {
-  const served = { notBefore: 19_000, storeContactAgeMs: 100, cancellationsKnownUntil: 19_000 };
+  const served = { createdNotBefore: 19_000, storeContactAgeMs: 100, cancellationsKnownUntil: 19_000 };
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ peers: [served, undefined] }), 6000), true);
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ now: 12_000, peers: [served, undefined] }), 6000), false);
   assert.equal(
@@ -85,8 +85,8 @@
 });
 
 test('without contact to the store, the peer statuses decide how long heartbeats are answered', () => {
-  const listed = { notBefore: 14_000, storeContactAgeMs: 4000, cancellationsKnownUntil: 14_000 };
-  const served = { ...listed, notBefore: 19_000, storeContactAgeMs: 100 };
+  const listed = { createdNotBefore: 14_000, storeContactAgeMs: 4000, cancellationsKnownUntil: 14_000 };
+  const served = { ...listed, createdNotBefore: 19_000, storeContactAgeMs: 100 };
   assert.equal(policy({ now: 28_750 }).mayRespond, true);
   assert.equal(policy({ now: 28_751 }).mayRespond, false);
   assert.equal(policy({ now: 32_750, peers: [listed, listed] }).mayRespond, true);
--- a/src/leadership/heartbeat-response-policy.ts
+++ b/src/leadership/heartbeat-response-policy.ts
@@ -88,7 +88,9 @@
   const { now, lastStoreContactAt, peers } = facts;
   const expiresAt = lastStoreContactAt + leaseTtlMs;
   if (now <= expiresAt) return false;
-  return peers.some((peer) => peer !== undefined && peer.notBefore - peer.storeContactAgeMs > expiresAt);
+  return peers.some(
+    (peer) => peer !== undefined && peer.createdNotBefore - peer.storeContactAgeMs > expiresAt,
+  );
 }
 
 /** Decides for each heartbeat whether it may be answered. */
--- a/src/leadership/membership.test.ts
+++ b/src/leadership/membership.test.ts
@@ -39,7 +39,7 @@
         return Promise.resolve({ kind: 'applied', revision: 1 });
       },
     },
-    mirror: {
+    replica: {
       ready: true,
       get: (key) => this.stored.get(key),
       version: (key) => this.stored.get(key)?.version ?? 0,
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -2,14 +2,14 @@
  * Maintains this controller's membership of the cluster: a lease in the store, and a key bound to the lease
  * that shows the other controllers that this controller is alive.
  */
-import { onAbort } from '../base/aborts.js';
+import { onAbort } from '../base/abort-callbacks.js';
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import {
   aliveRecord,
   currentFormat,
@@ -25,7 +25,7 @@
   log: Log;
   store: Pick<StoreClient, 'createLease' | 'renewLease' | 'revokeLease'>;
   commits: Pick<CommitQueue, 'commit'>;
-  mirror: Pick<Mirror, 'ready' | 'get' | 'version'>;
+  replica: Pick<StoreReplica, 'ready' | 'get' | 'version'>;
   /** Label of this controller in the settings. */
   label: string;
   zone: string;
@@ -159,9 +159,9 @@
    * an earlier incarnation may have bound the key of this controller to the lease of that incarnation.
    */
   private repairAnnouncements(leaseId: number): void {
-    const { mirror, label, incarnation } = this.ports;
-    if (!mirror.ready || this.isAnnouncing) return;
-    const alive = parseAlive(mirror.get(aliveKey(label))?.value);
+    const { replica, label, incarnation } = this.ports;
+    if (!replica.ready || this.isAnnouncing) return;
+    const alive = parseAlive(replica.get(aliveKey(label))?.value);
     if (alive?.incarnation !== incarnation) this.announceAlive(leaseId);
     this.announceFormat();
   }
@@ -191,11 +191,11 @@
    * permanent: a controller that has run with this format does not restart with an earlier one.
    */
   private announceFormat(): void {
-    const { commits, label, mirror, log } = this.ports;
+    const { commits, label, replica, log } = this.ports;
     const key = formatKey(label);
-    if (parseFormat(mirror.get(key)?.value) >= currentFormat) return;
+    if (parseFormat(replica.get(key)?.value) >= currentFormat) return;
     commits
-      .commit([{ key, version: mirror.version(key) }], [{ put: key, value: formatRecord() }])
+      .commit([{ key, version: replica.version(key) }], [{ put: key, value: formatRecord() }])
       .catch((error: unknown) => {
         log.error(
           { event: 'announcement-failed', err: error },
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -191,7 +191,14 @@
  * Returns a key of the requirements of a job's tasks on their machines: tasks with equal keys fit the same
  * machines.
  */
-export function taskKind({ cpus, accelerators, memoryGb, spot, zone, machineTypes }: JobSpec): string {
+export function taskRequirementsKey({
+  cpus,
+  accelerators,
+  memoryGb,
+  spot,
+  zone,
+  machineTypes,
+}: JobSpec): string {
   return [cpus, accelerators, memoryGb, spot, zone, machineTypes].join('/');
 }
 
--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -2,7 +2,7 @@
 import { createConnection, createServer, type Socket } from 'node:net';
 import { test } from 'node:test';
 
-import { steadyClock } from '../base/clock.js';
+import { monotonicClock } from '../base/clock.js';
 import { silentLog } from '../base/log.js';
 import { Samples } from '../testing/samples.js';
 import { testSettings } from '../testing/settings.js';
@@ -24,7 +24,7 @@
       Object.assign(file, { label: `keel-${ownIndex}`, back: `127.0.0.1:${port + ownIndex}`, others });
     });
     return new PeerLinks({
-      clock: steadyClock,
+      clock: monotonicClock,
       log: silentLog,
       settings,
       incarnation: `boot-${index}`,
@@ -117,7 +117,7 @@
     Object.assign(file, { label: from, back: `127.0.0.1:${port}`, others });
   });
   return new PeerLinks({
-    clock: steadyClock,
+    clock: monotonicClock,
     log: silentLog,
     settings,
     incarnation,
@@ -258,7 +258,7 @@
   const first = linksAt(1000).composeStatus('keel-1');
   linksAt(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
   assert.deepEqual(linksAt(9000).lastStatus('keel-1'), {
-    notBefore: 1000,
+    createdNotBefore: 1000,
     storeContactAgeMs: 40,
     cancellationsKnownUntil: 1000,
   });
@@ -277,7 +277,7 @@
     storeContactAgeMs: 60,
   });
   assert.deepEqual(linksAt(9000).lastStatus('keel-1'), {
-    notBefore: 9000,
+    createdNotBefore: 9000,
     storeContactAgeMs: 50,
     cancellationsKnownUntil: 9000,
   });
@@ -305,7 +305,7 @@
     cancelledSince: 41,
   });
   assert.deepEqual(linksAt(2500).lastStatus('keel-1'), {
-    notBefore: 2000,
+    createdNotBefore: 2000,
     storeContactAgeMs: 40,
     cancellationsKnownUntil: 1000,
   });
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -14,7 +14,7 @@
 import { parseSocketAddress } from '../base/socket-address.js';
 import type { Settings } from '../settings/settings.js';
 import {
-  type ListedCancellations,
+  type CancellationList,
   parsePeerStatus,
   type PeerStatus,
   peerStatusRecord,
@@ -28,7 +28,7 @@
    * When this controller sent the message whose sequence number the status echoes. The peer created the
    * status later than that.
    */
-  notBefore: number;
+  createdNotBefore: number;
   /** How long the peer had been without contact to the store when it created the status, in ms. */
   storeContactAgeMs: number;
   /**
@@ -42,7 +42,7 @@
 export interface PeerLinksPorts {
   clock: Clock;
   log: Log;
-  settings: Pick<Settings, 'label' | 'peerOn' | 'peers' | 'controllers' | 'heartbeatIntervalMs'>;
+  settings: Pick<Settings, 'label' | 'peerListenAddress' | 'peers' | 'controllers' | 'heartbeatIntervalMs'>;
   /** Identifies this process; a restarted process has a different one. */
   incarnation: string;
   /** The revision that this controller's replica of the store has reached. */
@@ -56,7 +56,7 @@
    * All cancellations that this controller may have confirmed and that may be missing from the replica of a
    * peer which has reached this revision.
    */
-  cancellationsSince: (revision: number) => ListedCancellations;
+  cancellationsSince: (revision: number) => CancellationList;
   /** Called with each received status that is newer than all earlier ones from the same peer. */
   onStatus: (status: PeerStatus) => void;
 }
@@ -149,7 +149,7 @@
     const isListComplete = cancelledSince <= storeRevision();
     const previouslyKnownUntil = this.lastStatuses.get(from)?.cancellationsKnownUntil ?? -Infinity;
     const cancellationsKnownUntil = isListComplete ? notBefore : previouslyKnownUntil;
-    this.lastStatuses.set(from, { notBefore, storeContactAgeMs, cancellationsKnownUntil });
+    this.lastStatuses.set(from, { createdNotBefore: notBefore, storeContactAgeMs, cancellationsKnownUntil });
   }
 
   /** Creates the next status for a peer and records the present time as its send time. */
@@ -189,8 +189,8 @@
   }
 
   private async acceptConnections(signal: AbortSignal): Promise<void> {
-    const { peerOn, controllers } = this.ports.settings;
-    const { host, port } = parseSocketAddress(peerOn);
+    const { peerListenAddress, controllers } = this.ports.settings;
+    const { host, port } = parseSocketAddress(peerListenAddress);
     const server = createServer((socket) => this.acceptConnection(socket, signal));
     server.maxConnections = controllers * maxConnectionsPerController;
     await new Promise<void>((resolve, reject) => {
--- a/src/placement/block-machines.test.ts
+++ b/src/placement/block-machines.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import { createJobState, placeAll } from '../testing/job-states.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import { BlockMachines } from './block-machines.js';
--- a/src/placement/block-machines.ts
+++ b/src/placement/block-machines.ts
@@ -1,6 +1,6 @@
 /** The machines of one block, as seen by the controller that owns the block. */
 import type { Clock } from '../base/clock.js';
-import { RecentNames } from '../base/recent-names.js';
+import { ExpiringNameSet } from '../base/expiring-name-set.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import { MachineState } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
@@ -9,7 +9,7 @@
 export class BlockMachines {
   readonly byId = new Map<string, MachineState>();
   /** Terminated machines, including those that the block's record or a delayed heartbeat still names. */
-  private readonly terminated: RecentNames;
+  private readonly terminated: ExpiringNameSet;
   /**
    * Machines that run orphaned tasks, i.e. tasks not assigned to them. These tasks still count as usage of
    * their teams.
@@ -24,7 +24,7 @@
     private readonly clock: Clock,
     terminatedRetentionMs: number,
   ) {
-    this.terminated = new RecentNames(clock, terminatedRetentionMs);
+    this.terminated = new ExpiringNameSet(clock, terminatedRetentionMs);
   }
 
   /**
@@ -74,7 +74,7 @@
 
   /** Machines proven terminated at or after `time`, in ms of monotonic time. */
   terminatedSince(time: number): string[] {
-    return this.terminated.since(time);
+    return this.terminated.addedSince(time);
   }
 
   /** Machines whose first heartbeat was received at or after `time`, in ms of monotonic time. */
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../base/clock.js';
 import type { Heartbeat, JobSpec } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import { type Outcome, parseJobRecord, parseOutcome } from '../wire/job-records.js';
 import { jobOfOutcomeKey } from '../wire/keys.js';
@@ -116,15 +116,15 @@
   /**
    * Loads the block's jobs and ledger from the replica of the store. Called once, before all other methods.
    */
-  load(mirror: Mirror): void {
-    const pages = storedPages(mirror, this.block);
+  load(replica: StoreReplica): void {
+    const pages = storedPages(replica, this.block);
     this.layout = keepStoredChunkSize(this.options.layout, pages);
-    for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
+    for (const [key, { value, version }] of replica.entriesWithPrefix('job/'))
       this.applyJobRecord(key, value, version);
     addStoredPages(this.ledger, pages, this.layout);
     for (const { entry, page } of newestEntries(pages)) this.loadEntry(entry, page);
     for (const job of this.jobs.values()) {
-      const record = mirror.outcomeOf(job.id);
+      const record = replica.outcomeOf(job.id);
       if (record) this.endJob(job, record.outcome);
     }
   }
--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { createBlockStage, emptyHeartbeat, machineToken } from '../testing/block-stage.js';
+import { createBlockFixture, emptyHeartbeat, machineToken } from '../testing/block-fixture.js';
 import type { MachineState } from './machine-state.js';
 
 const twoTasks = { cpus: 4, accelerators: 0 };
@@ -11,11 +11,11 @@
 // repeated unchanged under the new version of the record.
 test('an intent whose commit had a conflict on the block is withdrawn if the new record reduces its team’s share', async () => {
   const blockVersions: number[] = [];
-  const stage = createBlockStage(
-    (conditions, { putBlock }) => {
+  const stage = createBlockFixture(
+    (conditions, { applyBlockRecord }) => {
       blockVersions.push(conditions.find((c) => c.key === 'block/0')?.version ?? 0);
       if (blockVersions.length > 1) return { kind: 'applied', revision: 9 };
-      putBlock(8, { shares: { red: [4, 0] } });
+      applyBlockRecord(8, { shares: { red: [4, 0] } });
       return { kind: 'conflict', failed: ['block/0'], revision: 8 };
     },
     { team: 'red', tasks: 4, shares: { red: [8, 0] } },
@@ -33,10 +33,10 @@
 // its tasks was sent to a worker.
 test('an intent whose commit has an unknown outcome is withdrawn when its team’s share is reduced', async () => {
   let commits = 0;
-  const stage = createBlockStage(
-    (_conditions, { putBlock }) => {
+  const stage = createBlockFixture(
+    (_conditions, { applyBlockRecord }) => {
       if (commits++ > 0) return { kind: 'applied', revision: 9 };
-      putBlock(8, { shares: { red: [4, 0] } });
+      applyBlockRecord(8, { shares: { red: [4, 0] } });
       return { kind: 'unknown' };
     },
     { team: 'red', tasks: 4, shares: { red: [8, 0] } },
@@ -49,9 +49,9 @@
 // marked it as draining, and the commit of an intent for it was still in progress.
 test('an intent is not committed for a machine that the block’s new record marks as draining', async () => {
   let commits = 0;
-  const stage = createBlockStage((_conditions, { putBlock }) => {
+  const stage = createBlockFixture((_conditions, { applyBlockRecord }) => {
     if (commits++ > 0) return { kind: 'applied', revision: 9 };
-    putBlock(8, { leaving: ['m1'] });
+    applyBlockRecord(8, { leaving: ['m1'] });
     return { kind: 'conflict', failed: ['block/0'], revision: 8 };
   });
   await stage.place('m1');
@@ -64,10 +64,10 @@
 // old version failed with a conflict.
 test('a job whose intents had a commit conflict is placed again under the version read in the meantime', async () => {
   const jobVersions: number[] = [];
-  const stage = createBlockStage((conditions, { putJob }) => {
+  const stage = createBlockFixture((conditions, { applyJobRecord }) => {
     jobVersions.push(conditions.find((c) => c.key === 'job/req-1')?.version ?? 0);
     if (jobVersions.length > 1) return { kind: 'applied', revision: 9 };
-    putJob(5);
+    applyJobRecord(5);
     return { kind: 'conflict', failed: ['job/req-1'], revision: 6 };
   });
   await stage.place('m1');
@@ -80,7 +80,7 @@
 // is in progress, and the task is placed on another machine.
 test('a commit confirms only the attempt that it was made for, not a later one', async () => {
   let commits = 0;
-  const stage = createBlockStage((_conditions, { blockState, scheduler }) => {
+  const stage = createBlockFixture((_conditions, { blockState, scheduler }) => {
     if (commits++ === 0) {
       blockState.removeTerminated('m1');
       const secondMachine = blockState.machines.get('m2') as MachineState;
--- a/src/placement/job-completion.test.ts
+++ b/src/placement/job-completion.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { createBlockStage, emptyHeartbeat, machineToken } from '../testing/block-stage.js';
+import { createBlockFixture, emptyHeartbeat, machineToken } from '../testing/block-fixture.js';
 import type { MachineState } from './machine-state.js';
 
 // Guards against outcome commits that are conditioned on the block's record. The record changes while the
@@ -9,7 +9,7 @@
 // its intents.
 test("the commit of a job's outcome is conditioned on the job alone", async () => {
   const ends: string[][] = [];
-  const stage = createBlockStage((conditions) => {
+  const stage = createBlockFixture((conditions) => {
     const keys = conditions.map((c) => c.key);
     if (keys.includes('end/req-1')) ends.push(keys);
     return { kind: 'applied', revision: 9 };
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -1,11 +1,11 @@
 /** Ends the jobs of a block whose tasks are all done. */
 import { type Clock, sleep } from '../base/clock.js';
-import { logDefect } from '../base/defects.js';
 import type { Log } from '../base/log.js';
+import { logUnexpectedFailure } from '../base/unexpected-failures.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { CommitOutcome } from '../store/transactions.js';
-import { changesPerOutcome, outcomeTransaction } from '../wire/outcome-transaction.js';
+import { outcomeTransaction, writesPerOutcome } from '../wire/outcome-transaction.js';
 import type { BlockState } from './block-state.js';
 import type { JobIndex } from './job-index.js';
 import type { JobState } from './job-state.js';
@@ -52,7 +52,7 @@
   constructor(private readonly ports: JobCompletionPorts) {
     const { controllers, state } = ports.settings;
     const changes = (state.writeRps * outcomesInFlightS) / controllers;
-    this.maxOutcomesInFlight = Math.max(1, Math.floor(changes / changesPerOutcome));
+    this.maxOutcomesInFlight = Math.max(1, Math.floor(changes / writesPerOutcome));
   }
 
   /** Checks every job of the block. */
@@ -117,7 +117,7 @@
       job.isCommittingOutcome = false;
       onOutcomeSettled();
     } catch (error) {
-      logDefect(log, "commit of a job's outcome", error);
+      logUnexpectedFailure(log, "commit of a job's outcome", error);
       throw error;
     }
   }
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -4,7 +4,7 @@
  */
 import { DependencyGraph, type DependencyState } from '../dependencies/dependency-graph.js';
 import type { JobSpec, Resources } from '../model/types.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { type JobRecord, type OutcomeRecord, parseJobRecord, parseOutcome } from '../wire/job-records.js';
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
@@ -50,14 +50,14 @@
   }
 
   /** Replaces the contents of the index with those of the replica. */
-  load(mirror: Mirror): void {
+  load(replica: StoreReplica): void {
     this.jobs.clear();
     this.blockedJobs.clear();
     this.dependencies.clear();
     this.ledgers.clear();
-    for (const [key, { value, version }] of mirror.entriesWithPrefix('job/'))
+    for (const [key, { value, version }] of replica.entriesWithPrefix('job/'))
       this.applyValue(key, value, version);
-    for (const [key, { value, version }] of mirror.entriesWithPrefix('run/'))
+    for (const [key, { value, version }] of replica.entriesWithPrefix('run/'))
       this.applyValue(key, value, version);
   }
 
--- a/src/placement/job-recorder.ts
+++ b/src/placement/job-recorder.ts
@@ -2,8 +2,8 @@
  * Records the tasks of one job in chunks. The chunks share the pages of the block's ledger with chunks of
  * other jobs.
  */
-import { fromRanges, toRanges } from '../base/ranges.js';
-import { compactEntryBytes, entryBytes, type LedgerEntry } from '../wire/ledger-records.js';
+import { expandRanges, toRanges } from '../base/ranges.js';
+import { type LedgerEntry, maxIdleCompactEntryBytes, maxPlainEntryBytes } from '../wire/ledger-records.js';
 import { isAssigned, type JobState, type Task } from './job-state.js';
 import type { BuiltEntry, Chunk, EntryBuilder, Ledger, LedgerPage, RetiredPage } from './ledger.js';
 import type { LedgerLayout } from './ledger-layout.js';
@@ -95,7 +95,7 @@
     const indices = [
       ...entry.active.map(([index]) => index),
       ...entry.waiting.map(([index]) => index),
-      ...fromRanges(entry.done),
+      ...expandRanges(entry.done),
     ];
     for (const index of indices) retired.unwrittenChunks.add(this.markChunkDirty(index, 'deferred', now));
   }
@@ -129,6 +129,8 @@
 
   /** Number of bytes to reserve for the entry of a chunk. */
   private reservedBytesFor(chunk: number, tasks: number): number {
-    return this.layout.isLegacy ? entryBytes(tasks) : compactEntryBytes(this.buildEntry(chunk).entry, tasks);
+    return this.layout.isLegacy
+      ? maxPlainEntryBytes(tasks)
+      : maxIdleCompactEntryBytes(this.buildEntry(chunk).entry, tasks);
   }
 }
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -1,5 +1,5 @@
 /** The tasks of one job in one block, with the phase of each task. */
-import { fromRanges } from '../base/ranges.js';
+import { expandRanges } from '../base/ranges.js';
 import { type JobSpec, type Resources, taskKey } from '../model/types.js';
 import type { Outcome, TaskRange } from '../wire/job-records.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
@@ -216,7 +216,7 @@
 
   /** Applies an entry of the stored ledger and returns its tasks that are on machines. */
   applyEntry(entry: LedgerEntry): AssignedTask[] {
-    for (const index of fromRanges(entry.done)) {
+    for (const index of expandRanges(entry.done)) {
       this.doneTasks.add(index);
       this.committedDoneTasks.add(index);
     }
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -6,7 +6,7 @@
 import type { JobSpec, Resources } from '../model/types.js';
 import { parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
-import { withoutSuperseded } from './superseded-entries.js';
+import { dropSupersededEntries } from './superseded-entries.js';
 
 /** A ledger entry with its block: the tasks of a job, or of one chunk of it, that this block has recorded. */
 export interface IndexedEntry extends LedgerEntry {
@@ -159,6 +159,6 @@
 
 function newestEntriesOfEachBlock(entries: Iterable<IndexedEntry>): IndexedEntry[] {
   return [...groupBy(entries, ({ block }) => block).values()]
-    .flatMap((blockEntries) => withoutSuperseded(blockEntries))
+    .flatMap((blockEntries) => dropSupersededEntries(blockEntries))
     .map((entry) => ({ ...entry, doneCount: rangesSize(entry.done) }));
 }
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
-import { jobSpec } from '../testing/block-stage.js';
-import { HeldStore } from '../testing/held-store.js';
+import { jobSpec } from '../testing/block-fixture.js';
+import { InMemoryStore } from '../testing/in-memory-store.js';
+import { loadReplica } from '../testing/load-replica.js';
 import { testSettings } from '../testing/settings.js';
-import { mirrorOf } from '../testing/stored-mirror.js';
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { jobRecord } from '../wire/job-records.js';
 import { jobKey, ledgerKey } from '../wire/keys.js';
 import { ledgerPage } from '../wire/ledger-records.js';
@@ -31,8 +31,8 @@
   [...[id, 1, 'red', 2, 0, 2], ...[[[290, 3, 'vm-100']], [[291, 1]], [288, 289, 299, 299]]],
 ];
 
-async function storeWithLegacyPage(): Promise<HeldStore> {
-  const store = new HeldStore();
+async function storeWithLegacyPage(): Promise<InMemoryStore> {
+  const store = new InMemoryStore();
   const spec = jobSpec(id, tasks);
   await store.commit(
     'duty',
@@ -45,7 +45,7 @@
   return store;
 }
 
-async function loadBlockState(store: HeldStore, layout: LedgerLayout): Promise<BlockState> {
+async function loadBlockState(store: InMemoryStore, layout: LedgerLayout): Promise<BlockState> {
   const blockState = new BlockState({
     block: 0,
     layout,
@@ -53,7 +53,7 @@
     clock: () => 0,
     teams: settings.teams,
   });
-  blockState.load(await mirrorOf(store));
+  blockState.load(await loadReplica(store));
   return blockState;
 }
 
@@ -69,10 +69,10 @@
 }
 
 async function loadIndexedProgress(
-  store: HeldStore,
+  store: InMemoryStore,
 ): Promise<{ done: number; active: number; machines: number }> {
   const jobIndex = new JobIndex(() => 0);
-  jobIndex.load(await mirrorOf(store));
+  jobIndex.load(await loadReplica(store));
   return { ...jobIndex.progress(id), machines: [...jobIndex.activeTasks()].length };
 }
 
@@ -98,7 +98,7 @@
     for (const page of ledger.pages.values()) {
       const snapshot = snapshotPage(page, Infinity, () => assert.fail('no task should be unassigned'));
       const value = ledgerPage(snapshot.entries);
-      assert.ok(sizeOf(value) <= 1024, `${sizeOf(value)} bytes`);
+      assert.ok(jsonSizeBytes(value) <= 1024, `${jsonSizeBytes(value)} bytes`);
       assert.equal(ledger.deletableRetiredPages().length, 0);
       await store.commit('duty', [], [{ put: ledgerKey(0, page.index), value }]);
       ledger.markWritten(snapshot.chunks);
--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -1,6 +1,11 @@
 /** Computes the layout of a ledger: the size of its pages and the number of tasks for each entry. */
 import type { Settings } from '../settings/settings.js';
-import { compactTasksPerChunk, entryBytes, minPageBytes, tasksPerChunk } from '../wire/ledger-records.js';
+import {
+  compactTasksPerChunk,
+  maxPlainEntryBytes,
+  minPageBytes,
+  plainTasksPerChunk,
+} from '../wire/ledger-records.js';
 
 /** The layout of one block's ledger. */
 export interface LedgerLayout {
@@ -46,7 +51,7 @@
 function legacyLayout(settings: LayoutSettings): LedgerLayout {
   const { presentValueBytes } = settings.state;
   const pageBytes = presentValueBytes / pagesPerValue(settings, presentValueBytes, minPageBytes);
-  return { pageBytes, chunkTasks: tasksPerChunk(pageBytes), isLegacy: true };
+  return { pageBytes, chunkTasks: plainTasksPerChunk(pageBytes), isLegacy: true };
 }
 
 /**
@@ -60,7 +65,7 @@
   const legacy = legacyLayout(settings);
   const { valueBytes, presentValueBytes } = settings.state;
   if (!upgraded || valueBytes === presentValueBytes) return legacy;
-  const smallestPageBytes = minPageContent.chunks * entryBytes(minPageContent.tasksPerChunk);
+  const smallestPageBytes = minPageContent.chunks * maxPlainEntryBytes(minPageContent.tasksPerChunk);
   const pageBytes = valueBytes / pagesPerValue(settings, valueBytes, smallestPageBytes);
   return { pageBytes, chunkTasks: compactTasksPerChunk(pageBytes), isLegacy: false };
 }
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -3,8 +3,8 @@
  * report again in their heartbeats later, when a transaction has space for them.
  */
 import { type Clock, sleep } from '../base/clock.js';
-import { logDefect } from '../base/defects.js';
 import type { Log } from '../base/log.js';
+import { logUnexpectedFailure } from '../base/unexpected-failures.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -145,7 +145,7 @@
       await sleep(settings.heartbeatIntervalMs * retryDelayHeartbeats, signal);
       await this.refreshRetiredPage(page, key);
     } catch (error) {
-      logDefect(log, 'removal of a ledger page', error);
+      logUnexpectedFailure(log, 'removal of a ledger page', error);
       throw error;
     }
   }
@@ -186,7 +186,7 @@
       // Pages that became dirty during the commit are written immediately.
       if (!signal.aborted && !store.failing) onCommitSettled();
     } catch (error) {
-      logDefect(log, 'commit of a ledger page', error);
+      logUnexpectedFailure(log, 'commit of a ledger page', error);
       throw error;
     }
   }
--- a/src/placement/machine-state.test.ts
+++ b/src/placement/machine-state.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import { taskKey } from '../model/types.js';
-import { emptyHeartbeat, jobSpec, machineToken } from '../testing/block-stage.js';
+import { emptyHeartbeat, jobSpec, machineToken } from '../testing/block-fixture.js';
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import type { Verdict } from './reconciliation.js';
 
--- a/src/placement/page-snapshot.test.ts
+++ b/src/placement/page-snapshot.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { jobSpec, valueBytes } from '../testing/block-stage.js';
+import { jobSpec, valueBytes } from '../testing/block-fixture.js';
 import { createJobState, placeAll } from '../testing/job-states.js';
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { ledgerPage } from '../wire/ledger-records.js';
 import { Ledger } from './ledger.js';
 import { snapshotPage } from './page-snapshot.js';
@@ -21,7 +21,7 @@
       assert.fail('no task should be unassigned'),
     );
     tasks += placing.length;
-    const bytes = sizeOf(ledgerPage(entries));
+    const bytes = jsonSizeBytes(ledgerPage(entries));
     assert.ok(bytes <= valueBytes, `${bytes} bytes`);
   }
   assert.equal(tasks, 40 + (8 * 39 * 40) / 2 + 3000);
@@ -57,7 +57,7 @@
   const page = ledger.page(0);
   const firstSnapshot = snapshotPage(page, 9, (task) => task.job.unassignTask(task, 0), ledger.pageBytes);
   assert.deepEqual([...new Set(firstSnapshot.placing.map((task) => task.job.id))], ['req-1']);
-  assert.ok(sizeOf(ledgerPage(firstSnapshot.entries)) <= 600);
+  assert.ok(jsonSizeBytes(ledgerPage(firstSnapshot.entries)) <= 600);
   assert.equal(secondJob.waitingCount, 20);
   for (const task of firstSnapshot.placing) task.phase = 'placed';
   for (let i = 0; i < 20; i++) firstJob.finishTask(i, 0);
--- a/src/placement/page-snapshot.ts
+++ b/src/placement/page-snapshot.ts
@@ -1,5 +1,5 @@
 /** Builds the content of a ledger page for one commit. */
-import { type LedgerEntry, writtenBytes } from '../wire/ledger-records.js';
+import { type LedgerEntry, maxEntryBytes } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
 import type { Chunk, LedgerPage } from './ledger.js';
 
@@ -75,7 +75,7 @@
   chunk.entry = entry;
   chunk.done = done;
   chunk.placing = chunk.builder.placingTasksOf(chunk.index);
-  chunk.entryBytes = writtenBytes(entry);
+  chunk.entryBytes = maxEntryBytes(entry);
 }
 
 function unassignPlacingTasks(chunk: Chunk, unassign: (task: Task) => void): void {
--- a/src/placement/placement-round.test.ts
+++ b/src/placement/placement-round.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import { type JobSpec, taskKey } from '../model/types.js';
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import { machineType } from '../testing/cloud-standin.js';
 import { createJobState, createMachineState } from '../testing/job-states.js';
 import { testSettings } from '../testing/settings.js';
--- a/src/placement/round-trigger.ts
+++ b/src/placement/round-trigger.ts
@@ -1,5 +1,5 @@
 /** Signals that a placement round of a block is requested. */
-import { onAbort } from '../base/aborts.js';
+import { onAbort } from '../base/abort-callbacks.js';
 import { timer } from '../base/clock.js';
 
 /**
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -1,6 +1,6 @@
 /** Schedules the placement rounds of a block and the writes of its changes to the store. */
 import { sleep } from '../base/clock.js';
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { MachineType } from '../model/types.js';
 import { waitForIntentCommits } from './intent-commits.js';
 import { JobCompletion, type JobCompletionPorts } from './job-completion.js';
@@ -92,10 +92,10 @@
       if (this.hasLeaseEnded()) return;
       if (this.isRoundDue()) {
         this.startRound();
-        await nextTurn();
+        await nextEventLoopIteration();
       }
       if (!this.hasLeaseEnded() && this.writer.canCommit) this.completion.checkAllJobs();
-      await nextTurn();
+      await nextEventLoopIteration();
       if (!this.hasLeaseEnded()) this.writeChanges();
     }
   }
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -1,11 +1,11 @@
 /** Reads the ledger of a block from the controller's replica of the store. */
 import { groupBy } from '../base/group-by.js';
-import type { Mirror } from '../store/mirror.js';
+import type { StoreReplica } from '../store/store-replica.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
 import type { Ledger } from './ledger.js';
 import type { LedgerLayout } from './ledger-layout.js';
-import { chunkTasksOf, withoutSuperseded } from './superseded-entries.js';
+import { chunkTasksOf, dropSupersededEntries } from './superseded-entries.js';
 
 /** A page of the ledger as the replica of the store contains it. */
 export interface StoredPage {
@@ -23,9 +23,9 @@
 }
 
 /** Returns the pages of the ledger of one block. */
-export function storedPages(mirror: Pick<Mirror, 'entriesWithPrefix'>, block: number): StoredPage[] {
+export function storedPages(replica: Pick<StoreReplica, 'entriesWithPrefix'>, block: number): StoredPage[] {
   const pages: StoredPage[] = [];
-  for (const [key, { value, version }] of mirror.entriesWithPrefix(ledgerPrefix(block))) {
+  for (const [key, { value, version }] of replica.entriesWithPrefix(ledgerPrefix(block))) {
     const parsedKey = parseLedgerKey(key);
     if (parsedKey) pages.push({ index: parsedKey.page, version, entries: parseLedgerPage(value) });
   }
@@ -49,7 +49,7 @@
   const stored = pages.flatMap((page) => page.entries.map((entry) => ({ entry, page })));
   for (const jobEntries of groupBy(stored, ({ entry }) => entry.id).values()) {
     const pageByChunk = new Map(jobEntries.map(({ entry, page }) => [chunkKey(entry), page]));
-    for (const entry of withoutSuperseded(jobEntries.map((storedEntry) => storedEntry.entry))) {
+    for (const entry of dropSupersededEntries(jobEntries.map((storedEntry) => storedEntry.entry))) {
       const page = pageByChunk.get(chunkKey(entry));
       if (page) yield { entry, page };
     }
--- a/src/placement/superseded-entries.ts
+++ b/src/placement/superseded-entries.ts
@@ -1,5 +1,5 @@
 /** Resolves overlaps between ledger entries of different chunk sizes that cover the same tasks. */
-import { fromRanges, toRanges } from '../base/ranges.js';
+import { expandRanges, toRanges } from '../base/ranges.js';
 import type { LedgerEntry } from '../wire/ledger-records.js';
 
 /** Task indices from `first` up to, but not including, `end`. */
@@ -21,7 +21,7 @@
  * cover. A ledger is converted to smaller entries one entry at a time, and each smaller entry contains the
  * complete state of its tasks.
  */
-export function withoutSuperseded<E extends LedgerEntry>(entries: Iterable<E>): E[] {
+export function dropSupersededEntries<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
   const sizes = [...new Set(all.map(chunkTasksOf))].sort((a, b) => a - b);
   if (sizes.length < 2) return all;
@@ -41,6 +41,6 @@
     ...entry,
     active: entry.active.filter(([index]) => isKept(index)),
     waiting: entry.waiting.filter(([index]) => isKept(index)),
-    done: toRanges([...fromRanges(entry.done)].filter(isKept)),
+    done: toRanges([...expandRanges(entry.done)].filter(isKept)),
   };
 }
--- a/src/placement/team-quotas.test.ts
+++ b/src/placement/team-quotas.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import { createJobState } from '../testing/job-states.js';
 import { testSettings } from '../testing/settings.js';
 import { TeamQuotas } from './team-quotas.js';
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -39,17 +39,17 @@
      * Initial value of each scaling threshold, as a share of the capacity of the machines before the machine
      * that the threshold is for.
      */
-    start: number;
+    initialThresholdShare: number;
     /** The same for pools of spot machines. */
-    spotStart: number;
+    spotInitialThresholdShare: number;
     /** Target for the share of tasks that have to wait on arrival or are displaced. */
     targetFailureRatio: number;
     /** Size of one slot, as a share of a machine's dominant resource. */
     slotShare: number;
     /** Seconds between two adjustments of a pool's thresholds. */
-    periodS: number;
+    adjustmentPeriodS: number;
     /** Length in seconds of the window in which failures are counted. */
-    windowS: number;
+    failureWindowS: number;
   };
   blocks: {
     /** Seconds for which the blocks' shares of the teams' quotas are leased. */
@@ -57,7 +57,7 @@
     /**
      * How much work beyond its free capacity is dispatched to a block, as a share of the size of the block.
      */
-    lookahead: number;
+    dispatchLookaheadShare: number;
   };
   leadership: {
     /** Time to live of a controller's lease in the state service, in heartbeat intervals. */
@@ -70,7 +70,7 @@
      * A machine that has sent no heartbeat within this multiple of the boot time of its type is assumed never
      * to start.
      */
-    bootTimes: number;
+    bootTimeoutMultiple: number;
   };
 }
 
@@ -82,16 +82,16 @@
   const { ladder, blocks, leadership, workers } = file;
   return {
     ladder: {
-      start: ladder.start,
-      spotStart: ladder.cheapStart,
+      initialThresholdShare: ladder.start,
+      spotInitialThresholdShare: ladder.cheapStart,
       targetFailureRatio: ladder.target,
       slotShare: ladder.slotShare,
-      periodS: ladder.periodS,
-      windowS: ladder.windowS,
+      adjustmentPeriodS: ladder.periodS,
+      failureWindowS: ladder.windowS,
     },
-    blocks: { quotaSharePeriodS: blocks.periodS, lookahead: blocks.lookahead },
+    blocks: { quotaSharePeriodS: blocks.periodS, dispatchLookaheadShare: blocks.lookahead },
     leadership: { leaseHeartbeats: leadership.grantReports },
-    workers: { missedHeartbeats: workers.silentReports, bootTimes: workers.bootTimes },
+    workers: { missedHeartbeats: workers.silentReports, bootTimeoutMultiple: workers.bootTimes },
   };
 }
 
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -52,7 +52,7 @@
 
 test("the operators' XML file overrides defaults, and unknown or invalid elements are rejected", async () => {
   const settings = await parseOperatorSettings('<shalekeel><ladder start="0.5"/></shalekeel>');
-  assert.equal(settings.ladder.start, 0.5);
+  assert.equal(settings.ladder.initialThresholdShare, 0.5);
   assert.equal(settings.ladder.slotShare, defaultOperatorSettings.ladder.slotShare);
   await assert.rejects(parseOperatorSettings('<shalekeel><ladder start="2"/></shalekeel>'), /ladder\.start/);
   await assert.rejects(parseOperatorSettings('<shalekeel><ladr/></shalekeel>'), /ladr/);
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -54,9 +54,9 @@
   label: string;
   zone: string;
   /** Listen address for users, workers and health checks. */
-  serveOn: string;
+  listenAddress: string;
   /** Listen address for the other controllers. */
-  peerOn: string;
+  peerListenAddress: string;
   peers: { label: string; zone: string; address: string }[];
   cloudAddress: string;
   stateAddress: string;
@@ -149,15 +149,15 @@
 
 type Identity = Pick<
   Settings,
-  'label' | 'zone' | 'serveOn' | 'peerOn' | 'peers' | 'cloudAddress' | 'stateAddress'
+  'label' | 'zone' | 'listenAddress' | 'peerListenAddress' | 'peers' | 'cloudAddress' | 'stateAddress'
 >;
 
 function identityOf(file: PlatformFile): Identity {
   return {
     label: file.label,
     zone: file.location,
-    serveOn: file.serve_on,
-    peerOn: file.back,
+    listenAddress: file.serve_on,
+    peerListenAddress: file.back,
     peers: file.others.map(({ label, location, address }) => ({ label, zone: location, address })),
     cloudAddress: file.endpoints.cloud,
     stateAddress: file.endpoints.state,
--- a/src/store/change-watch.ts
+++ b/src/store/change-watch.ts
@@ -1,7 +1,7 @@
 /** Receives changes from the state service by long polling. */
-import { onAbort } from '../base/aborts.js';
+import { onAbort } from '../base/abort-callbacks.js';
 import type { Clock } from '../base/clock.js';
-import { type Answer, HttpPeer } from '../base/http.js';
+import { HttpClient, type HttpResponse } from '../base/http.js';
 import { type Change, parseChanges, watchPath } from '../wire/state.js';
 import { StoreConnectionError, StoreStatusError } from './errors.js';
 import type { StoreContact } from './store-contact.js';
@@ -33,11 +33,11 @@
  * pacing, and their answers do not count as proof of contact.
  */
 export class ChangeWatch {
-  private readonly peer: HttpPeer;
+  private readonly peer: HttpClient;
   private openWatch: AbortController | undefined;
 
   constructor(private readonly ports: ChangeWatchPorts) {
-    this.peer = new HttpPeer(ports.address, 1);
+    this.peer = new HttpClient(ports.address, 1);
   }
 
   /**
@@ -66,7 +66,7 @@
     this.openWatch?.abort();
   }
 
-  private async exchange(sinceRevision: number): Promise<Answer> {
+  private async exchange(sinceRevision: number): Promise<HttpResponse> {
     const stop = new AbortController();
     const stopListening = onAbort(this.ports.signal, () => stop.abort());
     this.openWatch = stop;
--- a/src/store/client.test.ts
+++ b/src/store/client.test.ts
@@ -3,7 +3,7 @@
 import { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
 
-import { steadyClock } from '../base/clock.js';
+import { monotonicClock } from '../base/clock.js';
 import { testSettings } from '../testing/settings.js';
 import { reply } from '../testing/store-standin.js';
 import { StoreClient } from './client.js';
@@ -23,7 +23,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const settings = { ...testSettings(), stateAddress: `127.0.0.1:${port}` };
-  const client = new StoreClient(settings, steadyClock, neverAborted);
+  const client = new StoreClient(settings, monotonicClock, neverAborted);
   const restarted = assert.rejects(client.watch(1), (error: unknown) => {
     assert.ok(error instanceof StoreConnectionError);
     assert.match(String(error.cause), /cancelled/);
--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -6,7 +6,7 @@
 
 import { sleep } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import type { Condition, Write } from '../wire/state.js';
 import type { StoreClient } from './client.js';
 import type { TrafficClass } from './request-pacing.js';
@@ -63,7 +63,7 @@
   commit(conditions: Condition[], writes: Write[], valueBytes?: number): Promise<CommitOutcome> {
     return new Promise((settle) => {
       const keyBytes = bytesPerKey * (conditions.length + writes.length);
-      const bytes = keyBytes + (valueBytes ?? (writes.length > 0 ? sizeOf(writes) : 0));
+      const bytes = keyBytes + (valueBytes ?? (writes.length > 0 ? jsonSizeBytes(writes) : 0));
       this.write({ conditions, writes, bytes, settle } satisfies Operation);
     });
   }
--- a/src/store/leases.test.ts
+++ b/src/store/leases.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import type { Answer } from '../base/http.js';
+import type { HttpResponse } from '../base/http.js';
 import { Leases } from './leases.js';
 import type { StoreRequest } from './store-connection.js';
 
@@ -13,7 +13,7 @@
   const sent: string[] = [];
   const send =
     (sendMode: string) =>
-    (_trafficClass: string, { method, path }: StoreRequest): Promise<Answer> => {
+    (_trafficClass: string, { method, path }: StoreRequest): Promise<HttpResponse> => {
       sent.push(`${sendMode} ${method} ${path}`);
       return Promise.resolve({ status, body: { tenure: 5 } });
     };
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -1,6 +1,6 @@
 /** Keeps a controller's requests and writes within its share of the state service's limits. */
 import type { Clock } from '../base/clock.js';
-import { Pacer } from '../base/pacer.js';
+import { TokenBucket } from '../base/token-bucket.js';
 import type { Settings } from '../settings/settings.js';
 import { AdaptiveShare } from './adaptive-share.js';
 
@@ -61,9 +61,9 @@
  * are requests and written keys.
  */
 export class RequestPacing {
-  private readonly requests: Record<TrafficClass, Pacer>;
-  private readonly writes: Pacer;
-  private readonly intakeWrites: Pacer;
+  private readonly requests: Record<TrafficClass, TokenBucket>;
+  private readonly writes: TokenBucket;
+  private readonly intakeWrites: TokenBucket;
   private readonly writeBurst: number;
   private readonly adaptiveShare: AdaptiveShare;
   private role: ControllerRole;
@@ -75,15 +75,15 @@
   ) {
     const { state, controllers } = settings;
     this.requests = {
-      intake: new Pacer(1, 1, clock),
-      confirm: new Pacer(1, 1, clock),
-      duty: new Pacer(1, 1, clock),
+      intake: new TokenBucket(1, 1, clock),
+      confirm: new TokenBucket(1, 1, clock),
+      duty: new TokenBucket(1, 1, clock),
     };
     this.adaptiveShare = new AdaptiveShare(clock(), state.nextRateShare);
     this.writeBurst = Math.max(minWriteBurst, state.writeRps * burstS);
     // All controllers may start at the same time, so none starts with a larger burst than `duty` can use.
-    this.writes = new Pacer(1, this.intakeReserve, clock);
-    this.intakeWrites = new Pacer(1, this.intakeReserve, clock);
+    this.writes = new TokenBucket(1, this.intakeReserve, clock);
+    this.intakeWrites = new TokenBucket(1, this.intakeReserve, clock);
     this.role = { isLeader: false, aliveControllers: controllers, machineShare: 1 / controllers };
     this.applyRates();
   }
--- a/src/store/store-connection.ts
+++ b/src/store/store-connection.ts
@@ -3,7 +3,7 @@
  * contact or of its loss.
  */
 import { type Clock, sleep } from '../base/clock.js';
-import { type Answer, HttpPeer } from '../base/http.js';
+import { HttpClient, type HttpResponse } from '../base/http.js';
 import { StoreConnectionError, type StoreOperation } from './errors.js';
 import type { RequestPacing, TrafficClass } from './request-pacing.js';
 import type { StoreContact } from './store-contact.js';
@@ -31,7 +31,7 @@
 
 /** A pool of persistent connections to the state service. */
 export class StoreConnection {
-  private readonly peer: HttpPeer;
+  private readonly peer: HttpClient;
 
   /**
    * @param ports the dependencies of the connection
@@ -41,7 +41,7 @@
     private readonly ports: StoreConnectionPorts,
     sockets: number,
   ) {
-    this.peer = new HttpPeer(ports.address, sockets);
+    this.peer = new HttpClient(ports.address, sockets);
   }
 
   /**
@@ -49,7 +49,7 @@
    *
    * @throws {StoreConnectionError} when no answer arrives in time
    */
-  async sendPaced(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
+  async sendPaced(trafficClass: TrafficClass, request: StoreRequest): Promise<HttpResponse> {
     const { pacing, signal } = this.ports;
     await sleep(pacing.reserveRequest(trafficClass), signal);
     return this.send(request);
@@ -61,12 +61,12 @@
    *
    * @throws {StoreConnectionError} when no answer arrives in time
    */
-  sendImmediately(trafficClass: TrafficClass, request: StoreRequest): Promise<Answer> {
+  sendImmediately(trafficClass: TrafficClass, request: StoreRequest): Promise<HttpResponse> {
     this.ports.pacing.reserveRequest(trafficClass);
     return this.send(request);
   }
 
-  private async send({ operation, method, path, body }: StoreRequest): Promise<Answer> {
+  private async send({ operation, method, path, body }: StoreRequest): Promise<HttpResponse> {
     const { clock, signal, contact } = this.ports;
     const sentAt = clock();
     try {
--- a/src/store/store-contact.ts
+++ b/src/store/store-contact.ts
@@ -3,7 +3,7 @@
  * changes.
  */
 import type { Clock } from '../base/clock.js';
-import type { Answer } from '../base/http.js';
+import type { HttpResponse } from '../base/http.js';
 import { revisionOf } from '../wire/state.js';
 import { FreshnessBound } from './freshness-bound.js';
 
@@ -60,7 +60,7 @@
   }
 
   /** Records the answer to a request that was sent at `sentAt`. */
-  recordAnswer(sentAt: number, answer: Answer): void {
+  recordAnswer(sentAt: number, answer: HttpResponse): void {
     if (answer.status === outageStatus) {
       this.lastFailureAt = this.clock();
       return;
@@ -83,7 +83,7 @@
    * Records only the revision of an answer. Used for requests that the service holds open for too long to
    * prove contact.
    */
-  recordRevision(sentAt: number, { status, body }: Answer): void {
+  recordRevision(sentAt: number, { status, body }: HttpResponse): void {
     const revision = statusesWithRevision.has(status) ? revisionOf(body) : undefined;
     if (revision !== undefined) this.freshness.recordRevision(sentAt, revision);
   }
--- a/src/store/mirror.test.ts
+++ b/src/store/store-replica.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 
 import type { Change } from '../wire/state.js';
-import { Mirror } from './mirror.js';
+import { StoreReplica } from './store-replica.js';
 
 test('listeners are notified once of an outcome that this controller has committed itself', async () => {
   // Guards against a block owner that is not notified of such an outcome and does not stop the cancelled
@@ -19,13 +19,13 @@
     list: () => Promise.resolve({ items: [], revision: 5 }),
     watch: () => Promise.resolve(watches++ === 0 ? { changes: [outcome], revision: 7 } : undefined),
   };
-  const mirror = new Mirror(client, 0);
+  const replica = new StoreReplica(client, 0);
   const notified: string[] = [];
-  mirror.listen((changes) => notified.push(...changes.map(({ key }) => key)));
-  mirror.recordOutcome(outcome.key, { value: outcome.value, version: 7 });
-  await mirror.follow(stop.signal);
+  replica.listen((changes) => notified.push(...changes.map(({ key }) => key)));
+  replica.recordOutcome(outcome.key, { value: outcome.value, version: 7 });
+  await replica.follow(stop.signal);
   assert.deepEqual(notified, ['end/req-1']);
-  assert.equal(mirror.revision, 7);
+  assert.equal(replica.revision, 7);
 });
 
 // Guards against jobs that ended long ago but are treated as open forever.
@@ -40,16 +40,16 @@
       return Promise.resolve(watches === 2 ? { changes: [job(9, true)], revision: 9 } : undefined);
     },
   };
-  const mirror = new Mirror(client, 0);
-  await mirror.follow(new AbortController().signal);
+  const replica = new StoreReplica(client, 0);
+  await replica.follow(new AbortController().signal);
   // A failed watch request is retried from the same revision, and the keys are not read again.
-  assert.deepEqual([watches, mirror.revision], [3, 9]);
-  mirror.recordCommitted('job/a', { value: 1, version: 7 });
-  assert.equal(mirror.version('job/a'), 0);
+  assert.deepEqual([watches, replica.revision], [3, 9]);
+  replica.recordCommitted('job/a', { value: 1, version: 7 });
+  assert.equal(replica.version('job/a'), 0);
   const notified: string[] = [];
-  mirror.listen((changes) => notified.push(...changes.map(({ key }) => key)));
-  mirror.recordCommitted('job/b', { value: 1, version: 10 });
-  assert.deepEqual([mirror.version('job/b'), mirror.revision, notified], [10, 9, ['job/b']]);
+  replica.listen((changes) => notified.push(...changes.map(({ key }) => key)));
+  replica.recordCommitted('job/b', { value: 1, version: 10 });
+  assert.deepEqual([replica.version('job/b'), replica.revision, notified], [10, 9, ['job/b']]);
 });
 
 test('after all keys were read again, listeners are notified of changed and deleted keys', async () => {
@@ -69,13 +69,13 @@
     },
     watch: () => Promise.resolve(undefined),
   };
-  const mirror = new Mirror(client, 0);
-  await mirror.follow(stop.signal);
+  const replica = new StoreReplica(client, 0);
+  await replica.follow(stop.signal);
   const notified: string[] = [];
-  mirror.listen((changes) =>
+  replica.listen((changes) =>
     notified.push(...changes.map(({ key, deleted }) => `${deleted ? '-' : '+'}${key}`)),
   );
-  await mirror.follow(stop.signal);
+  await replica.follow(stop.signal);
   assert.deepEqual(notified, ['+job/b', '-job/a']);
 });
 
@@ -92,14 +92,14 @@
     },
     watch: () => Promise.resolve(undefined),
   };
-  const mirror = new Mirror(client, 0);
-  await mirror.follow(new AbortController().signal);
+  const replica = new StoreReplica(client, 0);
+  await replica.follow(new AbortController().signal);
   const notified: string[] = [];
-  mirror.listen((changes) =>
+  replica.listen((changes) =>
     notified.push(...changes.map(({ key, deleted }) => `${deleted ? '-' : '+'}${key}`)),
   );
-  beforeLedgerIsListed = () => mirror.recordCommitted('job/b', { value: 2, version: 11 });
-  await mirror.follow(new AbortController().signal);
+  beforeLedgerIsListed = () => replica.recordCommitted('job/b', { value: 2, version: 11 });
+  await replica.follow(new AbortController().signal);
   assert.deepEqual(notified, ['+job/b']);
-  assert.deepEqual([mirror.version('job/a'), mirror.version('job/b')], [3, 11]);
+  assert.deepEqual([replica.version('job/a'), replica.version('job/b')], [3, 11]);
 });
--- a/src/store/mirror.ts
+++ b/src/store/store-replica.ts
@@ -24,7 +24,7 @@
  * A replica of the store's keys, which lags a little behind the store. No answer to a user relies on it
  * alone.
  */
-export class Mirror {
+export class StoreReplica {
   private entries = new StoredEntries();
   /** The most recently recorded outcomes of jobs, in the order in which they were recorded. */
   private readonly outcomes = new Map<string, StoredValue>();
--- a/src/store/transactions.test.ts
+++ b/src/store/transactions.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import type { Answer } from '../base/http.js';
+import type { HttpResponse } from '../base/http.js';
 import { StoreConnectionError } from './errors.js';
 import { type TransactionPorts, Transactions } from './transactions.js';
 
@@ -18,7 +18,7 @@
  * `waitsMs`, in milliseconds, and 0 after the last.
  */
 function createTransactions(
-  answer: () => Promise<Answer>,
+  answer: () => Promise<HttpResponse>,
   waitsMs: number[] = [],
   signal = new AbortController().signal,
 ): { transactions: Transactions; recorded: RecordedPacing } {
@@ -67,7 +67,7 @@
 });
 
 test('a commit waits until the pacing admits it, and waiting of a submission is reported', async () => {
-  const applied = (): Promise<Answer> => Promise.resolve({ status: 200, body: {} });
+  const applied = (): Promise<HttpResponse> => Promise.resolve({ status: 200, body: {} });
   const intake = createTransactions(applied, [1, 1]);
   await intake.transactions.commit('intake', [], [write]);
   assert.deepEqual(intake.recorded, { reserved: [1], commits: [{ refused: false, waited: true }] });
--- a/src/store/transactions.ts
+++ b/src/store/transactions.ts
@@ -1,6 +1,6 @@
 /** Sends transactions to the state service: writes that are executed together if all conditions hold. */
 import { sleep } from '../base/clock.js';
-import type { Answer } from '../base/http.js';
+import type { HttpResponse } from '../base/http.js';
 import { commitBody, type Condition, parseCommit, type Write, writtenKey } from '../wire/state.js';
 import type { RequestPacing, TrafficClass } from './request-pacing.js';
 import type { StoreConnection } from './store-connection.js';
@@ -72,7 +72,7 @@
       }
       pacing.reserveWrites(trafficClass, writes.length);
     }
-    let answer: Answer;
+    let answer: HttpResponse;
     try {
       answer = await connection.sendPaced(trafficClass, {
         operation: 'commit',
@@ -110,7 +110,7 @@
   return { changes: {}, refused: 0, conflicts: 0 };
 }
 
-function outcomeOf({ status, body }: Answer): CommitOutcome {
+function outcomeOf({ status, body }: HttpResponse): CommitOutcome {
   switch (status) {
     case 200:
       return { kind: 'applied', revision: parseCommit(body).revision };
--- a/src/testing/block-stage.ts
+++ b/src/testing/block-fixture.ts
@@ -1,5 +1,5 @@
 /** Test fixture: the state of one block and its scheduler. The test supplies the outcome of each commit. */
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import { silentLog } from '../base/log.js';
 import type { JobSpec, Heartbeat } from '../model/types.js';
 import { BlockState } from '../placement/block-state.js';
@@ -12,7 +12,7 @@
 import type { CommitOutcome } from '../store/transactions.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { LeasedMachine, QuotaShares } from '../wire/block-records.js';
-import { tasksPerChunk } from '../wire/ledger-records.js';
+import { plainTasksPerChunk } from '../wire/ledger-records.js';
 import type { Condition } from '../wire/state.js';
 import type { MachineState } from '../placement/machine-state.js';
 import { machineType } from './cloud-standin.js';
@@ -23,7 +23,7 @@
 /** Ledger layout in which a page has the maximum size of a value. */
 export const valueLayout: LedgerLayout = {
   pageBytes: valueBytes,
-  chunkTasks: tasksPerChunk(valueBytes),
+  chunkTasks: plainTasksPerChunk(valueBytes),
   isLegacy: true,
 };
 const jobId = 'req-1';
@@ -63,23 +63,23 @@
   return { machine, ...place, agentEpoch: 1, sequence: seq, tasks: [] };
 }
 
-export interface BlockStage {
+export interface BlockFixture {
   blockState: BlockState;
   scheduler: Scheduler;
   /** Applies the job's record to the block's state, with this version. */
-  putJob: (version: number) => void;
+  applyJobRecord: (version: number) => void;
   /**
    * Applies the block's record to the block's state, with this version. `leaving` lists the draining
    * machines; the shares are those of the fixture's options unless `shares` is given.
    */
-  putBlock: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
+  applyBlockRecord: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
   /** Applies a heartbeat of the machine, which makes it usable, and then places tasks on it. */
   place: (machine: string) => Promise<void>;
   stop: AbortController;
   task: (index?: number) => Task | undefined;
 }
 
-export interface BlockStageOptions {
+export interface BlockFixtureOptions {
   /** The job's team: `blue` has no quota, `red` has one. */
   team?: string;
   tasks?: number;
@@ -91,10 +91,10 @@
  *
  * @param answer returns the outcome of a commit with these conditions; it may change the block first
  */
-export function createBlockStage(
-  answer: (conditions: Condition[], stage: BlockStage) => CommitOutcome,
-  { team = 'blue', tasks = 1, shares = {} }: BlockStageOptions = {},
-): BlockStage {
+export function createBlockFixture(
+  answer: (conditions: Condition[], stage: BlockFixture) => CommitOutcome,
+  { team = 'blue', tasks = 1, shares = {} }: BlockFixtureOptions = {},
+): BlockFixture {
   const settings = testSettings();
   const blockState = new BlockState({
     block: 0,
@@ -121,13 +121,13 @@
     machineTypes: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t])),
   });
   const record = { spec: { ...jobSpec(jobId, tasks), team }, parts: [[0, 0, tasks]] };
-  const stage: BlockStage = {
+  const stage: BlockFixture = {
     blockState,
     scheduler,
     stop,
-    putJob: (version) =>
+    applyJobRecord: (version) =>
       void blockState.applyChanges([{ key: `job/${jobId}`, value: record, version, deleted: false }]),
-    putBlock: (version, change) =>
+    applyBlockRecord: (version, change) =>
       blockState.applyBlockRecord(
         {
           owner: 'k',
@@ -145,12 +145,12 @@
         true,
       );
       scheduler.placeOn(machine);
-      await nextTurn();
+      await nextEventLoopIteration();
     },
     task: (index = 0) => blockState.jobs.get(jobId)?.tasks.get(index),
   };
-  stage.putBlock(firstBlockVersion, {});
-  stage.putJob(3);
+  stage.applyBlockRecord(firstBlockVersion, {});
+  stage.applyJobRecord(3);
   return stage;
 }
 
--- a/src/testing/cloud-standin.ts
+++ b/src/testing/cloud-standin.ts
@@ -1,6 +1,6 @@
 /** Simulates the cloud for tests: an HTTP server with the cloud's API. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
-import { type Fields, decodeFields, list, number, text } from '../wire/codec.js';
+import { type Fields, decodeFields, asList, asNumber, asText } from '../wire/codec.js';
 import { reply } from './store-standin.js';
 
 /** A machine that the simulated cloud has rented out; `rentedAt` is the time of day in ms. */
@@ -25,12 +25,12 @@
   /** The list of machines shows the state of this long ago. */
   listLagMs = 0;
   /** This many of the next rentals are executed, but the connection is closed without an answer. */
-  losesRentals = 0;
+  rentalAnswersToDrop = 0;
   /**
    * For the next `count` releases, the connection is closed without an answer and the release is executed
    * `ms` milliseconds later.
    */
-  lateReleases = { count: 0, ms: 0 };
+  delayedReleases = { count: 0, ms: 0 };
   /** Answers every request with 503, as in an outage. */
   hasOutage = false;
   onRent: (machine: RentedMachine) => void = () => undefined;
@@ -61,10 +61,10 @@
     if (this.hasOutage) return reply(response, 503, { error: 'trouble' });
     if (path === '/machine_types') return reply(response, 200, { hulls: [machineType] });
     if (path === '/rentals/release') {
-      const hosts = list(body['hosts']).map((h) => text(h));
-      if (this.lateReleases.count > 0) {
-        this.lateReleases.count--;
-        setTimeout(() => this.release(hosts), this.lateReleases.ms).unref();
+      const hosts = asList(body['hosts']).map((h) => asText(h));
+      if (this.delayedReleases.count > 0) {
+        this.delayedReleases.count--;
+        setTimeout(() => this.release(hosts), this.delayedReleases.ms).unref();
         return void response.destroy();
       }
       this.release(hosts);
@@ -77,7 +77,7 @@
   /**
    * Ends a machine and all tasks on it without a release. The list of machines still contains the machine.
    */
-  die(id: string): void {
+  failMachine(id: string): void {
     this.onRelease(id);
   }
 
@@ -111,25 +111,25 @@
   }
 
   private rent(body: Fields, response: ServerResponse): void {
-    const name = text(body['charter']);
+    const name = asText(body['charter']);
     const earlierHosts = this.rentals.get(name);
     if (earlierHosts) return reply(response, 200, { hosts: earlierHosts });
-    const zone = text(body['berth']);
+    const zone = asText(body['berth']);
     const spot = body['loaners'] === true;
     const rentedCount = [...this.machines.values()].filter((m) => m.zone === zone && m.spot === spot).length;
-    const count = Math.min(number(body['howMany']), this.capacity - rentedCount);
+    const count = Math.min(asNumber(body['howMany']), this.capacity - rentedCount);
     if (count <= 0) return reply(response, 503, { error: 'no capacity' });
     const hosts: string[] = [];
     for (let i = 0; i < count; i++) {
       const id = `vm-${String(++this.lastMachineNumber).padStart(6, '0')}`;
-      const machine = { id, type: text(body['hull']), zone, spot, rentedAt: Date.now() };
+      const machine = { id, type: asText(body['hull']), zone, spot, rentedAt: Date.now() };
       this.machines.set(id, machine);
       hosts.push(id);
       this.onRent(machine);
     }
     this.rentals.set(name, hosts);
-    if (this.losesRentals > 0) {
-      this.losesRentals--;
+    if (this.rentalAnswersToDrop > 0) {
+      this.rentalAnswersToDrop--;
       return void response.destroy();
     }
     reply(response, 200, { hosts });
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,6 +1,6 @@
 /** Runs three controllers against stand-ins for the state service, the cloud, the workers and the users. */
 import { fileURLToPath } from 'node:url';
-import { HttpPeer, type Answer } from '../base/http.js';
+import { HttpClient, type HttpResponse } from '../base/http.js';
 import { createLog } from '../base/log.js';
 import { Controller } from '../controller/controller.js';
 import { defaultOperatorSettings } from '../settings/operator.js';
@@ -62,7 +62,7 @@
    * Path of an earlier version of the program, and the controllers that start with it, each in its own
    * process.
    */
-  earlier?: { program: string; labels: string[] };
+  earlierVersion?: { program: string; labels: string[] };
   /** Coming limits of the state service that the settings announce, under the names of the settings file. */
   nextLimits?: Record<string, number>;
 }
@@ -81,14 +81,14 @@
   /**
    * Partitioned zones: no worker reaches a controller across the border of such a zone, in either direction.
    */
-  readonly cutZones = new Set<string>();
+  readonly partitionedZones = new Set<string>();
   /** Called when a task completes, before any controller receives a heartbeat that reports the completion. */
-  onDone: (piece: string) => void = () => undefined;
+  onTaskCompleted: (piece: string) => void = () => undefined;
   /**
    * Whether a task keeps running until the test releases it, so that it cannot end before the test checks for
    * it. The run time of the task counts from its release.
    */
-  holdsTask: (task: string) => boolean = noTask;
+  shouldHoldTask: (task: string) => boolean = noTask;
   /**
    * For each block, the number of tasks in a ledger entry, as of the last block lease that started in this
    * process.
@@ -97,7 +97,7 @@
   private faultsEndedAt = Date.now();
   private readonly controllerStops = new Map<string, AbortController>();
   readonly processes = new ControllerProcesses();
-  private readonly users: HttpPeer[];
+  private readonly users: HttpClient[];
   private readonly links = new Map<string, Link>();
   private readonly random: () => number;
   private readonly times: WorkerTimes;
@@ -106,7 +106,7 @@
     this.times = options.times ?? defaultTimes;
     this.random = seeded(options.seed ?? 1);
     this.store = new StoreStandIn({ rps: 400, writeRps: 200, txnOps: 20 }, options.seed);
-    this.users = labels.map((_, i) => new HttpPeer(this.address(i, 0), 16));
+    this.users = labels.map((_, i) => new HttpClient(this.address(i, 0), 16));
     this.cloud.capacity = options.capacity ?? this.cloud.capacity;
     this.cloud.onRent = (machine) => this.startWorker(machine);
     this.cloud.onRelease = (id) => this.endWorker(id);
@@ -121,16 +121,16 @@
       ...labels.flatMap((from, i) => labels.flatMap((to, j) => (i === j ? [] : [this.connect(from, to)]))),
     ]);
     for (const label of labels) {
-      if (this.options.earlier?.labels.includes(label))
-        this.startProcess(label, this.options.earlier.program);
+      if (this.options.earlierVersion?.labels.includes(label))
+        this.startProcess(label, this.options.earlierVersion.program);
       else if (this.options.processes?.includes(label)) this.startProcess(label);
       else this.startController(label);
     }
-    await this.until('all controllers answer GET /up with 200', async () => {
+    await this.waitUntil('all controllers answer GET /up with 200', async () => {
       const answers = await Promise.all([0, 1, 2].map((node) => this.user(node, 'GET', '/up')));
       return answers.every((answer) => answer.status === 200);
     });
-    await this.leading();
+    await this.waitForLeader();
   }
 
   startController(label: string): void {
@@ -186,16 +186,16 @@
    * @throws Error if the options name no earlier version
    */
   async downgrade(label: string, afterMs = 300): Promise<void> {
-    const { earlier } = this.options;
-    if (!earlier) throw new Error('the cluster options name no earlier version');
+    const { earlierVersion } = this.options;
+    if (!earlierVersion) throw new Error('the cluster options name no earlier version');
     this.processes.kill(label);
     this.stopController(label);
     await pause(afterMs);
-    this.startProcess(label, earlier.program);
+    this.startProcess(label, earlierVersion.program);
   }
 
   /** Applies the announced limits to the state service. */
-  lowerLimits(): void {
+  applyAnnouncedLimits(): void {
     const { value_kb, txn_ops, write_rps } = this.options.nextLimits ?? {};
     this.store.changeLimits({
       ...(value_kb === undefined ? {} : { valueBytes: value_kb * 1024 }),
@@ -221,9 +221,9 @@
   }
 
   /** Waits until a controller other than `excluded` leads, and returns its label. */
-  async leading(excluded = ''): Promise<string> {
+  async waitForLeader(excluded = ''): Promise<string> {
     let label = '';
-    await this.until('a controller leads', () => {
+    await this.waitUntil('a controller leads', () => {
       label = (this.store.value('lead') as { label?: string } | undefined)?.label ?? '';
       return label !== '' && label !== excluded;
     });
@@ -271,11 +271,11 @@
   }
 
   /** The links between a controller and all its peers, in both directions. */
-  peersOf(label: string): Link[] {
+  peerLinksOf(label: string): Link[] {
     return [...this.links].filter(([key]) => key.split('>').includes(label)).map(([, link]) => link);
   }
 
-  user(node: number, method: string, path: string, body?: unknown): Promise<Answer> {
+  user(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
     const user = this.users[node];
     if (!user) throw new Error(`no controller ${node}`);
     return user.exchange(method, path, body, { timeoutMs: userTimeoutMs });
@@ -293,7 +293,7 @@
     return status;
   }
 
-  async ask(node: number, id: string): Promise<UserAnswer> {
+  async queryStatus(node: number, id: string): Promise<UserAnswer> {
     const sentAt = this.history.now();
     const { status, body } = await this.exchange(node, 'GET', `/v2/runs/${id}`);
     const answer = status === 200 ? statusIn(body) : status === 404 ? 'unknown' : 'turned away';
@@ -311,18 +311,18 @@
   }
 
   /** Submits a job to one controller after the other, as users do, until one of them accepts the job. */
-  async submitSurely(job: Submission, from = 0): Promise<void> {
+  async submitUntilAccepted(job: Submission, from = 0): Promise<void> {
     let node = from;
-    await this.until(`job ${String(job.id)} is accepted`, async () => {
+    await this.waitUntil(`job ${String(job.id)} is accepted`, async () => {
       const status = await this.submit(node++ % 3, job);
       return status === 200 || status === 201;
     });
   }
 
-  async cancelSurely(id: string, nodes: number[] = [0, 1, 2]): Promise<UserAnswer> {
+  async cancelUntilEnded(id: string, nodes: number[] = [0, 1, 2]): Promise<UserAnswer> {
     let answer: UserAnswer = 'turned away';
     let attempt = 0;
-    await this.until(`job ${id} is cancelled or done`, async () => {
+    await this.waitUntil(`job ${id} is cancelled or done`, async () => {
       answer = await this.cancel(nodes[attempt++ % nodes.length] ?? 0, id);
       return answer === 'cancelled' || answer === 'done';
     });
@@ -335,7 +335,7 @@
    *
    * @throws Error if the condition does not hold within the time
    */
-  async until(
+  async waitUntil(
     description: string,
     condition: () => Promise<boolean> | boolean,
     withinMs = 15_000,
@@ -349,18 +349,18 @@
   }
 
   /** Marks the end of all faults, and waits until every controller reports each of the jobs as done. */
-  async allDone(ids: string[], withinMs = 25_000): Promise<void> {
+  async waitUntilAllDone(ids: string[], withinMs = 25_000): Promise<void> {
     this.faultsEndedAt = Date.now();
-    await this.toldEverywhere(ids, 'done', withinMs);
+    await this.waitForStatusEverywhere(ids, 'done', withinMs);
   }
 
   /** Waits until every controller gives the expected answer for each of the jobs. */
-  async toldEverywhere(ids: string[], expected: UserAnswer, withinMs: number): Promise<void> {
+  async waitForStatusEverywhere(ids: string[], expected: UserAnswer, withinMs: number): Promise<void> {
     for (const id of ids) {
-      await this.until(
+      await this.waitUntil(
         `job ${id} is ${expected} at all controllers`,
         async () => {
-          const answers = await Promise.all([0, 1, 2].map((node) => this.ask(node, id)));
+          const answers = await Promise.all([0, 1, 2].map((node) => this.queryStatus(node, id)));
           return answers.every((answer) => answer === expected);
         },
         withinMs,
@@ -381,7 +381,7 @@
   /** The number of tasks of the job that have completed; a task that completed more than once counts once. */
   completedOf(id: string): number {
     const isOfJob = tasksOf(id);
-    const exits = this.history.happenings.filter((event) => event.kind === 'left');
+    const exits = this.history.events.filter((event) => event.kind === 'left');
     const completed = exits.filter((exit) => exit.completed && isOfJob(exit.task));
     return new Set(completed.map((exit) => exit.task)).size;
   }
@@ -390,7 +390,7 @@
   violations(): string[] {
     const cancelDeadlineMs = this.times.cancel_s * 1000;
     const startGraceMs = (this.times.lease_s * 1000) / 2;
-    const violations = check(this.history.happenings, {
+    const violations = check(this.history.events, {
       teamCpuLimits,
       cancelDeadlineMs,
       startGraceMs,
@@ -434,7 +434,7 @@
     };
   }
 
-  private async exchange(node: number, method: string, path: string, body?: unknown): Promise<Answer> {
+  private async exchange(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
     return this.user(node, method, path, body).catch(() => ({ status: 0, body: undefined }));
   }
 
@@ -466,15 +466,15 @@
       fetchMs: fetchMs ?? 0,
       saveMs: 0,
       taskMs: typeof taskMs === 'number' ? () => taskMs : taskMs,
-      holdsTask: (piece) => this.holdsTask(piece),
+      shouldHoldTask: (piece) => this.shouldHoldTask(piece),
       nodes: labels.map((label, i) => ({ label, address: this.address(i, 0) })),
       reaches: (from, label) => {
         const to = zones[labels.indexOf(label)] ?? '';
-        return from === to || !(this.cutZones.has(from) || this.cutZones.has(to));
+        return from === to || !(this.partitionedZones.has(from) || this.partitionedZones.has(to));
       },
       history: this.history,
       random: this.random,
-      onTaskCompleted: (piece) => this.onDone(piece),
+      onTaskCompleted: (piece) => this.onTaskCompleted(piece),
     });
     this.workers.set(id, worker);
     void worker.run();
--- a/src/testing/heartbeat-fixture.ts
+++ b/src/testing/heartbeat-fixture.ts
@@ -7,7 +7,7 @@
   type HeartbeatHandlerPorts,
   type OwnedMachine,
 } from '../workers/heartbeat-handler.js';
-import { type BlockStage, createBlockStage, machineToken } from './block-stage.js';
+import { type BlockFixture, createBlockFixture, machineToken } from './block-fixture.js';
 
 /** What a worker reports in a heartbeat of one of its tasks of the job `req-1`. */
 export interface WorkerTask {
@@ -17,7 +17,7 @@
 }
 
 /** A block with a handler for the heartbeats of its machines m1 and m2. */
-export interface HeartbeatFixture extends BlockStage {
+export interface HeartbeatFixture extends BlockFixture {
   handler: HeartbeatHandler;
   /** All replies so far, in the order in which they were sent. */
   replies: Reply[];
@@ -41,7 +41,7 @@
   commit,
   ...ports
 }: HeartbeatFixtureOptions): HeartbeatFixture {
-  const stage = createBlockStage(commit ?? (() => ({ kind: 'applied', revision: 9 })), { tasks });
+  const stage = createBlockFixture(commit ?? (() => ({ kind: 'applied', revision: 9 })), { tasks });
   const { blockState, scheduler } = stage;
   const findMachine = (id: string): OwnedMachine | undefined => {
     const machine = blockState.machines.get(id);
@@ -77,6 +77,6 @@
 }
 
 /** Sends all held responses, so that their timers do not keep the test process running. */
-export function sendHeldResponses({ blockState }: BlockStage): void {
+export function sendHeldResponses({ blockState }: BlockFixture): void {
   for (const machine of blockState.machines.values()) machine.sendHeldResponse?.();
 }
--- a/src/testing/history.ts
+++ b/src/testing/history.ts
@@ -55,7 +55,7 @@
 
 /** The events of a test cluster in the order in which they were recorded. */
 export class History {
-  readonly happenings: TimedEvent[] = [];
+  readonly events: TimedEvent[] = [];
 
   constructor(private readonly clock: () => number = submillisecondClock) {}
 
@@ -64,6 +64,6 @@
   }
 
   add(event: HistoryEvent): void {
-    this.happenings.push({ ...event, at: this.clock() });
+    this.events.push({ ...event, at: this.clock() });
   }
 }
--- a/src/testing/held-store.ts
+++ b/src/testing/in-memory-store.ts
@@ -1,8 +1,8 @@
 /** Test double of the state service in memory. A test can hold its answers and release them one by one. */
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import { StoreConnectionError } from '../store/errors.js';
 import type { CommitOutcome } from '../store/transactions.js';
-import { sizeOf } from '../wire/codec.js';
+import { jsonSizeBytes } from '../wire/codec.js';
 import { type Outcome, outcomeRecord } from '../wire/job-records.js';
 import { type StoredValue, outcomeKey, jobKey } from '../wire/keys.js';
 import { type Condition, type Item, type ListPage, type Write, writtenKey } from '../wire/state.js';
@@ -12,7 +12,7 @@
  * test releases it. A held answer was correct when the request was executed, but later requests can make it
  * stale.
  */
-export class HeldStore {
+export class InMemoryStore {
   holdsAnswers = false;
   /** Requests for pages of lists fail as if no answer had arrived in time. */
   failsLists = false;
@@ -27,13 +27,13 @@
   /** Called after every applied transaction with writes. */
   onWrite: () => Promise<void> = () => Promise.resolve();
   /** The promise that the last call of `onWrite` returned. */
-  checked: Promise<void> = Promise.resolve();
+  lastOnWriteResult: Promise<void> = Promise.resolve();
   private readonly keys = new Map<string, StoredValue>();
   private readonly heldAnswers: (() => void)[] = [];
   private revision = 0;
 
   /** Number of answers that are held. */
-  get held(): number {
+  get heldAnswerCount(): number {
     return this.heldAnswers.length;
   }
 
@@ -47,9 +47,9 @@
   }
 
   /** Delivers the oldest held answer and waits until its receiver has processed it. */
-  async release(): Promise<void> {
+  async releaseOldestAnswer(): Promise<void> {
     this.heldAnswers.shift()?.();
-    await settled();
+    await runPendingCallbacks();
   }
 
   listPage(prefix: string, after: string, limit: number): Promise<ListPage> {
@@ -74,7 +74,7 @@
   }
 
   /** Resets `largestWrites` and `largestValue`. */
-  forgetSizes(): void {
+  resetLargestSizes(): void {
     this.largestWrites = 0;
     this.largestValue = 0;
   }
@@ -107,14 +107,14 @@
     if (writes.length > 0) this.revision++;
     for (const write of writes) this.apply(write);
     const { revision } = this;
-    if (writes.length > 0) this.checked = this.onWrite();
+    if (writes.length > 0) this.lastOnWriteResult = this.onWrite();
     return { kind: 'applied', revision };
   }
 
   private apply(write: Write): void {
     if ('drop' in write) this.keys.delete(writtenKey(write));
     else {
-      this.largestValue = Math.max(this.largestValue, sizeOf(write.value));
+      this.largestValue = Math.max(this.largestValue, jsonSizeBytes(write.value));
       this.keys.set(write.put, { value: write.value, version: this.revision });
     }
   }
@@ -125,7 +125,7 @@
 }
 
 /** Waits a few turns of the event loop, so that all work that needs no further answer is done. */
-export async function settled(): Promise<void> {
+export async function runPendingCallbacks(): Promise<void> {
   const turns = 5;
-  for (let turn = 0; turn < turns; turn++) await nextTurn();
+  for (let turn = 0; turn < turns; turn++) await nextEventLoopIteration();
 }
--- a/src/testing/job-states.ts
+++ b/src/testing/job-states.ts
@@ -5,7 +5,7 @@
 import { JobState } from '../placement/job-state.js';
 import { Ledger } from '../placement/ledger.js';
 import { MachineState } from '../placement/machine-state.js';
-import { machineToken, valueBytes, valueLayout } from './block-stage.js';
+import { machineToken, valueBytes, valueLayout } from './block-fixture.js';
 
 /** Creates a job with all tasks assigned to block 0. By default the job has a ledger of its own. */
 export function createJobState(
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -10,7 +10,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseArgs } from 'node:util';
-import { HttpPeer } from '../base/http.js';
+import { HttpClient } from '../base/http.js';
 import { pause, submission } from './cluster.js';
 import { CloudStandIn, type RentedMachine } from './cloud-standin.js';
 import { History } from './history.js';
@@ -92,7 +92,7 @@
 /** Simulated users: submit jobs at a constant rate, and poll each job until it is done. */
 class Users {
   readonly counts = { accepted: 0, turnedAway: 0, done: 0 };
-  private readonly peers = labels.map((_, node) => new HttpPeer(servingAddress(node), 100));
+  private readonly peers = labels.map((_, node) => new HttpClient(servingAddress(node), 100));
   private submitted = 0;
 
   async run(jobsPerSecond: number, stop: AbortSignal): Promise<void> {
@@ -120,13 +120,13 @@
   }
 
   private async requestStatus(method: string, path: string, body?: unknown): Promise<number> {
-    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpPeer;
+    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpClient;
     const answer = await peer.exchange(method, path, body, { timeoutMs: 5000 }).catch(() => undefined);
     return answer?.status ?? 0;
   }
 
   private async queryStatus(id: string): Promise<string> {
-    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpPeer;
+    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpClient;
     const answer = await peer
       .exchange('GET', `/v2/runs/${id}`, undefined, { timeoutMs: 2000 })
       .catch(() => undefined);
@@ -150,7 +150,7 @@
       fetchMs: 500,
       saveMs: 0,
       taskMs: () => taskMs * (0.5 + random()),
-      holdsTask: () => false,
+      shouldHoldTask: () => false,
       nodes: labels.map((label, node) => ({ label, address: servingAddress(node) })),
       reaches: () => true,
       history,
--- a/src/testing/samples.ts
+++ b/src/testing/samples.ts
@@ -30,12 +30,12 @@
   }
 
   /** Names of the samples that have not been compared so far. */
-  get unread(): string[] {
+  get uncompared(): string[] {
     return Object.keys(this.samples).filter((name) => !this.compared.has(name));
   }
 
   /** A sample without bytes: data that other programs write, or text. */
-  plain(name: string): unknown {
+  plainValue(name: string): unknown {
     assert.ok(name in this.samples, `${this.file} has no sample ${name}`);
     this.compared.add(name);
     return this.samples[name];
@@ -43,24 +43,28 @@
 
   /** The encoded bytes of a sample that this program writes. */
   bytes(name: string): Buffer {
-    return Buffer.from((this.plain(name) as Sample).hex, 'hex');
+    return Buffer.from((this.plainValue(name) as Sample).hex, 'hex');
   }
 
   /** Asserts that the value equals the sample, which has no bytes. */
   assertPlain(name: string, written: unknown): void {
-    assert.deepEqual(written, this.plain(name), `${name} differs from its sample`);
+    assert.deepEqual(written, this.plainValue(name), `${name} differs from its sample`);
   }
 
   /** Asserts that the value has the same fields as the sample and that its encoding has the same bytes. */
   assertWritten(name: string, written: unknown): void {
-    const { value, hex } = this.plain(name) as Sample;
+    const { value, hex } = this.plainValue(name) as Sample;
     assert.deepEqual(written, value, `fields of ${name} differ from its sample`);
     assert.equal(encode(written).toString('hex'), hex, `bytes of ${name} differ from its sample`);
   }
 
   /** Asserts that `read` returns `model`, both for the fields of the sample and for its decoded bytes. */
   assertRead(name: string, read: (value: unknown) => unknown, model: unknown): void {
-    assert.deepEqual(read((this.plain(name) as Sample).value), model, `${name} is read as a different value`);
+    assert.deepEqual(
+      read((this.plainValue(name) as Sample).value),
+      model,
+      `${name} is read as a different value`,
+    );
     assert.deepEqual(
       read(decode(this.bytes(name))),
       model,
--- a/src/testing/store-standin.ts
+++ b/src/testing/store-standin.ts
@@ -1,7 +1,16 @@
 /** Simulates the state service for tests: an HTTP server with its API, and faults that a test can inject. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { seeded } from './seeded.js';
-import { decodeFields, encode, isFields, list, number, sizeOf, text, type Fields } from '../wire/codec.js';
+import {
+  decodeFields,
+  encode,
+  isFieldMap,
+  asList,
+  asNumber,
+  jsonSizeBytes,
+  asText,
+  type Fields,
+} from '../wire/codec.js';
 
 export interface StoreLimits {
   rps: number;
@@ -31,41 +40,41 @@
   revision = 0;
   readonly keys = new Map<string, StoredEntry>();
   /** Answers every request with 503, as in an outage. */
-  down = false;
+  hasOutage = false;
   /** Clients whose requests are answered with 503. Their open watches wait, and their leases expire. */
-  readonly refused = new Set<string>();
+  readonly refusedClients = new Set<string>();
   /**
    * Partitioned clients. Their requests are held until the partition ends, and are then executed late, when
    * the client no longer waits for an answer.
    */
-  readonly held = new Set<string>();
+  readonly partitionedClients = new Set<string>();
   /** Additional time in ms from a request to its answer, half of it before the execution. */
-  delayMs = 0;
+  answerDelayMs = 0;
   /**
    * Whether the answer to a transaction of this client with these keys is held. The transaction is executed
    * at once; its answer is sent when `releaseAnswers` is called.
    */
-  holdsAnswers: ((client: string, keys: string[]) => boolean) | undefined;
+  shouldHoldAnswer: ((client: string, keys: string[]) => boolean) | undefined;
   /** This share of the transactions is answered up to `toMs` milliseconds after its execution. */
-  lateAnswers: { share: number; toMs: number } | undefined;
+  delayedAnswers: { share: number; toMs: number } | undefined;
   private readonly heldAnswers: (() => void)[] = [];
   /**
    * This many of the next transactions are applied without an answer, so that the client does not know their
    * outcome.
    */
-  losesAnswers = 0;
+  answersToDrop = 0;
   /**
    * This share of the transactions with writes gets no answer and is executed `fromMs` to `toMs` milliseconds
    * later, after newer transactions.
    */
-  late: { share: number; fromMs: number; toMs: number } | undefined;
+  lateCommits: { share: number; fromMs: number; toMs: number } | undefined;
   /** Number of transactions with writes that have been executed late in this way. */
-  carriedOutLate = 0;
+  lateCommitCount = 0;
   /**
    * The next transaction that writes such a key gets no answer, and is executed only when the test asks for
    * it.
    */
-  keeps: ((key: string) => boolean) | undefined;
+  shouldWithholdCommit: ((key: string) => boolean) | undefined;
   private readonly withheldCommits: Fields[] = [];
   /** Number of requests and transactions that exceeded a rate limit. */
   refusals = 0;
@@ -138,61 +147,66 @@
     const bytes = Buffer.concat(chunks);
     const url = new URL(request.url ?? '/', 'http://store');
     const body = bytes.length > 0 ? decodeFields(bytes) : {};
-    while (this.held.has(client)) await pause(20);
-    if (this.delayMs > 0) await pause(this.delayMs / 2);
-    if (this.down || this.refused.has(client)) return reply(response, 503, {});
+    while (this.partitionedClients.has(client)) await pause(20);
+    if (this.answerDelayMs > 0) await pause(this.answerDelayMs / 2);
+    if (this.hasOutage || this.refusedClients.has(client)) return reply(response, 503, {});
     if (!this.admit('requests', 1, this.limits.rps)) return reply(response, 429, {});
     if (url.pathname === '/changes') return this.watch(url, response, client);
-    if (url.pathname === '/commit' && this.keeps && writtenKeys(body).some(this.keeps)) {
-      this.keeps = undefined;
+    if (
+      url.pathname === '/commit' &&
+      this.shouldWithholdCommit &&
+      writtenKeys(body).some(this.shouldWithholdCommit)
+    ) {
+      this.shouldWithholdCommit = undefined;
       this.withheldCommits.push(body);
       return void response.destroy();
     }
-    if (url.pathname === '/commit' && this.late && list(body['writes']).length > 0) {
-      const { share, fromMs, toMs } = this.late;
+    if (url.pathname === '/commit' && this.lateCommits && asList(body['writes']).length > 0) {
+      const { share, fromMs, toMs } = this.lateCommits;
       if (this.random() < share) {
         // The client abandons the transaction, and sends newer ones before this transaction is executed.
         response.destroy();
         await pause(fromMs + this.random() * (toMs - fromMs));
-        while (this.down) await pause(20);
+        while (this.hasOutage) await pause(20);
         this.commit(body);
-        this.carriedOutLate++;
+        this.lateCommitCount++;
         return;
       }
     }
     const [status, answer] = this.answer(request.method ?? 'GET', url, body);
-    if (url.pathname === '/commit' && status === 200 && this.losesAnswers > 0) {
-      this.losesAnswers--;
+    if (url.pathname === '/commit' && status === 200 && this.answersToDrop > 0) {
+      this.answersToDrop--;
       return void response.destroy();
     }
     if (url.pathname === '/commit') await this.delayAnswer(client, body);
-    if (this.delayMs > 0) await pause(this.delayMs / 2);
+    if (this.answerDelayMs > 0) await pause(this.answerDelayMs / 2);
     // If a partition began during the execution, the answer is held as well and does not arrive in time.
-    while (this.held.has(client)) await pause(20);
+    while (this.partitionedClients.has(client)) await pause(20);
     reply(response, status, answer);
   }
 
   /** Number of answers that are held. */
-  get answersHeld(): number {
+  get heldAnswerCount(): number {
     return this.heldAnswers.length;
   }
 
   /** Stops holding answers, and sends all held answers. */
   releaseAnswers(): void {
-    this.holdsAnswers = undefined;
+    this.shouldHoldAnswer = undefined;
     for (const release of this.heldAnswers.splice(0)) release();
   }
 
   private async delayAnswer(client: string, body: Fields): Promise<void> {
-    if (this.holdsAnswers?.(client, namedKeys(body))) {
+    if (this.shouldHoldAnswer?.(client, namedKeys(body))) {
       await new Promise<void>((release) => this.heldAnswers.push(release));
     }
-    const { lateAnswers } = this;
-    if (lateAnswers && this.random() < lateAnswers.share) await pause(this.random() * lateAnswers.toMs);
+    const { delayedAnswers } = this;
+    if (delayedAnswers && this.random() < delayedAnswers.share)
+      await pause(this.random() * delayedAnswers.toMs);
   }
 
   /** Executes the withheld transactions, after all later commits, and returns their number. */
-  deliver(): number {
+  applyWithheldCommits(): number {
     const commits = this.withheldCommits.splice(0);
     for (const body of commits) this.commit(body);
     return commits.length;
@@ -220,7 +234,7 @@
     if (path === '/commit') return this.commit(body);
     if (path === '/grants') {
       const id = this.nextLease++;
-      const ttlMs = number(body['lifeMs']);
+      const ttlMs = asNumber(body['lifeMs']);
       this.leases.set(id, { ttlMs, endsAt: Date.now() + ttlMs });
       return [200, { tenure: id }];
     }
@@ -246,29 +260,29 @@
   }
 
   private commit(body: Fields): [number, unknown] {
-    const writes = list(body['writes']).filter(isFields);
+    const writes = asList(body['writes']).filter(isFieldMap);
     if (writes.length > this.limits.txnOps) return this.refuseForSize('too many writes', writes);
-    const oversized = writes.filter((write) => sizeOf(write['value']) > this.limits.valueBytes);
+    const oversized = writes.filter((write) => jsonSizeBytes(write['value']) > this.limits.valueBytes);
     if (oversized.length > 0) return this.refuseForSize('value too large', oversized);
     if (writes.length > 0 && !this.admit('writes', writes.length, this.limits.writeRps)) return [429, {}];
-    const failed = list(body['when'])
-      .filter(isFields)
-      .filter((c) => (this.keys.get(text(c['path']))?.version ?? 0) !== number(c['stamp']))
-      .map((c) => text(c['path']));
+    const failed = asList(body['when'])
+      .filter(isFieldMap)
+      .filter((c) => (this.keys.get(asText(c['path']))?.version ?? 0) !== asNumber(c['stamp']))
+      .map((c) => asText(c['path']));
     if (failed.length > 0) return [409, { failed, logline: this.revision }];
     const leases = writes.map((w) => w['tenure']).filter((lease) => lease !== undefined);
-    if (leases.some((lease) => !this.leases.has(number(lease)))) return [400, { error: 'no such lease' }];
+    if (leases.some((lease) => !this.leases.has(asNumber(lease)))) return [400, { error: 'no such lease' }];
     if (writes.length > 0) this.revision++;
     for (const write of writes) {
       if (typeof write['drop'] === 'string') this.drop(write['drop']);
-      else this.set(text(write['set']), write['value'], write['tenure'] as number | undefined);
+      else this.set(asText(write['set']), write['value'], write['tenure'] as number | undefined);
     }
     this.notifyWatches();
     return [200, { logline: this.revision }];
   }
 
   private refuseForSize(error: string, writes: Fields[]): [number, unknown] {
-    const keys = writes.map((write) => text(write['set'] ?? write['drop']));
+    const keys = writes.map((write) => asText(write['set'] ?? write['drop']));
     this.sizeRefusals.push(`${error}: ${keys.join(' ')}`);
     return [400, { error }];
   }
@@ -283,7 +297,7 @@
   }
 
   private endExpiredLeases(): void {
-    if (this.down) {
+    if (this.hasOutage) {
       // Leases do not expire during an outage; after it, every lease has its full time to live again.
       for (const lease of this.leases.values()) lease.endsAt = Date.now() + lease.ttlMs;
       return;
@@ -295,7 +309,7 @@
    * Ends all leases and deletes their keys, as after a pause of the state service that is longer than every
    * lease.
    */
-  endAllLeases(): void {
+  expireAllLeases(): void {
     for (const id of [...this.leases.keys()]) this.endLease(id);
   }
 
@@ -319,9 +333,10 @@
     let timer: NodeJS.Timeout;
     const answerIfReady = (): void => {
       // Open watches wait during an outage, and while their client is refused or partitioned.
-      const blocked = this.down || this.refused.has(client) || this.held.has(client);
+      const blocked =
+        this.hasOutage || this.refusedClients.has(client) || this.partitionedClients.has(client);
       const news = this.changes.filter(
-        (c) => number(c['stamp']) > since && text(c['set'] ?? c['drop']).startsWith(prefix),
+        (c) => asNumber(c['stamp']) > since && asText(c['set'] ?? c['drop']).startsWith(prefix),
       );
       clearTimeout(timer);
       if (blocked || (news.length === 0 && Date.now() < until)) {
@@ -342,16 +357,16 @@
 
 /** All keys of a transaction, in its conditions and its writes. */
 function namedKeys(body: Fields): string[] {
-  const conditions = list(body['when'])
-    .filter(isFields)
-    .map((condition) => text(condition['path']));
+  const conditions = asList(body['when'])
+    .filter(isFieldMap)
+    .map((condition) => asText(condition['path']));
   return [...conditions, ...writtenKeys(body)];
 }
 
 function writtenKeys(body: Fields): string[] {
-  return list(body['writes'])
-    .filter(isFields)
-    .map((write) => text(write['set'] ?? write['drop']));
+  return asList(body['writes'])
+    .filter(isFieldMap)
+    .map((write) => asText(write['set'] ?? write['drop']));
 }
 
 function pause(ms: number): Promise<void> {
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -7,7 +7,7 @@
 import { BlockState } from '../placement/block-state.js';
 import type { Finding } from '../placement/reconciliation.js';
 import type { TaskRange } from '../wire/job-records.js';
-import { valueLayout } from './block-stage.js';
+import { valueLayout } from './block-fixture.js';
 
 const msPerEvent = 100;
 
--- a/src/testing/user-side.ts
+++ b/src/testing/user-api-fixture.ts
@@ -7,25 +7,25 @@
 import { JobIndex } from '../placement/job-index.js';
 import type { StoreClient } from '../store/client.js';
 import { CommitQueue } from '../store/commit-queue.js';
-import { Mirror } from '../store/mirror.js';
+import { StoreReplica } from '../store/store-replica.js';
 import type { TrafficClass } from '../store/request-pacing.js';
 import { parseMachineTypes } from '../wire/cloud.js';
 import type { Item } from '../wire/state.js';
 import { machineType } from './cloud-standin.js';
 import { submission } from './cluster.js';
-import { type HeldStore, settled } from './held-store.js';
+import { type InMemoryStore, runPendingCallbacks } from './in-memory-store.js';
 import { testSettings } from './settings.js';
 
 const maxQueuedCommits = 100;
 
-export interface UserSideOptions {
+export interface UserApiFixtureOptions {
   /**
    * How long a commit would wait in the controller's queue because of its share of the store's rate limits,
    * in ms.
    */
   writeWaitMs?: number;
   /** Whether the replica initially contains all open jobs. */
-  listsJobs?: boolean;
+  loadsOpenJobs?: boolean;
   /** Whether all controllers are known to support dependencies. */
   supportsDependencies?: boolean;
   /** Whether the replica is recent enough to rule out that a dependency of a job was cancelled. */
@@ -34,11 +34,11 @@
 
 /** The initial content of the replica below a key prefix. */
 async function initialList(
-  store: HeldStore,
+  store: InMemoryStore,
   prefix: string,
-  { listsJobs }: UserSideOptions,
+  { loadsOpenJobs }: UserApiFixtureOptions,
 ): Promise<{ items: Item[]; revision: number }> {
-  if (listsJobs !== true || prefix !== 'job/') return { items: [], revision: 0 };
+  if (loadsOpenJobs !== true || prefix !== 'job/') return { items: [], revision: 0 };
   return store.listPage(prefix, '', Infinity);
 }
 
@@ -46,7 +46,7 @@
  * Sends requests, by default about one job, to the users' API of one controller. The controller's replica of
  * the store receives no changes from other controllers, only those that the controller commits itself.
  */
-export class UserSide {
+export class UserApiFixture {
   private readonly routes: Route[];
 
   private constructor(
@@ -57,22 +57,26 @@
     this.routes = new Intake(ports).routes;
   }
 
-  static async create(store: HeldStore, id: string, options: UserSideOptions = {}): Promise<UserSide> {
+  static async create(
+    store: InMemoryStore,
+    id: string,
+    options: UserApiFixtureOptions = {},
+  ): Promise<UserApiFixture> {
     const settings = testSettings();
     const { signal } = new AbortController();
     const createQueue = (lane: TrafficClass): CommitQueue =>
       new CommitQueue(store, lane, settings, signal, maxQueuedCommits);
-    const mirror = new Mirror(
+    const replica = new StoreReplica(
       { list: (prefix) => initialList(store, prefix, options), watch: () => new Promise(() => undefined) },
       0,
     );
     const jobIndex = new JobIndex(
       () => 0,
-      (id) => mirror.outcomeOf(id),
+      (id) => replica.outcomeOf(id),
     );
-    mirror.listen((changes) => jobIndex.applyChanges(changes));
-    void mirror.follow(signal);
-    await settled();
+    replica.listen((changes) => jobIndex.applyChanges(changes));
+    void replica.follow(signal);
+    await runPendingCallbacks();
     const types = new Map(parseMachineTypes({ hulls: [machineType] }).map((type) => [type.name, type]));
     const client = {
       failing: false,
@@ -80,14 +84,14 @@
       read: (key: string) => store.read(key),
       listPage: (prefix: string, after: string, most: number) => store.listPage(prefix, after, most),
     } as unknown as StoreClient;
-    const outcomeReader = new OutcomeReader({ store: client, mirror });
+    const outcomeReader = new OutcomeReader({ store: client, replica });
     const cascade = new CancellationCascade({
       clock: () => 0,
       wallClock: () => 0,
       log: silentLog,
       settings,
       store: client,
-      mirror,
+      replica,
       jobIndex,
       commits: createQueue('duty'),
       isLeading: () => true,
@@ -96,7 +100,7 @@
     const ports = {
       wallClock: () => 0,
       settings,
-      mirror,
+      replica,
       machineTypes: () => types,
       store: client,
       writes: createQueue('intake'),
@@ -109,7 +113,7 @@
       supportsDependencies: () => options.supportsDependencies ?? true,
       knowsCancellations: () => options.knowsCancellations ?? true,
     } as unknown as IntakePorts;
-    return new UserSide(ports, id, cascade);
+    return new UserApiFixture(ports, id, cascade);
   }
 
   /** Submits the job; `change` replaces fields of the submission. */
--- a/src/testing/ticks.ts
+++ b/src/testing/wait-until.ts
@@ -8,7 +8,7 @@
  *
  * @throws Error if the condition does not hold within 5 s
  */
-export async function tick(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
   const deadline = Date.now() + timeoutMs;
   while (!condition()) {
     if (Date.now() > deadline) throw new Error('condition did not hold within the time limit');
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -1,7 +1,7 @@
 /** Simulates a worker for tests: sends heartbeats to the controllers and executes their commands. */
-import { HttpPeer } from '../base/http.js';
+import { HttpClient } from '../base/http.js';
 import { sleep } from '../base/clock.js';
-import { type Fields, isFields, list, number, text } from '../wire/codec.js';
+import { type Fields, isFieldMap, asList, asNumber, asText } from '../wire/codec.js';
 import type { RentedMachine } from './cloud-standin.js';
 import type { History } from './history.js';
 
@@ -28,7 +28,7 @@
    * Whether the task keeps running whatever its run time. When the task is released, `taskMs` counts from
    * then.
    */
-  holdsTask: (piece: string) => boolean;
+  shouldHoldTask: (piece: string) => boolean;
   saveMs: number;
   nodes: { label: string; address: string }[];
   /** Whether a worker in this zone and a controller can reach each other. */
@@ -51,25 +51,25 @@
   /** Agent epoch: grows when the worker has killed its tasks because its lease expired. */
   agentEpoch = 1;
   /** One-way partition: the worker's heartbeats arrive, but no answer reaches the worker. */
-  deaf = false;
+  receivesNoResponses = false;
   /** The worker reaches no controller. */
-  mute = false;
+  isPartitioned = false;
   /** This share of the heartbeats arrives a second time, up to `toMs` milliseconds later. */
-  late: { share: number; toMs: number } | undefined;
+  duplicateHeartbeats: { share: number; toMs: number } | undefined;
   private pausedSince: number | undefined;
   private sequence = 0;
   private contactedNode = 0;
   private leaseStartedAt = Date.now();
   private readonly sentHeartbeats: Fields[] = [];
   private readonly stop = new AbortController();
-  private readonly peers: HttpPeer[];
+  private readonly peers: HttpClient[];
   private readonly tickTimer: NodeJS.Timeout;
 
   constructor(
     readonly machine: RentedMachine,
     private readonly options: WorkerOptions,
   ) {
-    this.peers = options.nodes.map((node) => new HttpPeer(node.address, 2));
+    this.peers = options.nodes.map((node) => new HttpClient(node.address, 2));
     this.tickTimer = setInterval(() => this.advance(), this.tickMs);
   }
 
@@ -102,7 +102,7 @@
    * Pauses the worker: it makes no progress and sends no heartbeats. After `resume`, it continues as if there
    * had been no pause.
    */
-  hang(): void {
+  pause(): void {
     this.pausedSince ??= Date.now();
   }
 
@@ -120,7 +120,7 @@
    * @param heartbeatsAgo how many heartbeats ago it was sent; the oldest kept one if there are not as many
    * @param node index of the controller that receives the duplicate
    */
-  repeat(heartbeatsAgo: number, node: number): void {
+  sendDuplicate(heartbeatsAgo: number, node: number): void {
     const body = this.sentHeartbeats.at(-1 - heartbeatsAgo) ?? this.sentHeartbeats[0];
     if (!body) return;
     const call = this.peers[node]?.exchange('POST', '/hello', body, {
@@ -139,7 +139,7 @@
       this.leaseStartedAt = now;
     }
     for (const task of this.tasks.values()) {
-      if (task.status === 'running' && this.options.holdsTask(task.piece))
+      if (task.status === 'running' && this.options.shouldHoldTask(task.piece))
         task.statusEndsAt = now + this.options.taskMs(task.piece);
       if (task.status === 'ended' || task.statusEndsAt > now) continue;
       if (task.status === 'fetching') {
@@ -175,7 +175,7 @@
     const { id, type, zone, spot } = this.machine;
     const node = this.contactedNode;
     const nextNode = (node + 1) % this.peers.length;
-    if (this.mute || !reaches(zone, nodes[node]?.label ?? '')) {
+    if (this.isPartitioned || !reaches(zone, nodes[node]?.label ?? '')) {
       this.contactedNode = nextNode;
       return;
     }
@@ -198,11 +198,11 @@
     };
     this.sentHeartbeats.push(body);
     if (this.sentHeartbeats.length > maxKeptHeartbeats) this.sentHeartbeats.shift();
-    if (this.late && random() < this.late.share) {
+    if (this.duplicateHeartbeats && random() < this.duplicateHeartbeats.share) {
       const sentCount = this.sentHeartbeats.length;
       setTimeout(
-        () => this.repeat(Math.max(0, this.sentHeartbeats.length - sentCount), node),
-        random() * this.late.toMs,
+        () => this.sendDuplicate(Math.max(0, this.sentHeartbeats.length - sentCount), node),
+        random() * this.duplicateHeartbeats.toMs,
       ).unref();
     }
     try {
@@ -212,12 +212,14 @@
       });
       while (this.pausedSince !== undefined && !signal.aborted) await sleep(this.tickMs, signal);
       const isAnswerLost =
-        this.deaf || !reaches(zone, nodes[node]?.label ?? '') || Date.now() - sentAt > answerTimeoutMs;
+        this.receivesNoResponses ||
+        !reaches(zone, nodes[node]?.label ?? '') ||
+        Date.now() - sentAt > answerTimeoutMs;
       if (signal.aborted) return;
       if (isAnswerLost) throw new Error('heartbeat not answered in time');
-      const fields = isFields(answer?.body) ? answer.body : {};
+      const fields = isFieldMap(answer?.body) ? answer.body : {};
       if (answer?.status === 200) return this.applyAnswer(fields, sentAt, agentEpoch);
-      const ownerNode = nodes.findIndex((n) => n.label === text(fields['skipper']));
+      const ownerNode = nodes.findIndex((n) => n.label === asText(fields['skipper']));
       this.contactedNode =
         answer?.status === 421 && ownerNode >= 0 && ownerNode !== node ? ownerNode : nextNode;
     } catch {
@@ -226,19 +228,19 @@
   }
 
   private applyAnswer(answer: Fields, sentAt: number, agentEpoch: number): void {
-    const fencingToken = number(answer['helm']);
+    const fencingToken = asNumber(answer['helm']);
     // A worker that was paused for longer than its lease kills its tasks before it processes the answer.
     this.advance();
     if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return;
     this.fencingToken = fencingToken;
     this.leaseStartedAt = sentAt;
-    for (const command of list(answer['orders']).filter(isFields)) this.execute(command);
+    for (const command of asList(answer['orders']).filter(isFieldMap)) this.execute(command);
   }
 
   private execute(command: Fields): void {
     const { fetchMs, saveMs } = this.options;
-    const piece = text(command['piece']);
-    const attempt = number(command['try']);
+    const piece = asText(command['piece']);
+    const attempt = asNumber(command['try']);
     const task = this.tasks.get(piece);
     if (command['verb'] === 'run') {
       // An earlier attempt that has ended stays in the list until a `reap` command.
@@ -250,8 +252,8 @@
       if (task.status === 'ended') this.tasks.delete(piece);
     } else if (command['verb'] === 'halt' && task.status !== 'ended') {
       const startsSaving =
-        task.status === 'running' && saveMs > 0 && number(command['leewayS']) * 1000 >= saveMs;
-      if (!startsSaving && !(task.status === 'saving' && number(command['leewayS']) > 0))
+        task.status === 'running' && saveMs > 0 && asNumber(command['leewayS']) * 1000 >= saveMs;
+      if (!startsSaving && !(task.status === 'saving' && asNumber(command['leewayS']) > 0))
         return this.endTask(task, 'stopped');
       if (task.status === 'running')
         Object.assign(task, { status: 'saving', statusEndsAt: Date.now() + saveMs });
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -25,7 +25,7 @@
  * | 2 | `rentedAt` | time of day, stored in s, in the code in ms |
  * | 3 | `draining` | 1; missing where the machine is not draining |
  */
-import { type Fields, isFields, list, number, text } from './codec.js';
+import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
 import { machinesPrefix, type StoredValue } from './keys.js';
 
 /** A machine as it is listed in the record or on a page of its block. */
@@ -69,7 +69,7 @@
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
   for (const machine of machines) {
-    const key = machineKind(machine);
+    const key = machineGroupKey(machine);
     let group = groups.get(key);
     if (!group) groups.set(key, (group = [machine.type, machine.zone, machine.spot, []]));
     (group[3] as unknown[]).push([
@@ -83,7 +83,7 @@
 }
 
 /** The group of a machine in the stored form: its type, zone and spot flag joined to one key. */
-export function machineKind({ type, zone, spot }: LeasedMachine): string {
+export function machineGroupKey({ type, zone, spot }: LeasedMachine): string {
   return `${type}/${zone}/${spot}`;
 }
 
@@ -108,11 +108,11 @@
  * Stored in place of a fencing token that is the revision of the commit that writes it, since that revision
  * is unknown until the commit is applied.
  */
-export const tokenOfOwnCommit = 0;
+export const tokenFromCommitRevision = 0;
 
 /** Whether the block's record lists the machines itself; if so, any pages of the block are ignored. */
 export function hasInlineMachines(value: unknown): boolean {
-  return isFields(value) && Array.isArray(value['machines']);
+  return isFieldMap(value) && Array.isArray(value['machines']);
 }
 
 /** The pages of a block's machines in order of their numbers, from the keys with the pages' prefix. */
@@ -134,17 +134,17 @@
   version: number,
   pages: Iterable<[number, StoredValue]> = [],
 ): BlockRecord | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isFieldMap(value)) return undefined;
   const shares: QuotaShares = {};
-  if (isFields(value['shares'])) {
+  if (isFieldMap(value['shares'])) {
     for (const [team, share] of Object.entries(value['shares'])) {
-      const [cpus, accelerators] = list(share);
-      shares[team] = [number(cpus), number(accelerators)];
+      const [cpus, accelerators] = asList(share);
+      shares[team] = [asNumber(cpus), asNumber(accelerators)];
     }
   }
   const lease: Pick<BlockRecord, 'owner' | 'incarnation' | 'quotaShares'> = {
-    owner: text(value['owner']),
-    incarnation: text(value['boot']),
+    owner: asText(value['owner']),
+    incarnation: asText(value['boot']),
     quotaShares: shares,
   };
   if (hasInlineMachines(value)) return { ...lease, machines: parseMachines(value['machines'], version) };
@@ -159,22 +159,22 @@
 }
 
 function resolveToken(value: unknown, version: number): number {
-  return number(value) === tokenOfOwnCommit ? version : number(value);
+  return asNumber(value) === tokenFromCommitRevision ? version : asNumber(value);
 }
 
 function parseMachines(groups: unknown, version: number): LeasedMachine[] {
-  return list(groups).flatMap((group) => {
-    const [type, zone, spot, machines] = list(group);
-    return list(machines).map((machine) => {
-      const [id, token, rentedAt, draining] = list(machine);
+  return asList(groups).flatMap((group) => {
+    const [type, zone, spot, machines] = asList(group);
+    return asList(machines).map((machine) => {
+      const [id, token, rentedAt, draining] = asList(machine);
       return {
-        id: text(id),
+        id: asText(id),
         fencingToken: resolveToken(token, version),
-        type: text(type),
-        zone: text(zone),
+        type: asText(type),
+        zone: asText(zone),
         spot: spot === true,
         draining: draining === 1,
-        rentedAt: number(rentedAt) * 1000,
+        rentedAt: asNumber(rentedAt) * 1000,
       };
     });
   });
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -43,7 +43,7 @@
  * | `hosts` | `machines` | list of names, at most 100 |
  */
 import type { CloudMachine, MachineType } from '../model/types.js';
-import { isFields, list, number, text } from './codec.js';
+import { asList, asNumber, asText, isFieldMap } from './codec.js';
 
 const machineStates: Record<string, CloudMachine['state']> = {
   starting: 'booting',
@@ -53,18 +53,18 @@
 
 /** Parses the machine types that the cloud offers; empty if the response lists none. */
 export function parseMachineTypes(body: unknown): MachineType[] {
-  return list(isFields(body) ? body['hulls'] : undefined)
-    .filter(isFields)
+  return asList(isFieldMap(body) ? body['hulls'] : undefined)
+    .filter(isFieldMap)
     .map((fields) => ({
-      name: text(fields['name']),
-      cpus: number(fields['cpus']),
-      accelerators: number(fields['accelerators']),
-      memoryGb: number(fields['memoryGb']),
-      fetchGbPerS: number(fields['fetchGbPerS'], 1),
-      price: number(fields['price']),
-      spotPrice: number(fields['marketPrice']),
-      bootS: number(fields['startupS']),
-      zones: list(fields['berths']).map((zone) => text(zone)),
+      name: asText(fields['name']),
+      cpus: asNumber(fields['cpus']),
+      accelerators: asNumber(fields['accelerators']),
+      memoryGb: asNumber(fields['memoryGb']),
+      fetchGbPerS: asNumber(fields['fetchGbPerS'], 1),
+      price: asNumber(fields['price']),
+      spotPrice: asNumber(fields['marketPrice']),
+      bootS: asNumber(fields['startupS']),
+      zones: asList(fields['berths']).map((zone) => asText(zone)),
     }));
 }
 
@@ -77,18 +77,18 @@
 
 /** Parses a page of the list of rented machines; empty if the response lists none. */
 export function parseMachineList(body: unknown): MachineListPage {
-  const fields = isFields(body) ? body : {};
+  const fields = isFieldMap(body) ? body : {};
   return {
-    machines: list(fields['hosts'])
-      .filter(isFields)
+    machines: asList(fields['hosts'])
+      .filter(isFieldMap)
       .map((machine) => ({
-        id: text(machine['id']),
-        address: text(machine['endpoint']),
-        type: text(machine['hull']),
-        zone: text(machine['berth']),
+        id: asText(machine['id']),
+        address: asText(machine['endpoint']),
+        type: asText(machine['hull']),
+        zone: asText(machine['berth']),
         spot: machine['loaners'] === true,
-        state: machineStates[text(machine['status'])] ?? 'running',
-        ageS: number(machine['heldS']),
+        state: machineStates[asText(machine['status'])] ?? 'running',
+        ageS: asNumber(machine['heldS']),
       })),
     hasMore: fields['hasNext'] === true,
   };
@@ -130,7 +130,7 @@
 
 /** Parses the response to a rental: the names of the rented machines. */
 export function parseMachineNames(body: unknown): string[] {
-  return list(isFields(body) ? body['hosts'] : undefined).map((name) => text(name));
+  return asList(isFieldMap(body) ? body['hosts'] : undefined).map((name) => asText(name));
 }
 
 /** The request body of a release of machines. */
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -3,17 +3,17 @@
 
 import { Packr } from 'msgpackr';
 
-import { fromRanges, rangesSize, toRanges } from '../base/ranges.js';
+import { expandRanges, rangesSize, toRanges } from '../base/ranges.js';
 import { blockRecord, parseBlock } from './block-records.js';
-import { decode, decodeFields, encode, number, sizeOf } from './codec.js';
+import { asNumber, decode, decodeFields, encode, jsonSizeBytes } from './codec.js';
 import {
-  compactEntryBytes,
   compactTasksPerChunk,
-  entryBytes,
   ledgerPage,
+  maxEntryBytes,
+  maxIdleCompactEntryBytes,
+  maxPlainEntryBytes,
   parseLedgerPage,
-  tasksPerChunk,
-  writtenBytes,
+  plainTasksPerChunk,
 } from './ledger-records.js';
 import { parseHeartbeat } from './workers.js';
 
@@ -22,8 +22,8 @@
 test('integers of up to 2^64 are decoded without loss of digits', () => {
   const fields = decodeFields(packr.pack({ big: 2n ** 64n - 1n, small: 5n, negative: -3 }));
   assert.equal(fields['big'], 2n ** 64n - 1n);
-  assert.equal(number(fields['small']), 5);
-  assert.equal(number(fields['negative']), -3);
+  assert.equal(asNumber(fields['small']), 5);
+  assert.equal(asNumber(fields['negative']), -3);
 });
 
 test('decoding a message that is not a map, or ends too early, throws', () => {
@@ -80,14 +80,14 @@
   const shares = Object.fromEntries(
     ['red', 'blue', 'green'].map((team) => [team, [12_345.5, 0] as [number, number]]),
   );
-  const bytes = sizeOf(
+  const bytes = jsonSizeBytes(
     blockRecord({ owner: 'keelhand-0', incarnation: 'b'.repeat(36), quotaShares: shares, machines }),
   );
   assert.ok(bytes <= 32 * 1024, `${bytes} bytes`);
 });
 
 test('the largest plain ledger entry fits into the bytes reserved for it', () => {
-  const tasks = tasksPerChunk(32 * 1024);
+  const tasks = plainTasksPerChunk(32 * 1024);
   const entry = {
     id: 'req-123456',
     chunk: 999,
@@ -99,11 +99,12 @@
     done: [] as number[],
     active: Array.from({ length: tasks }, (_, i): [number, number, string] => [99_000 + i, 12, 'vm-1234567']),
   };
-  assert.ok(sizeOf(ledgerPage([entry])) <= entryBytes(tasks));
+  assert.ok(jsonSizeBytes(ledgerPage([entry])) <= maxPlainEntryBytes(tasks));
   // Every other task is done, so that each done task needs a range of its own.
   const done = toRanges(Array.from({ length: tasks / 2 }, (_, i) => 90_000 + i * 2));
   assert.ok(
-    sizeOf(ledgerPage([{ ...entry, done, active: entry.active.slice(0, tasks / 2) }])) <= entryBytes(tasks),
+    jsonSizeBytes(ledgerPage([{ ...entry, done, active: entry.active.slice(0, tasks / 2) }])) <=
+      maxPlainEntryBytes(tasks),
   );
 });
 
@@ -152,7 +153,7 @@
   const isDone = (index: number): boolean => (index - first) % 2 === 0;
   const mixed = { ...base, waiting: waiting.filter(([index]) => !isDone(index)), done };
   for (const entry of [{ ...base, waiting }, mixed, { ...base, done }]) {
-    assert.ok(writtenBytes(entry) <= compactEntryBytes(base, tasks));
+    assert.ok(maxEntryBytes(entry) <= maxIdleCompactEntryBytes(base, tasks));
   }
 });
 
@@ -181,8 +182,8 @@
     { ...base, active },
     { ...base, active: everyOther, done },
   ]) {
-    assert.ok(writtenBytes(entry) <= entryBytes(tasks));
-    assert.ok(sizeOf(ledgerPage([entry])) <= writtenBytes(entry));
+    assert.ok(maxEntryBytes(entry) <= maxPlainEntryBytes(tasks));
+    assert.ok(jsonSizeBytes(ledgerPage([entry])) <= maxEntryBytes(entry));
   }
 });
 
@@ -190,6 +191,6 @@
   const numbers = [0, 1, 2, 5, 9, 10];
   const ranges = toRanges(numbers);
   assert.deepEqual(ranges, [0, 2, 5, 5, 9, 10]);
-  assert.deepEqual([...fromRanges(ranges)], numbers);
+  assert.deepEqual([...expandRanges(ranges)], numbers);
   assert.equal(rangesSize(ranges), numbers.length);
 });
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -32,7 +32,7 @@
 }
 
 /** Whether the value is a map, that is, an object other than a list, binary data or null. */
-export function isFields(value: unknown): value is Fields {
+export function isFieldMap(value: unknown): value is Fields {
   return (
     typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Uint8Array)
   );
@@ -41,23 +41,23 @@
 /** Decodes a MessagePack map. Throws as `decode` does, and a `TypeError` if the value is not a map. */
 export function decodeFields(bytes: Uint8Array): Fields {
   const value = decode(bytes);
-  if (!isFields(value)) throw new TypeError('the message is not a map');
+  if (!isFieldMap(value)) throw new TypeError('the message is not a map');
   return value;
 }
 
 /** The size of a value as JSON, in bytes. All size limits are measured in that form. */
-export function sizeOf(value: unknown): number {
+export function jsonSizeBytes(value: unknown): number {
   // `stringify` returns undefined for a value that has no JSON form, which its type declaration leaves out.
   return Buffer.byteLength((JSON.stringify as (value: unknown) => string | undefined)(value) ?? 'null');
 }
 
 /** Returns the value if it is a list, else an empty list. */
-export function list(value: unknown): unknown[] {
+export function asList(value: unknown): unknown[] {
   return Array.isArray(value) ? value : [];
 }
 
 /** Returns the value if it is text, else the fallback. */
-export function text(value: unknown, fallback = ''): string {
+export function asText(value: unknown, fallback = ''): string {
   return typeof value === 'string' ? value : fallback;
 }
 
@@ -65,7 +65,7 @@
  * Returns the value if it is a number, else the fallback. Integers of up to 2^64 may be decoded as bigint and
  * are converted to a number; every value that this program compares or stores fits a number.
  */
-export function number(value: unknown, fallback = 0): number {
+export function asNumber(value: unknown, fallback = 0): number {
   if (typeof value === 'bigint') return Number(value);
   return typeof value === 'number' && !Number.isNaN(value) ? value : fallback;
 }
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -29,7 +29,7 @@
  * | --- | --- | --- |
  * | `format` | the number itself | version of the record formats, see `currentFormat` |
  */
-import { isFields, number, text } from './codec.js';
+import { asNumber, asText, isFieldMap } from './codec.js';
 
 /** The record under `lead`: the candidate that won the latest election. */
 export interface LeaderRecord {
@@ -52,11 +52,11 @@
 
 /** Parses the leader record; undefined if there is no leader. */
 export function parseLeader(value: unknown): LeaderRecord | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isFieldMap(value)) return undefined;
   return {
-    label: text(value['label']),
-    incarnation: text(value['boot']),
-    candidacy: number(value['serial']),
+    label: asText(value['label']),
+    incarnation: asText(value['boot']),
+    candidacy: asNumber(value['serial']),
   };
 }
 
@@ -73,8 +73,8 @@
 
 /** Parses the record of a live controller; undefined if the controller is not known to be alive. */
 export function parseAlive(value: unknown): AliveRecord | undefined {
-  if (!isFields(value)) return undefined;
-  return { incarnation: text(value['boot']), zone: text(value['zone']) };
+  if (!isFieldMap(value)) return undefined;
+  return { incarnation: asText(value['boot']), zone: asText(value['zone']) };
 }
 
 /**
@@ -91,5 +91,5 @@
 
 /** Parses the stored format of a controller; 0 if the controller has stored none. */
 export function parseFormat(value: unknown): number {
-  return number(isFields(value) ? value['format'] : undefined);
+  return asNumber(isFieldMap(value) ? value['format'] : undefined);
 }
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -22,7 +22,7 @@
  * | `at` | `endedAt` | time of day in ms; records of earlier versions lack it |
  */
 import type { JobSpec } from '../model/types.js';
-import { type Fields, isFields, list, number, sizeOf } from './codec.js';
+import { asList, asNumber, type Fields, isFieldMap, jsonSizeBytes } from './codec.js';
 import { jobSpecRecord, parseJobSpec } from './job-spec-record.js';
 
 /** How a job ended. The outcome of a job never changes. */
@@ -49,11 +49,11 @@
 
 /** Parses the outcome of a job; undefined if the job has none. */
 export function parseOutcome(value: unknown): OutcomeRecord | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isFieldMap(value)) return undefined;
   const storedOutcome = value['end'];
   if (storedOutcome !== 'done' && storedOutcome !== 'cancelled') return undefined;
-  const record: OutcomeRecord = { outcome: storedOutcome, tasks: number(value['tasks']) };
-  if (value['at'] !== undefined) record.endedAt = number(value['at']);
+  const record: OutcomeRecord = { outcome: storedOutcome, tasks: asNumber(value['tasks']) };
+  if (value['at'] !== undefined) record.endedAt = asNumber(value['at']);
   return record;
 }
 
@@ -65,7 +65,7 @@
 }
 
 /** Bytes reserved in a job's record for the ranges of its tasks, as JSON: limits apply to that form. */
-export const minTaskRangesBytes = 256;
+export const reservedTaskRangesBytes = 256;
 
 /** Bytes that one range takes at most, as JSON. */
 const bytesPerTaskRange = 24;
@@ -75,7 +75,7 @@
  * `valueBytes` bytes.
  */
 export function maxTaskRanges(spec: JobSpec, valueBytes: number): number {
-  const bytes = valueBytes - sizeOf(jobRecord({ spec, taskRanges: [] }));
+  const bytes = valueBytes - jsonSizeBytes(jobRecord({ spec, taskRanges: [] }));
   return Math.max(1, Math.floor(bytes / bytesPerTaskRange));
 }
 
@@ -96,13 +96,13 @@
 
 /** Parses the record of an open job; undefined if there is none, or if it names no job. */
 export function parseJobRecord(value: unknown): JobRecord | undefined {
-  if (!isFields(value) || !isFields(value['spec']) || typeof value['spec']['id'] !== 'string')
+  if (!isFieldMap(value) || !isFieldMap(value['spec']) || typeof value['spec']['id'] !== 'string')
     return undefined;
   return {
     spec: parseJobSpec(value['spec']),
-    taskRanges: list(value['parts']).map((part) => {
-      const [block, first, count] = list(part);
-      return { block: number(block), first: number(first), count: number(count) };
+    taskRanges: asList(value['parts']).map((part) => {
+      const [block, first, count] = asList(part);
+      return { block: asNumber(block), first: asNumber(first), count: asNumber(count) };
     }),
   };
 }
--- a/src/wire/job-spec-record.test.ts
+++ b/src/wire/job-spec-record.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { jobSpec } from '../testing/block-stage.js';
+import { jobSpec } from '../testing/block-fixture.js';
 import { encode } from './codec.js';
 import { jobRecord, parseJobRecord } from './job-records.js';
 import { jobSpecRecord, parseJobSpec } from './job-spec-record.js';
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -24,7 +24,7 @@
  * | `dependencies` | `dependencies` | list of ids; missing where the job has none |
  */
 import type { JobSpec, Urgency } from '../model/types.js';
-import { type Fields, list, number, text } from './codec.js';
+import { asList, asNumber, asText, type Fields } from './codec.js';
 
 const knownFields: ReadonlySet<string> = new Set([
   'id',
@@ -84,29 +84,29 @@
 /** Parses a job's specification. Fields that this version does not define are kept in `unknownFields`. */
 export function parseJobSpec(fields: Fields): JobSpec {
   const spec: JobSpec = {
-    id: text(fields['id']),
-    jobClass: text(fields['jobClass']),
-    team: text(fields['team']),
-    urgency: text(fields['urgency']) as Urgency,
-    tasks: number(fields['tasks']),
-    cpus: number(fields['cpus']),
-    accelerators: number(fields['accelerators']),
-    memoryGb: number(fields['memoryGb']),
-    image: text(fields['image']),
-    imageGb: number(fields['imageGb']),
-    machineTypes: Array.isArray(fields['types']) ? fields['types'].map((type) => text(type)) : null,
+    id: asText(fields['id']),
+    jobClass: asText(fields['jobClass']),
+    team: asText(fields['team']),
+    urgency: asText(fields['urgency']) as Urgency,
+    tasks: asNumber(fields['tasks']),
+    cpus: asNumber(fields['cpus']),
+    accelerators: asNumber(fields['accelerators']),
+    memoryGb: asNumber(fields['memoryGb']),
+    image: asText(fields['image']),
+    imageGb: asNumber(fields['imageGb']),
+    machineTypes: Array.isArray(fields['types']) ? fields['types'].map((type) => asText(type)) : null,
     zone: typeof fields['zone'] === 'string' ? fields['zone'] : null,
     colocated: fields['oneZone'] === true,
     spread: fields['spread'] === true,
     spot: fields['spot'] === true,
-    estimatedRunS: number(fields['estimateS']),
-    checkpointIntervalS: number(fields['checkpointS']),
-    checkpointSaveS: number(fields['saveS']),
+    estimatedRunS: asNumber(fields['estimateS']),
+    checkpointIntervalS: asNumber(fields['checkpointS']),
+    checkpointSaveS: asNumber(fields['saveS']),
     deadlineS: typeof fields['deadlineS'] === 'number' ? fields['deadlineS'] : null,
-    acceptedAt: number(fields['acceptedAt']),
+    acceptedAt: asNumber(fields['acceptedAt']),
   };
   if (fields['dependencies'] !== undefined) {
-    spec.dependencies = list(fields['dependencies']).map((id) => text(id));
+    spec.dependencies = asList(fields['dependencies']).map((id) => asText(id));
   }
   const unknownFields = unknownFieldsOf(fields);
   if (unknownFields !== undefined) spec.unknownFields = unknownFields;
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -38,7 +38,7 @@
 import * as v from 'valibot';
 
 import type { JobSpec } from '../model/types.js';
-import { isFields, text } from './codec.js';
+import { asText, isFieldMap } from './codec.js';
 
 const jobIdPattern = /^req-\d{1,18}$/;
 
@@ -48,8 +48,8 @@
 }
 
 /** The job id of a submission that may be malformed otherwise; undefined if it has no well-formed id. */
-export function jobIdIn(body: unknown): string | undefined {
-  const id = isFields(body) ? text(body['id']) : '';
+export function submittedJobId(body: unknown): string | undefined {
+  const id = isFieldMap(body) ? asText(body['id']) : '';
   return isJobId(id) ? id : undefined;
 }
 
@@ -123,11 +123,11 @@
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** The body of the response to a submission or a cancellation. */
-export function jobAnswer(id: string, status: JobStatus): unknown {
+export function jobStatusResponse(id: string, status: JobStatus): unknown {
   return { id, status };
 }
 
 /** The body of the response to a query: `done` and `running` are counts of tasks. */
-export function jobDetails(id: string, status: JobStatus, done: number, running: number): unknown {
+export function jobDetailsResponse(id: string, status: JobStatus, done: number, running: number): unknown {
   return { id, status, done, running };
 }
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -8,7 +8,7 @@
  * | --- | --- | --- |
  * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], last moved one last |
  */
-import { isFields, list, number } from './codec.js';
+import { asList, asNumber, isFieldMap } from './codec.js';
 
 /** Bytes that one threshold takes at most, as JSON: size limits are measured in that form. */
 const bytesPerThreshold = 20;
@@ -27,8 +27,8 @@
 
 /** Parses the moved thresholds of a pool; empty if the pool has no record. */
 export function parseLadder(value: unknown): [number, number][] {
-  return list(isFields(value) ? value['moved'] : undefined).map((entry) => {
-    const [machineNumber, slots] = list(entry);
-    return [number(machineNumber), number(slots)];
+  return asList(isFieldMap(value) ? value['moved'] : undefined).map((entry) => {
+    const [machineNumber, slots] = asList(entry);
+    return [asNumber(machineNumber), asNumber(slots)];
   });
 }
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -37,7 +37,7 @@
  *
  * Tasks are numbered from 0 within their job, attempts from 1.
  */
-import { list, number, sizeOf, text } from './codec.js';
+import { asList, asNumber, asText, jsonSizeBytes } from './codec.js';
 
 /**
  * The recorded state of one chunk of a job's tasks in a block. A chunk is a range of consecutive task numbers
@@ -87,16 +87,16 @@
  * controller reads every page of all other controllers, and only controllers write pages.
  */
 export function parseLedgerPage(value: unknown): LedgerEntry[] {
-  return list(value)
+  return asList(value)
     .map((entry) => {
-      const [id, chunk, team, cpus, accelerators, memoryGb, ...tasks] = list(entry);
+      const [id, chunk, team, cpus, accelerators, memoryGb, ...tasks] = asList(entry);
       return {
-        id: text(id),
-        chunk: number(chunk),
-        team: text(team),
-        cpus: number(cpus),
-        accelerators: number(accelerators),
-        memoryGb: number(memoryGb),
+        id: asText(id),
+        chunk: asNumber(chunk),
+        team: asText(team),
+        cpus: asNumber(cpus),
+        accelerators: asNumber(accelerators),
+        memoryGb: asNumber(memoryGb),
         ...(tasks.length > plainListCount ? parseCompactTasks(tasks) : parsePlainTasks(tasks)),
       };
     })
@@ -110,9 +110,9 @@
 
 function parsePlainTasks([active, waiting, done]: unknown[]): EntryTasks {
   return {
-    active: list(active) as LedgerEntry['active'],
-    waiting: list(waiting) as LedgerEntry['waiting'],
-    done: list(done) as number[],
+    active: asList(active) as LedgerEntry['active'],
+    waiting: asList(waiting) as LedgerEntry['waiting'],
+    done: asList(done) as number[],
   };
 }
 
@@ -133,7 +133,7 @@
 }
 
 function decodeMachineName(name: unknown, [prefix, digits]: MachineNameForm): string {
-  return typeof name === 'number' ? prefix + String(name).padStart(digits, '0') : text(name);
+  return typeof name === 'number' ? prefix + String(name).padStart(digits, '0') : asText(name);
 }
 
 /**
@@ -160,24 +160,24 @@
   chunkTasks,
   storedNameForm,
 ]: unknown[]): EntryTasks {
-  const [prefix, digits] = list(storedNameForm);
-  const nameForm: MachineNameForm = [text(prefix), number(digits)];
+  const [prefix, digits] = asList(storedNameForm);
+  const nameForm: MachineNameForm = [asText(prefix), asNumber(digits)];
   const active: LedgerEntry['active'] = [];
   for (const [index, machine] of splitIntoTuples(firstAttempts, 2))
-    active.push([number(index), 1, decodeMachineName(machine, nameForm)]);
+    active.push([asNumber(index), 1, decodeMachineName(machine, nameForm)]);
   for (const [index, attempt, machine] of splitIntoTuples(laterAttempts, 3)) {
-    active.push([number(index), number(attempt), decodeMachineName(machine, nameForm)]);
+    active.push([asNumber(index), asNumber(attempt), decodeMachineName(machine, nameForm)]);
   }
   return {
     active,
-    waiting: splitIntoTuples(waiting, 2).map(([index, attempt]) => [number(index), number(attempt)]),
-    done: list(done) as number[],
-    chunkTasks: number(chunkTasks),
+    waiting: splitIntoTuples(waiting, 2).map(([index, attempt]) => [asNumber(index), asNumber(attempt)]),
+    done: asList(done) as number[],
+    chunkTasks: asNumber(chunkTasks),
   };
 }
 
 function splitIntoTuples(flat: unknown, size: number): unknown[][] {
-  const all = list(flat);
+  const all = asList(flat);
   return Array.from({ length: Math.floor(all.length / size) }, (_, i) => all.slice(i * size, (i + 1) * size));
 }
 
@@ -194,12 +194,12 @@
 export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / maxEntryShareOfPage);
 
 /** How many tasks a plain entry can hold, at least 1, if a page has at most `valueBytes` bytes. */
-export function tasksPerChunk(valueBytes: number): number {
+export function plainTasksPerChunk(valueBytes: number): number {
   return Math.max(1, Math.floor((valueBytes * maxEntryShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
 /** Bytes that a plain entry with this number of tasks takes at most. */
-export function entryBytes(tasks: number): number {
+export function maxPlainEntryBytes(tasks: number): number {
   return bytesPerEntry + tasks * bytesPerTask;
 }
 
@@ -207,8 +207,8 @@
  * Bytes that an entry takes at most with its current tasks. The size of a plain entry is estimated. A compact
  * entry is measured, since compact entries may fill a page to the last byte.
  */
-export function writtenBytes(entry: LedgerEntry): number {
-  if (entry.chunkTasks !== undefined) return sizeOf(ledgerEntry(entry)) + 1;
+export function maxEntryBytes(entry: LedgerEntry): number {
+  if (entry.chunkTasks !== undefined) return jsonSizeBytes(ledgerEntry(entry)) + 1;
   const { active, waiting, done } = entry;
   const doneRanges = done.length / 2;
   return bytesPerEntry + (active.length + waiting.length + doneRanges) * bytesPerTask;
@@ -226,6 +226,6 @@
 }
 
 /** Bytes that a compact entry with this number of tasks takes at most while no task is on a machine. */
-export function compactEntryBytes(entry: LedgerEntry, tasks: number): number {
-  return writtenBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
+export function maxIdleCompactEntryBytes(entry: LedgerEntry, tasks: number): number {
+  return maxEntryBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
 }
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -30,7 +30,7 @@
   rentalBody,
   type RentalRequest,
 } from './cloud.js';
-import { jobAnswer, jobDetails, parseJob } from './jobs.js';
+import { jobDetailsResponse, jobStatusResponse, parseJob } from './jobs.js';
 import {
   type Change,
   commitBody,
@@ -80,23 +80,23 @@
 
 test('kept responses of the state service are parsed unchanged', () => {
   const item: Item = { key: 'job/req-000017', value: { a: 1 }, version: 12 };
-  assert.deepEqual(parseRead(received.plain('state, read')), item);
-  assert.equal(revisionOf(received.plain('state, read')), 40);
+  assert.deepEqual(parseRead(received.plainValue('state, read')), item);
+  assert.equal(revisionOf(received.plainValue('state, read')), 40);
   const page: ListPage = {
     items: [item, { key: 'job/req-000018', value: [2], version: 13 }],
     hasMore: true,
     revision: 41,
   };
-  assert.deepEqual(parseList(received.plain('state, list')), page);
+  assert.deepEqual(parseList(received.plainValue('state, list')), page);
   const changes: Change[] = [
     { key: 'end/req-000017', value: { end: 'done' }, version: 42, deleted: false },
     { key: 'job/req-000017', value: undefined, version: 42, deleted: true },
   ];
-  assert.deepEqual(parseChanges(received.plain('state, changes')), { changes, revision: 43 });
-  assert.deepEqual(parseCommit(received.plain('state, commit')), { revision: 44, failed: [] });
+  assert.deepEqual(parseChanges(received.plainValue('state, changes')), { changes, revision: 43 });
+  assert.deepEqual(parseCommit(received.plainValue('state, commit')), { revision: 44, failed: [] });
   const conflict = { revision: 45, failed: ['job/req-000017', 'lead'] };
-  assert.deepEqual(parseCommit(received.plain('state, conflict')), conflict);
-  assert.equal(parseLeaseId(received.plain('state, lease')), 7);
+  assert.deepEqual(parseCommit(received.plainValue('state, conflict')), conflict);
+  assert.equal(parseLeaseId(received.plainValue('state, lease')), 7);
 });
 
 test('requests to the cloud match the kept samples', () => {
@@ -132,7 +132,7 @@
       zones: [],
     },
   ];
-  assert.deepEqual(parseMachineTypes(received.plain('cloud, machine types')), types);
+  assert.deepEqual(parseMachineTypes(received.plainValue('cloud, machine types')), types);
   const running: CloudMachine = {
     id: 'vm-000002',
     address: '10.0.0.2:7000',
@@ -159,8 +159,8 @@
     ageS: 91,
   };
   const page: MachineListPage = { machines: [booting, running, failed], hasMore: true };
-  assert.deepEqual(parseMachineList(received.plain('cloud, machines')), page);
-  assert.deepEqual(parseMachineNames(received.plain('cloud, rented')), ['vm-000001', 'vm-000002']);
+  assert.deepEqual(parseMachineList(received.plainValue('cloud, machines')), page);
+  assert.deepEqual(parseMachineNames(received.plainValue('cloud, rented')), ['vm-000001', 'vm-000002']);
 });
 
 test('responses to workers match the kept samples', () => {
@@ -197,13 +197,13 @@
       { ...task, index: 4, attempt: 1, state: 'other' },
     ],
   };
-  assert.deepEqual(parseHeartbeat(received.plain('worker, report')), report);
+  assert.deepEqual(parseHeartbeat(received.plainValue('worker, report')), report);
 });
 
 test('responses to users match the kept samples', () => {
   for (const status of ['pending', 'running', 'done', 'cancelled'] as const) {
-    sent.assertWritten(`user, ${status}`, jobAnswer('req-000017', status));
-    sent.assertWritten(`user, details of ${status}`, jobDetails('req-000017', status, 39, 1));
+    sent.assertWritten(`user, ${status}`, jobStatusResponse('req-000017', status));
+    sent.assertWritten(`user, details of ${status}`, jobDetailsResponse('req-000017', status, 39, 1));
   }
 });
 
@@ -230,7 +230,7 @@
     deadlineS: null,
     acceptedAt: 1234,
   };
-  assert.deepEqual(parseJob(received.plain('user, small submission'), 1234), small);
+  assert.deepEqual(parseJob(received.plainValue('user, small submission'), 1234), small);
   const full: JobSpec = {
     id: 'req-000019',
     jobClass: 'training',
@@ -254,36 +254,36 @@
     acceptedAt: 1235,
     dependencies: ['req-000017', 'req-000018'],
   };
-  assert.deepEqual(parseJob(received.plain('user, full submission'), 1235), full);
+  assert.deepEqual(parseJob(received.plainValue('user, full submission'), 1235), full);
 });
 
 test("a kept operators' settings file is parsed unchanged, and the defaults are unchanged", async () => {
   const settings: OperatorSettings = {
     ladder: {
-      start: 0.7,
-      spotStart: 0.9,
+      initialThresholdShare: 0.7,
+      spotInitialThresholdShare: 0.9,
       targetFailureRatio: 0.02,
       slotShare: 0.25,
-      periodS: 45,
-      windowS: 450,
+      adjustmentPeriodS: 45,
+      failureWindowS: 450,
     },
-    blocks: { quotaSharePeriodS: 20, lookahead: 0.5 },
+    blocks: { quotaSharePeriodS: 20, dispatchLookaheadShare: 0.5 },
     leadership: { leaseHeartbeats: 2.8 },
-    workers: { missedHeartbeats: 4, bootTimes: 5 },
+    workers: { missedHeartbeats: 4, bootTimeoutMultiple: 5 },
   };
   assert.deepEqual(await parseOperatorSettings(readSampleFile('operator.xml')), settings);
   const defaults: OperatorSettings = {
     ladder: {
-      start: 0.8,
-      spotStart: 0.92,
+      initialThresholdShare: 0.8,
+      spotInitialThresholdShare: 0.92,
       targetFailureRatio: 0.01,
       slotShare: 0.125,
-      periodS: 30,
-      windowS: 300,
+      adjustmentPeriodS: 30,
+      failureWindowS: 300,
     },
-    blocks: { quotaSharePeriodS: 30, lookahead: 0.25 },
+    blocks: { quotaSharePeriodS: 30, dispatchLookaheadShare: 0.25 },
     leadership: { leaseHeartbeats: 2.4 },
-    workers: { missedHeartbeats: 3, bootTimes: 3 },
+    workers: { missedHeartbeats: 3, bootTimeoutMultiple: 3 },
   };
   assert.deepEqual(defaultOperatorSettings, defaults);
   assert.deepEqual(await parseOperatorSettings('<shalekeel/>'), defaults);
@@ -316,5 +316,5 @@
 });
 
 test('every message sample is compared by a test', () => {
-  assert.deepEqual([...sent.unread, ...received.unread], []);
+  assert.deepEqual([...sent.uncompared, ...received.uncompared], []);
 });
--- a/src/wire/outcome-transaction.ts
+++ b/src/wire/outcome-transaction.ts
@@ -16,7 +16,7 @@
 }
 
 /** The number of writes for one outcome, which counts towards the state service's limit of writes. */
-export const changesPerOutcome = 2;
+export const writesPerOutcome = 2;
 
 /**
  * Builds the transaction for the outcome of one job. Its only conditions are that the job has no outcome yet
--- a/src/wire/peer-status.test.ts
+++ b/src/wire/peer-status.test.ts
@@ -5,7 +5,7 @@
 import type { Fields } from './codec.js';
 import { parsePeerStatus, peerStatusRecord } from './peer-status.js';
 
-const sample = (new Samples('status.json').plain('leader') as { value: Fields }).value;
+const sample = (new Samples('status.json').plainValue('leader') as { value: Fields }).value;
 
 test('a peer status that is parsed and written again has the same fields in the same order', () => {
   const status = parsePeerStatus(sample);
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -18,20 +18,20 @@
  * | `since` | `cancelledSince` | revision of the state service |
  * | `cancelled` | `cancelled` | list of [id of the job, revision of its outcome] |
  */
-import { type Fields, isFields, number, text } from './codec.js';
+import { asNumber, asText, type Fields, isFieldMap } from './codec.js';
 
 /** A cancelled job and the revision at which its outcome was stored. */
 export type CancelledJob = [id: string, version: number];
 
 /** The cancellations that a controller lists for a peer; the list is complete after `cancelledSince`. */
-export interface ListedCancellations {
+export interface CancellationList {
   /** A revision: the list has every later cancellation that the sender has confirmed to a user. */
   cancelledSince: number;
   cancelled: CancelledJob[];
 }
 
 /** The status that a controller sends to each of the others, several times per heartbeat interval. */
-export interface PeerStatus extends ListedCancellations {
+export interface PeerStatus extends CancellationList {
   /** The label of the sender. */
   from: string;
   incarnation: string;
@@ -76,22 +76,22 @@
  * the lists are not validated, since only controllers send statuses.
  */
 export function parsePeerStatus(message: unknown): PeerStatus | undefined {
-  if (!isFields(message)) return undefined;
+  if (!isFieldMap(message)) return undefined;
   const sender = message['from'];
   const lists = [message['cancelled'], message['gone'], message['up']];
   if (typeof sender !== 'string' || !lists.every(Array.isArray)) return undefined;
   return {
     from: sender,
-    incarnation: text(message['boot']),
-    sequence: number(message['serial']),
-    echoedSequence: number(message['echo']),
-    echoedIncarnation: text(message['echoBoot']),
-    storeRevision: number(message['knows']),
-    storeContactAgeMs: number(message['contactAge']),
-    fencingToken: number(message['token']),
+    incarnation: asText(message['boot']),
+    sequence: asNumber(message['serial']),
+    echoedSequence: asNumber(message['echo']),
+    echoedIncarnation: asText(message['echoBoot']),
+    storeRevision: asNumber(message['knows']),
+    storeContactAgeMs: asNumber(message['contactAge']),
+    fencingToken: asNumber(message['token']),
     terminatedMachines: message['gone'] as string[],
     bootedMachines: message['up'] as string[],
-    cancelledSince: number(message['since']),
+    cancelledSince: asNumber(message['since']),
     cancelled: message['cancelled'] as CancelledJob[],
   };
 }
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -42,7 +42,7 @@
  * | `lifeMs` | `ttlMs` | ms |
  * | `tenure`, in the response | lease id | number |
  */
-import { type Fields, isFields, list, number, text } from './codec.js';
+import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
 
 /** A condition of a commit: the commit is applied only if the key has this version. */
 export interface Condition {
@@ -123,25 +123,25 @@
 
 /** Parses the response to a commit: the revision and, if it was refused, the keys whose conditions failed. */
 export function parseCommit(body: unknown): { revision: number; failed: string[] } {
-  const fields = isFields(body) ? body : {};
+  const fields = isFieldMap(body) ? body : {};
   return {
-    revision: number(fields['logline']),
-    failed: list(fields['failed']).map((key) => text(key).slice(keyRoot.length)),
+    revision: asNumber(fields['logline']),
+    failed: asList(fields['failed']).map((key) => asText(key).slice(keyRoot.length)),
   };
 }
 
 /** The revision of the store at the time of a response; undefined if the response does not contain it. */
 export function revisionOf(body: unknown): number | undefined {
-  const revision = isFields(body) ? body['logline'] : undefined;
+  const revision = isFieldMap(body) ? body['logline'] : undefined;
   return typeof revision === 'number' ? revision : undefined;
 }
 
 function parseItem(value: unknown): Item | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isFieldMap(value)) return undefined;
   return {
-    key: text(value['path']).slice(keyRoot.length),
+    key: asText(value['path']).slice(keyRoot.length),
     value: value['value'],
-    version: number(value['stamp']),
+    version: asNumber(value['stamp']),
   };
 }
 
@@ -160,32 +160,32 @@
 
 /** Parses the response to a list request. */
 export function parseList(body: unknown): ListPage {
-  const fields = isFields(body) ? body : {};
+  const fields = isFieldMap(body) ? body : {};
   return {
-    items: list(fields['items'])
+    items: asList(fields['items'])
       .map(parseItem)
       .filter((item) => item !== undefined),
     hasMore: fields['hasNext'] === true,
-    revision: number(fields['logline']),
+    revision: asNumber(fields['logline']),
   };
 }
 
 /** Parses the response to a watch: the changes in order, and the revision that includes all of them. */
 export function parseChanges(body: unknown): { changes: Change[]; revision: number } {
-  const fields = isFields(body) ? body : {};
+  const fields = isFieldMap(body) ? body : {};
   return {
-    changes: list(fields['news'])
-      .filter(isFields)
+    changes: asList(fields['news'])
+      .filter(isFieldMap)
       .map((change) => {
         const deleted = typeof change['drop'] === 'string';
         return {
-          key: text(deleted ? change['drop'] : change['set']).slice(keyRoot.length),
+          key: asText(deleted ? change['drop'] : change['set']).slice(keyRoot.length),
           value: change['value'],
-          version: number(change['stamp']),
+          version: asNumber(change['stamp']),
           deleted,
         };
       }),
-    revision: number(fields['logline']),
+    revision: asNumber(fields['logline']),
   };
 }
 
@@ -196,7 +196,7 @@
 
 /** Parses the id of a new lease; -1 if the response contains none. */
 export function parseLeaseId(body: unknown): number {
-  return number(isFields(body) ? body['tenure'] : undefined, -1);
+  return asNumber(isFieldMap(body) ? body['tenure'] : undefined, -1);
 }
 
 /** The request path of a lease; with `/touch` appended, the path for renewing the lease. */
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -241,7 +241,7 @@
   ];
   for (const [page, machines] of pages) samples.assertWritten(`machines/${page}`, machineGroups(machines));
   const stored = pages.map(([page]): [number, { value: unknown; version: number }] => {
-    const { value } = samples.plain(`machines/${page}`) as { value: unknown };
+    const { value } = samples.plainValue(`machines/${page}`) as { value: unknown };
     return [page, { value, version }];
   });
   const machinesWithMinToken = (token: number): LeasedMachine[] =>
@@ -303,5 +303,5 @@
 });
 
 test('every sample of a stored form is compared by a test', () => {
-  assert.deepEqual(samples.unread, []);
+  assert.deepEqual(samples.uncompared, []);
 });
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -48,7 +48,7 @@
  * | `skipper` | `label` | name of the controller to report to; missing if there is none to name |
  */
 import type { Heartbeat, ReportedTask, TaskRef, TaskState, WorkerCommand } from '../model/types.js';
-import { type Fields, isFields, list, number, text } from './codec.js';
+import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
 
 const taskStates: Record<string, TaskState> = {
   fetching: 'fetching',
@@ -67,14 +67,14 @@
 }
 
 function parseTask(value: unknown): ReportedTask | undefined {
-  if (!isFields(value)) return undefined;
-  const ref = parseTaskRef(text(value['piece']));
+  if (!isFieldMap(value)) return undefined;
+  const ref = parseTaskRef(asText(value['piece']));
   if (!ref) return undefined;
   return {
     ...ref,
-    attempt: number(value['try']),
-    state: taskStates[text(value['status'])] ?? 'other',
-    cause: text(value['cause']),
+    attempt: asNumber(value['try']),
+    state: taskStates[asText(value['status'])] ?? 'other',
+    cause: asText(value['cause']),
   };
 }
 
@@ -83,23 +83,23 @@
  * whose name is malformed are left out.
  */
 export function parseHeartbeat(body: unknown): Heartbeat | undefined {
-  if (!isFields(body)) return undefined;
-  const machine = text(body['host']);
-  const epoch = number(body['watch'], -1);
-  const seq = number(body['tick'], -1);
+  if (!isFieldMap(body)) return undefined;
+  const machine = asText(body['host']);
+  const epoch = asNumber(body['watch'], -1);
+  const seq = asNumber(body['tick'], -1);
   if (!machine || epoch < 0 || seq < 0 || !Array.isArray(body['pieces'])) return undefined;
   const noticeS = body['recallS'];
   return {
     machine,
-    address: text(body['endpoint']),
-    type: text(body['hull']),
-    zone: text(body['berth']),
+    address: asText(body['endpoint']),
+    type: asText(body['hull']),
+    zone: asText(body['berth']),
     spot: body['loaners'] === true,
     agentEpoch: epoch,
     sequence: seq,
-    fencingToken: number(body['helm']),
-    preemptionNoticeS: noticeS === null || noticeS === undefined ? null : number(noticeS),
-    tasks: list(body['pieces'])
+    fencingToken: asNumber(body['helm']),
+    preemptionNoticeS: noticeS === null || noticeS === undefined ? null : asNumber(noticeS),
+    tasks: asList(body['pieces'])
       .map(parseTask)
       .filter((t) => t !== undefined),
   };
--- a/src/workers/own-delays.ts
+++ b/src/workers/controller-delays.ts
@@ -1,7 +1,7 @@
 /** Measures delays of this controller itself, during which missing heartbeats are no sign of failures. */
 import type { Clock } from '../base/clock.js';
-import { ProcessPause } from '../base/process-pause.js';
-import { Saturation } from '../base/saturation.js';
+import { EventLoopSaturation } from '../base/event-loop-saturation.js';
+import { ProcessPauseDetector } from '../base/process-pause-detector.js';
 
 /** While this controller is saturated, this ratio of the time does not count against the machines. */
 const saturatedGraceRatio = 0.75;
@@ -12,15 +12,15 @@
  * the time counts nevertheless, so that a dead machine is detected even if a burst keeps this controller busy
  * for minutes.
  */
-export function ownDelayGraceMs(time: { passedMs: number; pausedMs: number; saturated: boolean }): number {
+export function controllerDelayMs(time: { passedMs: number; pausedMs: number; saturated: boolean }): number {
   const { passedMs, pausedMs, saturated } = time;
   return saturated ? Math.max(pausedMs, passedMs * saturatedGraceRatio) : pausedMs;
 }
 
 /** Measures how much grace the machines get for delays of this controller between two periodic checks. */
-export class OwnDelays {
-  private readonly processPause: ProcessPause;
-  private readonly saturation = new Saturation();
+export class ControllerDelays {
+  private readonly processPause: ProcessPauseDetector;
+  private readonly saturation = new EventLoopSaturation();
   private checkedAt: number;
 
   /** `checkIntervalMs`: the usual time between two checks, in ms. */
@@ -28,7 +28,7 @@
     private readonly clock: Clock,
     checkIntervalMs: number,
   ) {
-    this.processPause = new ProcessPause(clock, checkIntervalMs);
+    this.processPause = new ProcessPauseDetector(clock, checkIntervalMs);
     this.checkedAt = clock();
   }
 
@@ -36,7 +36,7 @@
   graceMs(): number {
     const passedMs = this.clock() - this.checkedAt;
     this.checkedAt += passedMs;
-    return ownDelayGraceMs({
+    return controllerDelayMs({
       passedMs,
       pausedMs: this.processPause.measureDelayMs(),
       saturated: this.saturation.measureSaturated(),
--- a/src/workers/failure-detection.test.ts
+++ b/src/workers/failure-detection.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { ProcessPause } from '../base/process-pause.js';
-import { Saturation, type UtilizationProbe } from '../base/saturation.js';
+import { EventLoopSaturation, type UtilizationProbe } from '../base/event-loop-saturation.js';
+import { ProcessPauseDetector } from '../base/process-pause-detector.js';
 import type { Task } from '../placement/job-state.js';
 import { MachineState } from '../placement/machine-state.js';
+import { controllerDelayMs } from './controller-delays.js';
 import { noHeartbeatsReceived, silentMachines } from './failure-detection.js';
-import { ownDelayGraceMs } from './own-delays.js';
 
 test('a silent machine among live ones is released; machines of a silent zone are kept until their leases have expired', () => {
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
@@ -47,7 +47,7 @@
 // When the controller resumed, all its machines appeared to be silent or partitioned.
 test('a pause of the controller itself counts neither as silence nor as a one-way partition of its machines', () => {
   let now = 0;
-  const processPause = new ProcessPause(() => now, 1000);
+  const processPause = new ProcessPauseDetector(() => now, 1000);
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const state = new MachineState('m1', 0);
   state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
@@ -72,7 +72,7 @@
 test('a controller short of processor time waits longer before it releases machines, but still detects dead machines', () => {
   let utilization = 1;
   const probe: UtilizationProbe = () => ({ idle: 0, active: 0, utilization });
-  const saturation = new Saturation(probe);
+  const saturation = new EventLoopSaturation(probe);
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const releasedAt = (): number => {
     const state = new MachineState('m1', 0);
@@ -80,7 +80,7 @@
     state.hasSentHeartbeat = true;
     for (let now = 500; now < 60_000; now += 500) {
       state.excludeControllerDelay(
-        ownDelayGraceMs({ passedMs: 500, pausedMs: 0, saturated: saturation.measureSaturated() }),
+        controllerDelayMs({ passedMs: 500, pausedMs: 0, saturated: saturation.measureSaturated() }),
       );
       if (silentMachines([state], now, times, 3).length > 0) return now;
     }
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -1,10 +1,10 @@
 /** Periodically checks the machines of one block and releases the machines that have failed. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { MachineState } from '../placement/machine-state.js';
+import { ControllerDelays } from './controller-delays.js';
 import { noHeartbeatsReceived } from './failure-detection.js';
 import { type AssessmentPorts, markFailedMachines } from './machine-assessment.js';
 import { type MachineReleaserPorts, releaseMarkedMachines } from './machine-releaser.js';
-import { OwnDelays } from './own-delays.js';
 
 /** What the health monitor of a block needs. */
 export interface HealthMonitorPorts extends AssessmentPorts, MachineReleaserPorts {
@@ -40,7 +40,7 @@
   async run(): Promise<void> {
     const { clock, signal, settings } = this.ports;
     const checkIntervalMs = settings.heartbeatIntervalMs / checksPerHeartbeatInterval;
-    const ownDelays = new OwnDelays(clock, checkIntervalMs);
+    const ownDelays = new ControllerDelays(clock, checkIntervalMs);
     this.storeReachableSince = clock();
     while (!signal.aborted) {
       await this.check(ownDelays);
@@ -48,7 +48,7 @@
     }
   }
 
-  private async check(ownDelays: OwnDelays): Promise<void> {
+  private async check(ownDelays: ControllerDelays): Promise<void> {
     const { blockState, clock, isStoreReachable, onNoHeartbeats } = this.ports;
     this.addGrace(ownDelays.graceMs());
     // While the store is unreachable, another controller may have leased the block, and the tasks that a
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
-import { nextTurn } from '../base/turns.js';
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import { type AsyncCosts, countAsyncCosts } from '../testing/async-costs.js';
 import { createHeartbeatFixture, sendHeldResponses } from '../testing/heartbeat-fixture.js';
 
@@ -20,7 +20,7 @@
 }
 
 async function waitForTurns(): Promise<void> {
-  for (let turn = 0; turn < 5; turn++) await nextTurn();
+  for (let turn = 0; turn < 5; turn++) await nextEventLoopIteration();
 }
 
 describe('asynchronous costs of a heartbeat', () => {
--- a/src/workers/heartbeat-handler.test.ts
+++ b/src/workers/heartbeat-handler.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
+import { nextEventLoopIteration } from '../base/event-loop.js';
 import { createLog } from '../base/log.js';
 import type { Reply } from '../base/replies.js';
-import { nextTurn } from '../base/turns.js';
 import type { MachineState } from '../placement/machine-state.js';
-import { machineToken } from '../testing/block-stage.js';
+import { machineToken } from '../testing/block-fixture.js';
 import {
   createHeartbeatFixture,
   type HeartbeatFixture,
@@ -101,7 +101,7 @@
     stage.heartbeat('m1');
     assert.equal(stage.replies.length, 0);
     change(stage, clock);
-    for (let turn = 0; turn < 5; turn++) await nextTurn();
+    for (let turn = 0; turn < 5; turn++) await nextEventLoopIteration();
     sendHeldResponses(stage);
     assert.equal(stage.replies.length, 1);
     return commandsOf(stage.replies[0]);
@@ -136,7 +136,7 @@
   test('are sent immediately with a command to stop when the job of a task on the machine ends', async () => {
     const stage = createHeartbeatFixture({ tasks: 1 });
     stage.heartbeat('m1');
-    for (let turn = 0; turn < 5; turn++) await nextTurn();
+    for (let turn = 0; turn < 5; turn++) await nextEventLoopIteration();
     stage.heartbeat('m1', [{ index: 0, status: 'running' }]);
     assert.equal(stage.replies.length, 1);
     stage.blockState.applyChanges([
--- a/src/workers/machine-assessment.test.ts
+++ b/src/workers/machine-assessment.test.ts
@@ -45,7 +45,7 @@
     const machineTypes = (): ReturnType<AssessmentPorts['machineTypes']> =>
       new Map(slowBoot.map((type) => [type.name, type]));
     const machine = machineLeasedAt(0);
-    const limitMs = bootS * 1000 * defaultOperatorSettings.workers.bootTimes;
+    const limitMs = bootS * 1000 * defaultOperatorSettings.workers.bootTimeoutMultiple;
     markFailedMachines([machine], limitMs, { ...ports, machineTypes });
     assert.equal(machine.releaseReason, noReason);
     markFailedMachines([machine], limitMs + 1, { ...ports, machineTypes });
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -61,7 +61,7 @@
   if (hasSentHeartbeat || tasks.size > 0) return false;
   const bootMs = (machineTypes().get(info.type)?.bootS ?? 0) * 1000;
   const startupLimitMs = Math.max(
-    bootMs * operator.workers.bootTimes,
+    bootMs * operator.workers.bootTimeoutMultiple,
     settings.workerLeaseMs * minStartupLeases,
   );
   return now - leasedAt > startupLimitMs;
