--- a/src/leadership/election.test.ts
+++ b/src/leadership/election.test.ts
@@ -13,14 +13,15 @@
 const ownRecord = { label: 'k0', incarnation: 'mine', candidacy: 1 };
 
 /**
- * An election of controller k0 against stand-ins; `outcome` is the result of the commit of each candidacy.
+ * Runs an election of controller k0 against stand-ins. `outcome` is the result of the commit of every
+ * candidacy.
  */
 class ElectionUnderTest {
   readonly commits: { conditions: Condition[]; writes: Write[] }[] = [];
   readonly terms: Term[] = [];
-  /** The item that the store returns for the leader key. */
+  /** The item that a read of the leader key from the store returns. */
   storedItem: Item | undefined;
-  /** The value of the leader key in the replica. */
+  /** The value of the leader key in the replica of the store. */
   replica: StoredValue | undefined;
   outcome: CommitOutcome = { kind: 'applied', revision: 7 };
   private listener: ChangeListener = () => undefined;
@@ -81,20 +82,21 @@
   }
 }
 
-test('a controller may campaign while the leader record is of an earlier incarnation of the same controller', () => {
+test('a controller may campaign if there is no leader record or the record was written by a previous incarnation of the controller', () => {
   assert.equal(mayCampaign(undefined, 'k0'), true);
   assert.equal(mayCampaign({ label: 'k0', incarnation: 'b1', candidacy: 1 }, 'k0'), true);
   assert.equal(mayCampaign({ label: 'k1', incarnation: 'b1', candidacy: 1 }, 'k0'), false);
 });
 
-// Guards against a cluster that never gets a leader: the commit of a candidacy got no response and was
-// applied seconds later, when the candidate had already given the candidacy up. The leader key was then bound
-// to a lease that the candidate, still alive, kept renewing.
-test('a candidacy that was applied after the candidate had given it up does not stop the candidate from campaigning', () => {
+// Guards against a cluster that stays without a leader. A candidate got no response to the commit of its
+// candidacy and gave the candidacy up. Seconds later the commit was applied and bound the leader key to the
+// lease of the candidate. The candidate was alive and kept renewing the lease, so the leader key was not
+// deleted and no controller campaigned.
+test('a candidate campaigns again if a candidacy is applied after the candidate has given it up', () => {
   assert.equal(mayCampaign({ label: 'k0', incarnation: 'b2', candidacy: 1 }, 'k0'), true);
 });
 
-test('the fencing token is the revision of the commit, which binds the key to the lease and is conditioned on the key', async () => {
+test('the commit of a candidacy is conditioned on the leader key and binds the key to the lease; its revision is the fencing token', async () => {
   const election = new ElectionUnderTest();
   await election.waitUntil(() => election.terms.length > 0);
   const [term] = election.terms;
@@ -108,7 +110,7 @@
   assert.deepEqual(term.endReason, { kind: 'shutdown' });
 });
 
-test('a term ends as soon as the replica shows another version of the leader key', async () => {
+test('a term ends as soon as the version of the leader key in the replica differs from the fencing token', async () => {
   const election = new ElectionUnderTest();
   await election.waitUntil(() => election.terms.length > 0);
   const [term] = election.terms;
@@ -127,7 +129,7 @@
   await election.end();
 });
 
-test('after a lost response, a read of the leader key decides whether the candidacy was applied', async () => {
+test('if the outcome of a commit is unknown, a read of the leader key shows whether the candidacy was applied', async () => {
   const won = new ElectionUnderTest();
   won.outcome = { kind: 'unknown' };
   won.storedItem = { key: 'lead', value: leaderRecord(ownRecord), version: 12 };
@@ -147,7 +149,7 @@
   assert.equal(lost.terms.length, 0);
 });
 
-test('a controller does not campaign without a lease, or while another controller leads', async () => {
+test('a controller does not campaign if it has no lease in the store or if another controller leads', async () => {
   const withoutLease = new ElectionUnderTest({ leaseId: undefined });
   const follower = new ElectionUnderTest();
   follower.replica = { value: leaderRecord({ ...ownRecord, label: 'k1' }), version: 5 };
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,6 +1,7 @@
 /**
- * Leader election by compare-and-swap of one key of the store. The key is bound to the lease of the leader,
- * so the store deletes the key of a failed leader when its lease expires.
+ * Leader election. A candidate writes the leader key of the store by compare-and-swap, and the key is bound
+ * to the lease of the candidate in the store. If the leader fails, its lease expires and the store deletes
+ * the leader key.
  */
 import type { Clock } from '../base/clock.js';
 import { sleep } from '../base/clock.js';
@@ -24,40 +25,43 @@
   membership: Pick<Membership, 'leaseId'>;
   /** Label of this controller in the settings. */
   label: string;
-  /** Identifies this run of the controller process; every restart has a new one. */
+  /** Identifies this run of the controller process. A restarted process has a different incarnation. */
   incarnation: string;
-  /** Returns a random number in [0, 1), which spreads the attempts of competing candidates over time. */
+  /** Returns a random number in [0, 1), which determines the jitter before a candidacy. */
   random: () => number;
-  /** Runs the duties of the leader. Called at the start of a term; the term ends when the promise settles. */
+  /**
+   * Runs the duties of the leader. Called at the start of a term. The term ends when the returned promise
+   * settles.
+   */
   onElected: (term: Term) => Promise<void>;
 }
 
 const pollIntervalMs = 100;
 /**
- * Maximum jitter before a candidacy, in poll intervals, so that competing candidates do not collide each
- * time.
+ * Maximum jitter before a candidacy, in poll intervals. Without jitter, competing candidates could collide
+ * each time.
  */
 const maxJitterPolls = 2;
 /**
- * Back-off after a failed candidacy, in poll intervals: the replica may not yet contain the change that made
- * it fail.
+ * Back-off after a failed candidacy, in poll intervals. The replica of the store may not yet contain the
+ * change of the leader key that made the candidacy fail.
  */
 const lostElectionBackoffPolls = 2;
 
 /**
- * Whether a controller that does not lead may campaign, given the stored leader record. A record with the
- * controller's own label does not mean that a live leader exists: an earlier incarnation wrote the record, or
- * a candidacy of this controller was applied after the controller had given it up. Only one process runs
- * under each label, and all commits that it still has in flight as leader are conditioned on the old fencing
- * token.
+ * Whether a controller that does not lead may campaign; `leader` is the stored leader record. A leader record
+ * with the label of this controller does not prove that a leader is alive. The record was written either by a
+ * previous incarnation, or by a candidacy of this incarnation that was applied after the controller had given
+ * it up. Campaigning is safe in both cases, because only one process runs under each label, and every commit
+ * that the process still has in flight as leader is conditioned on the old fencing token.
  */
 export function mayCampaign(leader: LeaderRecord | undefined, label: string): boolean {
   return leader === undefined || leader.label === label;
 }
 
 /**
- * Campaigns whenever there is no leader. Each won election starts a term, which this controller holds until
- * it ends.
+ * Campaigns if the cluster has no leader. If this controller wins an election, it starts a term and does not
+ * campaign again until the term has ended.
  */
 export class Election {
   private lastCandidacy = 0;
@@ -71,15 +75,17 @@
   }
 
   /**
-   * Label of the leader according to the replica of the store; undefined if the replica contains no leader.
+   * Label of the leader according to the replica of the store; undefined if the replica contains no leader
+   * record.
    */
   get leader(): string | undefined {
     return this.storedLeader?.label;
   }
 
   /**
-   * Campaigns and leads until the signal fires, which also ends the current term. Throws if the store cannot
-   * be read after a candidacy of unknown outcome, and any error that `onElected` throws.
+   * Campaigns, and leads after each won election, until the signal fires. The signal also ends the current
+   * term. Rejects if the store cannot be read after a candidacy of unknown outcome, and with any error of
+   * `onElected`.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.ports;
@@ -125,8 +131,8 @@
   }
 
   /**
-   * The fencing token of a won election; undefined if the candidacy failed. If the response to the commit was
-   * lost, a read of the leader key shows whether the candidacy was applied.
+   * Returns the fencing token of a won election; undefined if the candidacy failed. If the outcome of the
+   * commit is unknown, reads the leader key to find out whether the candidacy was applied.
    */
   private async fencingTokenOf(outcome: CommitOutcome, candidate: LeaderRecord): Promise<number | undefined> {
     if (outcome.kind === 'applied') return outcome.revision;
--- a/src/leadership/heartbeat-response-policy.test.ts
+++ b/src/leadership/heartbeat-response-policy.test.ts
@@ -20,15 +20,15 @@
   ...change,
 });
 
-test('heartbeats are answered only as long as worker leases still expire before the deadline of a cancellation', () => {
+test('heartbeats are no longer answered if the renewed worker lease could expire after the deadline of a cancellation', () => {
   assert.equal(respondUntil(facts({})), 10_000 + 20_000 - 1250);
 });
 
-// Guards against tasks that run on after their job was cancelled. A peer whose last contact with the store
-// was slightly later than our own counted as agreeing. In that interval the peer had confirmed cancellations
-// that no status listed, and a controller without the store kept the tasks of these jobs running for the
-// whole outage.
-test('the response window is extended only if every peer has listed its cancellations up to a later time', () => {
+// Guards against tasks that keep running after their job was cancelled. A controller lost contact with the
+// store, and a peer's last contact was slightly later than its own. This counted as the agreement of the peer
+// to answer heartbeats for longer. But the peer had confirmed cancellations between the two contacts, and no
+// status listed them. The controller therefore kept the tasks of these jobs running for the whole outage.
+test('heartbeats may be answered for longer only if every peer has listed its cancellations up to a later time than the replica covers', () => {
   const peer = (cancellationsKnownUntil: number, storeContactAgeMs = 15_000): LastPeerStatus => ({
     createdNotBefore: 26_000,
     storeContactAgeMs,
@@ -36,19 +36,20 @@
   });
   const until = (...peers: (LastPeerStatus | undefined)[]): number => respondUntil(facts({ peers }));
   assert.equal(until(peer(25_000), peer(26_000)), 25_000 + 18_750);
-  // Whether the store serves the peer makes no difference: all cancellations that the peer confirmed are on
-  // its list.
+  // The time since the peer's contact with the store makes no difference, because the list of the peer
+  // contains all cancellations that the peer has confirmed.
   assert.equal(until(peer(25_000), peer(26_000, 100)), 25_000 + 18_750);
-  // A status of the peer was received, but its list had a gap, as after a process restart; or none was ever
-  // received.
+  // The list in the status of the second peer had a gap, as after a process restart.
   assert.equal(until(peer(25_000), peer(-Infinity)), 28_750);
+  // No status of the second peer has been received.
   assert.equal(until(peer(25_000), undefined), 28_750);
-  // The second peer has been cut off since: its last status grows older, which limits the extension.
+  // The second peer has been partitioned since its latest status. The time that this status covers limits the
+  // extension.
   assert.equal(until(peer(25_000), peer(12_000)), 12_000 + 18_750);
   assert.equal(until(peer(9000), peer(8000)), 28_750);
 });
 
-test('a controller stops answering once its lease has expired, if a peer still has contact with the store', () => {
+test('a controller stops answering after its lease in the store has expired if a peer has had contact with the store since', () => {
   const served = { createdNotBefore: 19_000, storeContactAgeMs: 100, cancellationsKnownUntil: 19_000 };
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ peers: [served, undefined] }), 6000), true);
   assert.equal(peerHasStoreAfterLeaseExpiry(facts({ now: 12_000, peers: [served, undefined] }), 6000), false);
@@ -59,8 +60,8 @@
 });
 
 /**
- * The decision of a policy for facts that the test sets, and how often the policy has read the status of a
- * peer.
+ * Returns whether a policy allows a response under the given facts, and how often the policy has read the
+ * status of a peer.
  */
 function policy(change: Partial<ResponseFacts>): { mayRespond: boolean; peerStatusReads: number } {
   const responseFacts = facts(change);
@@ -84,7 +85,7 @@
   assert.deepEqual(policy({ now: 16_000 }), { mayRespond: true, peerStatusReads: 0 });
 });
 
-test('without contact to the store, the peer statuses decide how long heartbeats are answered', () => {
+test('without contact with the store, the latest peer statuses determine how long heartbeats are answered', () => {
   const listed = { createdNotBefore: 14_000, storeContactAgeMs: 4000, cancellationsKnownUntil: 14_000 };
   const served = { ...listed, createdNotBefore: 19_000, storeContactAgeMs: 100 };
   assert.equal(policy({ now: 28_750 }).mayRespond, true);
--- a/src/leadership/heartbeat-response-policy.ts
+++ b/src/leadership/heartbeat-response-policy.ts
@@ -1,29 +1,30 @@
 /**
- * Decides whether heartbeats of workers may be answered. A response renews the lease of the worker. A
- * controller that may have missed a cancellation must therefore stop answering early enough that the worker
- * leases expire before the deadline of that cancellation.
+ * Determines whether heartbeats of workers may be answered. A response renews the lease of the worker, and a
+ * worker ends its tasks when its lease expires. A controller that may have missed a cancellation must
+ * therefore stop answering early enough that the worker leases expire before the deadline of the
+ * cancellation.
  */
 import type { Clock } from '../base/clock.js';
 import type { LastPeerStatus } from '../peers/peer-links.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Times that the worker protocol sets, in ms. */
+/** Durations that the worker protocol prescribes, in ms. */
 export type WorkerTimes = Pick<Settings, 'cancelDeadlineMs' | 'workerLeaseMs' | 'heartbeatIntervalMs'>;
 
 /**
- * The facts on which the decision depends. Durations are in ms, points in time are in ms of this controller's
- * steady clock.
+ * The values that determine whether a heartbeat may be answered. Durations are in ms. Points in time are
+ * readings of the monotonic clock of this controller, in ms.
  */
 export interface ResponseFacts extends WorkerTimes {
   now: number;
-  /** The replica contains every change of the store before this time. */
+  /** The replica of the store contains every change that was made before this time. */
   changesKnownUntil: number;
   /**
-   * When the last request that the store served was sent: shows whether this controller can still hold its
-   * lease, not how recent the replica is.
+   * Time at which this controller sent the latest request that the store served. Shows whether this
+   * controller can still hold its lease in the store, but not how recent the replica is.
    */
   lastStoreContactAt: number;
-  /** The last status of each peer; undefined if none was received yet. */
+  /** The latest status of each peer; undefined if no status of the peer has been received. */
   peers: (LastPeerStatus | undefined)[];
 }
 
@@ -33,27 +34,27 @@
   times: WorkerTimes;
   /** Labels of the other controllers. */
   peers: readonly string[];
-  /** Time to live of a controller's lease in the store. */
+  /** Time to live of a controller's lease in the store, in ms. */
   leaseTtlMs: number;
-  /** The replica contains every change of the store before this time, in ms of the steady clock. */
+  /** The replica of the store contains every change that was made before this monotonic time in ms. */
   changesKnownUntil: () => number;
-  /** When the last request that the store served was sent, in ms of the steady clock. */
+  /** Monotonic time in ms at which this controller sent the latest request that the store served. */
   lastStoreContactAt: () => number;
-  /** The last status of the peer with this label; undefined if none was received. */
+  /** The latest status of the peer with this label; undefined if no status of the peer has been received. */
   lastPeerStatus: (label: string) => LastPeerStatus | undefined;
 }
 
 /**
- * Safety margin for the drift between steady clocks, in heartbeat intervals. Steady clocks drift apart by
- * 0.05%, which over the cancellation deadline is far less than half a heartbeat interval. A worker lease
- * counts from when the worker sent its heartbeat, so the margin need not include network delays or responses
- * that are held back or late.
+ * Safety margin for the drift between monotonic clocks, in heartbeat intervals. Monotonic clocks drift apart
+ * by 0.05%. Over the cancellation deadline, this drift is far less than half a heartbeat interval. The margin
+ * need not include network delays, or responses that are held back or late, because a worker lease is counted
+ * from the time at which the worker sent its heartbeat.
  */
 const safetyMarginHeartbeats = 1 / 2;
 
 /**
- * For how long, in ms, heartbeats may be answered after the time up to which all confirmed cancellations are
- * known.
+ * Returns for how long, in ms, heartbeats may still be answered. The duration starts at the time up to which
+ * this controller knows all confirmed cancellations.
  */
 export function responseWindowMs({
   cancelDeadlineMs,
@@ -64,12 +65,15 @@
 }
 
 /**
- * The time until which heartbeats may be answered, in ms of the steady clock. A cancellation that this
- * controller does not know may have been confirmed to a user right after the time up to which all
- * cancellations are known. The tasks of the cancelled job must have ended by the cancellation deadline. A
+ * Returns the time until which heartbeats may be answered, as monotonic time in ms. This controller knows all
+ * confirmed cancellations up to a certain time, and another cancellation may have been confirmed to a user
+ * right after that time. The tasks of the cancelled job must have ended by the cancellation deadline. A
  * worker lease that is no longer renewed expires one full lease time after the worker sent the last heartbeat
- * that was answered. If every peer has listed all cancellations that it can have confirmed, the known time
- * extends to that of the peer with the oldest complete list.
+ * that was answered.
+ *
+ * The cancellations are known up to the time that the replica of the store covers. If every peer has sent a
+ * complete list of the cancellations that it can have confirmed, they are known at least up to the time of
+ * the oldest of these lists.
  */
 export function respondUntil(facts: ResponseFacts): number {
   const { changesKnownUntil, peers } = facts;
@@ -80,9 +84,9 @@
 }
 
 /**
- * Whether the store is known to have served a peer after this controller's own lease must have expired for
- * lack of contact. The blocks of this controller are then leased to other controllers, so workers must send
- * their heartbeats to those.
+ * Whether a peer's status proves that the store served the peer after this controller's own lease in the
+ * store must have expired for lack of contact. The blocks of this controller are then leased to other
+ * controllers, and the workers must send their heartbeats to these controllers.
  */
 export function peerHasStoreAfterLeaseExpiry(facts: ResponseFacts, leaseTtlMs: number): boolean {
   const { now, lastStoreContactAt, peers } = facts;
@@ -93,7 +97,7 @@
   );
 }
 
-/** Decides for each heartbeat whether it may be answered. */
+/** Determines for each heartbeat whether it may be answered. */
 export class HeartbeatResponsePolicy {
   private readonly windowMs: number;
 
@@ -101,13 +105,13 @@
     this.windowMs = responseWindowMs(ports.times);
   }
 
-  /** Whether a response may be sent now. Called with every heartbeat. */
+  /** Whether a response may be sent now. Called for every heartbeat. */
   mayRespond(): boolean {
     const { clock, leaseTtlMs } = this.ports;
     const now = clock();
     const changesKnownUntil = this.ports.changesKnownUntil();
     const lastStoreContactAt = this.ports.lastStoreContactAt();
-    // The usual case does not need the peer statuses: no peer status could shorten the time.
+    // In the usual case the peer statuses are not read, because no peer status could forbid the response.
     if (now <= changesKnownUntil + this.windowMs && now - lastStoreContactAt <= leaseTtlMs) return true;
     const facts = this.facts(now, changesKnownUntil, lastStoreContactAt);
     return now <= respondUntil(facts) && !peerHasStoreAfterLeaseExpiry(facts, leaseTtlMs);
--- a/src/leadership/membership.test.ts
+++ b/src/leadership/membership.test.ts
@@ -68,7 +68,7 @@
   );
 });
 
-test('a lease is renewed until the store reports that it has ended', async () => {
+test('a lease is renewed until the store reports that the lease has ended', async () => {
   const fixture = new MembershipUnderTest();
   const running = fixture.membership.run(fixture.stop.signal);
   await fixture.waitUntil(() => fixture.requests.length >= 3);
@@ -79,7 +79,7 @@
   assert.equal(fixture.membership.leaseId, undefined);
 });
 
-test('renewals continue while earlier ones have got no response or have failed', async () => {
+test('renewals continue if previous renewals have got no response or have failed', async () => {
   const fixture = new MembershipUnderTest();
   fixture.isRenewed = () => new Promise(() => undefined);
   const running = fixture.membership.run(fixture.stop.signal);
@@ -92,7 +92,7 @@
   await running;
 });
 
-test('the alive key is bound to the lease, and is written again if the replica shows it of another incarnation', async () => {
+test('the alive key is bound to the lease and is written again if the replica contains the key of another incarnation; a missing format key is written', async () => {
   const fixture = new MembershipUnderTest();
   const value = aliveRecord({ incarnation: 'earlier', zone: 'a' });
   fixture.stored.set('alive/k0', { value, version: 1 });
@@ -108,7 +108,7 @@
   await running;
 });
 
-test('a resigned controller revokes its lease and requests no new one for the given time, even if the revocation fails', async () => {
+test('a controller that resigns revokes its lease and requests no new lease for the given time, even if the revocation fails', async () => {
   const fixture = new MembershipUnderTest();
   fixture.isRevoked = () => Promise.reject(new Error('no answer'));
   const running = fixture.membership.run(fixture.stop.signal);
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Maintains this controller's membership of the cluster: a lease in the store, and a key bound to the lease
- * that shows the other controllers that this controller is alive.
+ * Maintains this controller's membership of the cluster: a lease in the store, and the alive key of this
+ * controller, which is bound to the lease. The key shows the other controllers that this controller is alive.
  */
 import { onAbort } from '../base/abort-callbacks.js';
 import { type Clock, sleep } from '../base/clock.js';
@@ -29,9 +29,9 @@
   /** Label of this controller in the settings. */
   label: string;
   zone: string;
-  /** Identifies this run of the controller process; every restart has a new one. */
+  /** Identifies this run of the controller process. A restarted process has a different incarnation. */
   incarnation: string;
-  /** Time to live of the lease without a renewal. */
+  /** Time to live of the lease after its creation or its latest renewal, in ms. */
   leaseTtlMs: number;
 }
 
@@ -39,8 +39,8 @@
 const renewalsPerLeaseTtl = 4;
 
 /**
- * Time to live of a controller's lease, in ms. A controller that is cut off counts as alive until its lease
- * expires.
+ * Returns the time to live of a controller's lease in the store, in ms. A controller that is partitioned from
+ * the store counts as alive until its lease expires.
  */
 export function controllerLeaseTtlMs(
   { heartbeatIntervalMs }: Pick<Settings, 'heartbeatIntervalMs'>,
@@ -50,9 +50,9 @@
 }
 
 /**
- * Holds this controller's lease and the key that is bound to the lease. The lease of a controller that
- * restarts quickly has not yet expired when the next incarnation starts, so the blocks are still leased to
- * this controller then.
+ * Holds this controller's lease in the store and the alive key that is bound to the lease. If the controller
+ * process restarts quickly, the lease of the previous incarnation has not yet expired when the next
+ * incarnation starts. The blocks are then still leased to this controller.
  */
 export class Membership {
   private currentLeaseId: number | undefined;
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Revokes the lease and requests no new one for at least this long. The controller thereby gives up its
-   * blocks and its leadership, and other controllers take them over. Used when the workers cannot reach this
-   * controller.
+   * Revokes the lease and requests no new lease for at least `durationMs`. The controller thereby gives up
+   * its blocks and its leadership, and other controllers take them over. Used if the workers cannot reach
+   * this controller.
    */
   resign(durationMs: number): void {
     const { store, log, clock } = this.ports;
@@ -79,20 +79,20 @@
     this.currentLeaseId = undefined;
     log.info(
       { event: 'resigned', leaseId, durationMs },
-      'received no heartbeats; revoking the lease so that other controllers take over the blocks',
+      'received no heartbeats from workers; revoking the lease in the store so that other controllers take over the blocks',
     );
     store.revokeLease(leaseId).catch((error: unknown) => {
       log.debug(
         { event: 'lease-revocation-failed', leaseId, err: error },
-        'revocation of the lease failed; the lease will expire without renewals',
+        'revocation of the lease in the store failed; the lease is no longer renewed and will expire',
       );
     });
   }
 
   /**
-   * Obtains a lease and holds it until the lease has ended, the controller resigns, or the signal fires. Then
-   * the caller calls this method again. Throws `StoreUnavailable`, or the error of the request, if the store
-   * grants no lease.
+   * Obtains a lease and holds it until the lease has ended, the controller resigns, or the signal fires. The
+   * caller is expected to call this method again after it returns. Throws `StoreUnavailable`, or the error of
+   * the request, if the store grants no lease.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { store, log, clock, leaseTtlMs } = this.ports;
@@ -115,9 +115,9 @@
   }
 
   /**
-   * Renews the lease and returns once the lease has ended or the controller has resigned. Renewals are sent
-   * on schedule even if earlier ones have not been answered: if responses take most of the time to live,
-   * every lease would expire while a renewal waits for the response to the previous one.
+   * Renews the lease until the lease has ended, the controller has resigned, or the signal fires. Renewals
+   * are sent on schedule even if previous renewals have not been answered. If each renewal waited for the
+   * response to the previous one, and responses took most of the time to live, every lease would expire.
    */
   private async maintainLease(leaseId: number, signal: AbortSignal): Promise<void> {
     const leaseEnded = new AbortController();
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Does not wait for the response. A renewal without a response does not show whether the lease still
-   * exists.
+   * Sends a renewal without waiting for the response. Calls `onEnded` if the store reports that the lease has
+   * ended. A renewal that got no response does not show whether the lease still exists.
    */
   private renewLease(leaseId: number, onEnded: () => void): void {
     const { store, log } = this.ports;
@@ -148,15 +148,16 @@
       (error: unknown) => {
         log.debug(
           { event: 'lease-renewal-failed', leaseId, err: error },
-          'renewal of the lease failed; the next renewal follows on schedule',
+          'renewal of the lease in the store failed; the next renewal is sent on schedule',
         );
       },
     );
   }
 
   /**
-   * Writes the alive key again if it is of another incarnation, and the format if needed. A delayed commit of
-   * an earlier incarnation may have bound the key of this controller to the lease of that incarnation.
+   * Writes the alive key again if the replica does not contain the key of this incarnation, and writes the
+   * format key if needed. A delayed commit of a previous incarnation may have bound the alive key to the
+   * lease of that incarnation.
    */
   private repairAnnouncements(leaseId: number): void {
     const { replica, label, incarnation } = this.ports;
@@ -167,7 +168,8 @@
   }
 
   /**
-   * Writes the alive key. Does not wait for the commit; `isAnnouncing` is true while the commit is in flight.
+   * Writes the alive key without waiting for the commit. `isAnnouncing` is true while the commit is in
+   * flight.
    */
   private announceAlive(leaseId: number): void {
     const { commits, label, zone, incarnation, log } = this.ports;
@@ -178,7 +180,7 @@
       .catch((error: unknown) => {
         log.error(
           { event: 'announcement-failed', err: error },
-          'commit of the alive key failed; retrying while the replica does not contain the key of this incarnation',
+          'commit of the alive key failed; retrying after a later renewal of the lease if the replica does not contain the key of this incarnation',
         );
       })
       .finally(() => {
@@ -187,8 +189,9 @@
   }
 
   /**
-   * Stores the format that this version reads, unless the stored format is at least as high. The key is
-   * permanent: a controller that has run with this format does not restart with an earlier one.
+   * Stores the format of the records that this version of the program reads, unless the stored format is at
+   * least as high. The format key is permanent, because a controller that has run with this format does not
+   * restart with a lower format.
    */
   private announceFormat(): void {
     const { commits, label, replica, log } = this.ports;
@@ -199,7 +202,7 @@
       .catch((error: unknown) => {
         log.error(
           { event: 'announcement-failed', err: error },
-          'commit of the format key failed; retried with a later renewal of the lease',
+          'commit of the format key failed; retrying after a later renewal of the lease',
         );
       });
   }
--- a/src/leadership/term.ts
+++ b/src/leadership/term.ts
@@ -6,17 +6,17 @@
   /** This controller is shutting down. */
   | { kind: 'shutdown' }
   /**
-   * The leader key was written by another candidacy, or was deleted because the lease that it was bound to
-   * has ended.
+   * The leader key was written by another candidacy, or was deleted because the lease to which the key was
+   * bound has ended.
    */
   | { kind: 'leader-key-changed' }
-  /** A peer reports that it leads with a higher fencing token. */
+  /** The peer with the label `by` reports that it leads with a higher fencing token. */
   | { kind: 'superseded'; by: string }
   /** The duties of the leader have returned or failed. */
   | { kind: 'duties-ended' };
 
 /**
- * One term of leadership. A term ends once, for one reason. Its signal fires when the term ends and stops the
+ * A term of leadership. A term ends once, for one reason. When the term ends, its signal fires and stops the
  * duties of the leader.
  */
 export class Term {
@@ -25,10 +25,11 @@
 
   constructor(
     /**
-     * Store revision of the commit that won the election. Every commit of the leader is conditioned on it.
+     * Store revision of the commit that won the election. Every commit of the leader is conditioned on the
+     * leader key still having this version.
      */
     readonly fencingToken: number,
-    /** Start of the term, in ms of the controller's steady clock. */
+    /** Start of the term, as monotonic time in ms. */
     readonly startedAt: number,
   ) {
     setMaxListeners(0, this.abortController.signal);
