--- a/src/workers/controller-delays.ts
+++ b/src/workers/controller-delays.ts
@@ -1,29 +1,34 @@
-/** Measures delays of this controller itself, during which missing heartbeats are no sign of failures. */
+/**
+ * Measures delays of this controller itself, so that failure detection does not count heartbeats as missed
+ * because of these delays.
+ */
 import type { Clock } from '../base/clock.js';
 import { EventLoopSaturation } from '../base/event-loop-saturation.js';
 import { ProcessPauseDetector } from '../base/process-pause-detector.js';
 
-/** While this controller is saturated, this ratio of the time does not count against the machines. */
+/**
+ * Fraction of the time that failure detection ignores while the event loop of this controller is saturated.
+ */
 const saturatedGraceRatio = 0.75;
 
 /**
- * Returns how much of the time that has passed must not count against the machines, in ms: this controller
- * has delayed the heartbeats and responses that were in flight. While this controller is saturated, part of
- * the time counts nevertheless, so that a dead machine is detected even if a burst keeps this controller busy
- * for minutes.
+ * Returns how much of the time that has passed failure detection must ignore, in ms. During this time, this
+ * controller has delayed the heartbeats and responses that were in flight. If the event loop of this
+ * controller is saturated, only part of the time is ignored, so that a dead machine is detected even if a
+ * burst of load keeps this controller busy for minutes.
  */
 export function controllerDelayMs(time: { passedMs: number; pausedMs: number; saturated: boolean }): number {
   const { passedMs, pausedMs, saturated } = time;
   return saturated ? Math.max(pausedMs, passedMs * saturatedGraceRatio) : pausedMs;
 }
 
-/** Measures how much grace the machines get for delays of this controller between two periodic checks. */
+/** Measures for how long this controller itself was delayed between two periodic checks of the machines. */
 export class ControllerDelays {
   private readonly processPause: ProcessPauseDetector;
   private readonly saturation = new EventLoopSaturation();
   private checkedAt: number;
 
-  /** `checkIntervalMs`: the usual time between two checks, in ms. */
+  /** `checkIntervalMs`: usual time between two checks, in ms. */
   constructor(
     private readonly clock: Clock,
     checkIntervalMs: number,
@@ -32,7 +37,10 @@
     this.checkedAt = clock();
   }
 
-  /** Returns the grace since the last call, or since construction, in ms. Must be called at each check. */
+  /**
+   * Returns the time since the previous call, or since construction, that failure detection must ignore, in
+   * ms. Must be called at each check.
+   */
   graceMs(): number {
     const passedMs = this.clock() - this.checkedAt;
     this.checkedAt += passedMs;
@@ -43,7 +51,10 @@
     });
   }
 
-  /** Discards the delay since the last check, for a check that has waited for an answer. */
+  /**
+   * Discards the process pause measured since the latest call of `graceMs`. Called by a check that has waited
+   * for a response, because this wait is not a pause of the process.
+   */
   discardMeasuredDelay(): void {
     this.processPause.measureDelayMs();
   }
--- a/src/workers/failure-detection.test.ts
+++ b/src/workers/failure-detection.test.ts
@@ -8,7 +8,7 @@
 import { controllerDelayMs } from './controller-delays.js';
 import { noHeartbeatsReceived, silentMachines } from './failure-detection.js';
 
-test('a silent machine among live ones is released; machines of a silent zone are kept until their leases have expired', () => {
+test('a silent machine in a zone of live machines is released; machines of a silent zone are kept until the leases of their workers have expired', () => {
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const machine = (id: string, zone: string, lastHeartbeatAt: number): MachineState => {
     const state = new MachineState(id, lastHeartbeatAt);
@@ -30,21 +30,23 @@
   assert.deepEqual(silentIds(silentZone, 7150), ['m1', 'm2', 'm4']);
 });
 
-// Guards against the release of all machines of a block after a change of owner. The previous owner was
-// partitioned from the store and its peers but still answered its workers, so the new owner got no
-// heartbeats.
+// Guards against the release of all machines of a block after a change of owner. The previous owner of the
+// block was partitioned from the store and from its peers, so another controller leased the block. The
+// previous owner still answered its workers. The new owner therefore got no heartbeats and released the
+// machines.
 test('a machine that has not yet sent its new owner a heartbeat is kept for as long as its previous owner may answer it', () => {
   const times = { heartbeatIntervalMs: 1000, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
   const state = new MachineState('m1', 0);
   state.info = { id: 'm1', type: 'c8', zone: 'a', spot: false };
   state.tasks.set('req-1/0', {} as Task);
   const silentCount = (now: number): number => silentMachines([state], now, times, 3).length;
-  // cancel_s - lease_s, plus the three heartbeat intervals of silence that every machine is allowed.
+  // The limit is cancel_s - lease_s plus the silence limit of three heartbeat intervals.
   assert.deepEqual([silentCount(4000), silentCount(12_900), silentCount(13_100)], [0, 0, 1]);
 });
 
-// Guards against the release of healthy machines by a controller that was paused for longer than a lease.
-// When the controller resumed, all its machines appeared to be silent or partitioned.
+// Guards against the release of healthy machines after a pause of the controller process. The process was
+// paused for longer than a lease. When it resumed, all machines of the controller appeared to be silent or
+// partitioned and were released.
 test('a pause of the controller itself counts neither as silence nor as a one-way partition of its machines', () => {
   let now = 0;
   const processPause = new ProcessPauseDetector(() => now, 1000);
@@ -61,15 +63,15 @@
   };
   assert.deepEqual(checkAt(1000), [0, 0]);
   assert.deepEqual(checkAt(27_000), [0, 25_000]);
-  // The controller is not paused again, so all further silence is the machine's own.
+  // The process is not paused again, so all further silence counts as missed heartbeats.
   assert.deepEqual(checkAt(28_000), [0, 25_000]);
   assert.deepEqual(checkAt(28_001), [1, 25_000]);
 });
 
-// Guards against an overload that sustains itself: after a restart, a controller with too little processor
-// time released two hundred machines as partitioned, and each round of releases made more work than it saved.
-// A machine that has died must still be detected.
-test('a controller short of processor time waits longer before it releases machines, but still detects dead machines', () => {
+// Guards against an overload that sustains itself. After a restart, a controller with too little processor
+// time classified two hundred machines as partitioned and released them. Each series of releases caused more
+// work than it saved. A machine that has died must still be detected under overload.
+test('a controller that lacks processor time waits longer before it releases silent machines, but still detects dead machines', () => {
   let utilization = 1;
   const probe: UtilizationProbe = () => ({ idle: 0, active: 0, utilization });
   const saturation = new EventLoopSaturation(probe);
@@ -91,9 +93,10 @@
   assert.equal(releasedAt(), 3500);
 });
 
-// Guards against a controller that is the only one partitioned from its workers and keeps their block until
-// all worker leases have expired.
-test('a controller counts as partitioned if none of many machines sends heartbeats, but not if one does or machines are few', () => {
+// Guards against a controller that keeps its block although it is partitioned from the workers. Only this
+// controller was partitioned from the workers of the block, but it kept the block until all worker leases had
+// expired.
+test('a controller counts as partitioned if none of four machines sends heartbeats, but not if one machine does or if there are only three machines', () => {
   const machine = (lastHeartbeatAt: number): MachineState => {
     const state = new MachineState('m', lastHeartbeatAt);
     state.hasSentHeartbeat = true;
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -1,4 +1,7 @@
-/** Detects failed machines by missed heartbeats, except where missed heartbeats prove no failure. */
+/**
+ * Detects failed machines by missed heartbeats. Accounts for the cases in which missed heartbeats do not
+ * prove a failure.
+ */
 import type { MachineState } from '../placement/machine-state.js';
 import type { Settings } from '../settings/settings.js';
 
@@ -8,21 +11,30 @@
   'heartbeatIntervalMs' | 'workerLeaseMs' | 'cancelDeadlineMs'
 >;
 
-/** If more than this ratio of a zone's machines is silent at once, the zone is most likely partitioned. */
+/**
+ * If more than this fraction of the machines of a zone is silent at the same time, the zone is most likely
+ * partitioned.
+ */
 const partitionedZoneMinSilentRatio = 0.7;
-/** Up to this many silent machines in a zone are no sign of a partition of the zone. */
+/** Maximum number of silent machines in a zone that does not indicate a partition of the zone. */
 const maxUnrelatedSilentMachines = 2;
-/** In the check for partitioned zones, a machine is silent after this fraction of the silence limit. */
+/**
+ * In the check for partitioned zones, a machine counts as silent after this fraction of the silence limit.
+ */
 const zoneSilenceLimitRatio = 0.5;
 
-/** With fewer machines than this, all of them may be silent by chance. */
+/**
+ * Minimum number of machines from which a partition of this controller is inferred. Fewer machines may all be
+ * silent by chance.
+ */
 const minMachinesToSuspectOwnPartition = 4;
-/** A healthy worker sends its next heartbeat within this many heartbeat intervals. */
+/** Maximum time between two heartbeats of a healthy worker, in heartbeat intervals. */
 const maxHeartbeatGapIntervals = 1.25;
 
 /**
- * Whether none of the machines has sent a recent heartbeat although many have sent heartbeats before. Most
- * likely this controller is partitioned from the workers. `now` is steady time in ms.
+ * Whether no machine has sent a recent heartbeat, although at least `minMachinesToSuspectOwnPartition`
+ * machines have sent heartbeats before. This controller is then most likely partitioned from the workers.
+ * `now` is a monotonic time in ms.
  */
 export function noHeartbeatsReceived(
   machines: Iterable<MachineState>,
@@ -42,16 +54,17 @@
 /**
  * Returns the machines to release because they send no heartbeats:
  *
- * - A machine that falls silent while others do not has most likely died, hung or been preempted. The release
- *   proves that the machine no longer runs.
- * - If nearly a whole zone falls silent, a network partition is the likelier cause, and the tasks in the zone
- *   may still be running. The machines of the zone are kept until the leases of their workers have certainly
- *   expired.
- * - A machine that has not sent this owner a heartbeat may still send heartbeats to the previous owner. The
- *   previous owner may be partitioned from the state service and the other controllers, and may answer its
- *   workers for as long as the deadline for cancellations allows. The machine is kept for that time.
+ * - If a machine is silent and most other machines of its zone are not, the machine has most likely died,
+ *   hung or been preempted. Its release proves that the machine no longer runs.
+ * - If nearly all machines of a zone are silent, a network partition is the likelier cause, and the tasks in
+ *   the zone may still be running. The machines of the zone are kept until the leases of their workers have
+ *   certainly expired.
+ * - A machine that has not yet sent this owner of the block a heartbeat may still send heartbeats to the
+ *   previous owner. The previous owner may be partitioned from the state service and the other controllers,
+ *   and may answer its workers for as long as the deadline for cancellations allows. The machine is kept for
+ *   that time.
  *
- * `now` is steady time in ms; `maxMissedHeartbeats` is the allowed silence in heartbeat intervals.
+ * `now` is a monotonic time in ms; `maxMissedHeartbeats` is the silence limit in heartbeat intervals.
  */
 export function silentMachines(
   machines: readonly MachineState[],
@@ -62,8 +75,9 @@
   const silenceLimitMs = times.heartbeatIntervalMs * maxMissedHeartbeats;
   const leaseExpiryLimitMs = times.workerLeaseMs + times.heartbeatIntervalMs;
   const previousOwnerLimitMs = times.cancelDeadlineMs - times.workerLeaseMs + silenceLimitMs;
-  // Includes machines that only the intents of an earlier owner name: nothing else would ever prove that
-  // these machines are terminated.
+  // Includes machines that are named only in the intents of a previous owner (task attempts committed to the
+  // ledger) and have sent no heartbeat. Otherwise nothing would ever prove that these machines are
+  // terminated.
   const monitored = machines.filter(({ hasSentHeartbeat, tasks }) => hasSentHeartbeat || tasks.size > 0);
   const partitionedZones = findPartitionedZones(monitored, now, silenceLimitMs * zoneSilenceLimitRatio);
   const limitMs = ({ hasSentHeartbeat, info }: MachineState): number => {
--- a/src/workers/health-monitor.test.ts
+++ b/src/workers/health-monitor.test.ts
@@ -8,11 +8,11 @@
 import { defaultOperatorSettings } from '../settings/operator.js';
 import { HealthMonitor, type HealthMonitorPorts } from './health-monitor.js';
 
-/** The short heartbeat interval keeps the pauses between checks short. */
+/** The heartbeat interval is short, so that the health monitor waits only briefly between checks. */
 const settings = { heartbeatIntervalMs: 3, workerLeaseMs: 6000, cancelDeadlineMs: 16_000 };
 
 interface MonitorResult {
-  /** Ids of the machines to release, one list for each request to the cloud. */
+  /** For each release request to the cloud, the ids of the machines in the request. */
   requests: string[][];
   removed: string[];
   requeued: number;
@@ -20,7 +20,7 @@
   logEntries: Record<string, unknown>[];
 }
 
-/** Machines that have sent no heartbeat since time 0. */
+/** Creates machines that sent their latest heartbeat at time 0. */
 function silentMachines(count: number): MachineState[] {
   return Array.from({ length: count }, (_, index) => {
     const machine = new MachineState(`m${index}`, 0);
@@ -30,7 +30,10 @@
   });
 }
 
-/** Runs a monitor for `checkCount` checks of the machines, and returns the effects. */
+/**
+ * Runs a health monitor for `checkCount` checks of the machines and returns the recorded calls and log
+ * entries.
+ */
 async function runChecks(
   machines: MachineState[],
   checkCount: number,
@@ -95,7 +98,7 @@
     assert.deepEqual([event, machine, type, reason, tasks], ['machine-released', 'm0', 'c8', 'silent', 1]);
   });
 
-  test('removes nothing from the block and is repeated until the cloud has proven the termination', async () => {
+  test('removes nothing from the block and is retried until the cloud has confirmed the termination', async () => {
     const { requests, removed, requeued } = await runChecks(silentMachines(1), 2, {
       isReleased: (request) => request === 2,
     });
@@ -112,14 +115,14 @@
 });
 
 describe('nothing is released', () => {
-  test('while the store is unreachable', async () => {
+  test('if the store is unreachable', async () => {
     const { requests, noHeartbeatsCalls } = await runChecks(silentMachines(4), 3, {
       isStoreReachable: () => false,
     });
     assert.deepEqual([requests, noHeartbeatsCalls], [[], 0]);
   });
 
-  test('while no machine sends heartbeats, if the store has been reachable for more than two heartbeat intervals', async () => {
+  test('if no machine sends heartbeats and the store has been reachable for more than two heartbeat intervals', async () => {
     let now = 0;
     const machines = silentMachines(4);
     const clock = (): number => now;
@@ -132,9 +135,10 @@
   });
 });
 
-// Guards against giving up a block that another controller owns by now. A controller that has just recovered
-// from a partition may own the block only according to its own outdated replica of the store.
-test('missing heartbeats count against the machines until the store has been reachable for long enough', async () => {
+// Guards against a controller that gives up a block that another controller has leased. A controller was
+// partitioned, and another controller leased its block. After the partition, the first controller received no
+// heartbeats, but its outdated replica of the store still showed it as the owner of the block.
+test('missing heartbeats are attributed to the machines, not to a partition of the controller, until the store has been reachable for long enough', async () => {
   let now = 10;
   const reachable = [false, true];
   const { noHeartbeatsCalls, requests } = await runChecks(silentMachines(4), 2, {
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -1,4 +1,7 @@
-/** Periodically checks the machines of one block and releases the machines that have failed. */
+/**
+ * Periodically checks the machines of one block and releases the machines that have failed. A block is a set
+ * of machines, with the tasks placed on them, that is leased to one controller.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import type { MachineState } from '../placement/machine-state.js';
 import { ControllerDelays } from './controller-delays.js';
@@ -6,29 +9,29 @@
 import { type AssessmentPorts, markFailedMachines } from './machine-assessment.js';
 import { type MachineReleaserPorts, releaseMarkedMachines } from './machine-releaser.js';
 
-/** What the health monitor of a block needs. */
+/** Dependencies of the health monitor on the rest of the controller. */
 export interface HealthMonitorPorts extends AssessmentPorts, MachineReleaserPorts {
   clock: Clock;
   /** Fires when the lease of the block ends. */
   signal: AbortSignal;
   /** Whether the store has recently answered this controller. */
   isStoreReachable: () => boolean;
-  /** Called at each check that finds no recent heartbeat of any machine although the store is reachable. */
+  /** Called at each check in which no machine has sent a recent heartbeat although the store is reachable. */
   onNoHeartbeats: () => void;
 }
 
-/** Number of checks of the machines in a heartbeat interval. */
+/** Number of checks of the machines per heartbeat interval. */
 const checksPerHeartbeatInterval = 3;
 /**
- * Missing heartbeats are attributed to a partition of this controller only after the store has been reachable
- * for this many heartbeat intervals.
+ * Minimum time for which the store must have been reachable before missing heartbeats are attributed to a
+ * partition of this controller, in heartbeat intervals.
  */
 const minReachableHeartbeatIntervals = 2;
 
 /**
  * Releases machines of its block that are silent, do not execute commands, never started, or are faulty. The
- * cloud's answer to the release proves that the tasks of these machines no longer run. Delays of this
- * controller itself do not count against the machines. While the store or all workers are unreachable, no
+ * cloud's response to the release proves that the tasks of these machines no longer run. Delays of this
+ * controller itself do not count as silence of the machines. If the store or all workers are unreachable, no
  * machine is released.
  */
 export class HealthMonitor {
@@ -51,8 +54,8 @@
   private async check(ownDelays: ControllerDelays): Promise<void> {
     const { blockState, clock, isStoreReachable, onNoHeartbeats } = this.ports;
     this.addGrace(ownDelays.graceMs());
-    // While the store is unreachable, another controller may have leased the block, and the tasks that a
-    // release frees could not be started again.
+    // If the store is unreachable, another controller may have leased the block, and the tasks that a release
+    // requeues could not be started again.
     if (!isStoreReachable()) {
       this.storeReachableSince = clock();
       return;
@@ -65,7 +68,7 @@
     const marked = this.markedMachines();
     if (marked.length === 0) return;
     await releaseMarkedMachines(marked, this.ports);
-    // The time spent waiting for the cloud's answer is not a delay of this controller.
+    // The wait for the response of the cloud is not a delay of this controller.
     ownDelays.discardMeasuredDelay();
   }
 
@@ -75,9 +78,9 @@
   }
 
   /**
-   * Whether this controller has most likely lost contact with all workers. False if the store has only
-   * recently become reachable: this controller may then own the block only according to its outdated replica
-   * of the store.
+   * Whether this controller has most likely lost contact with all workers. False if the store has become
+   * reachable only recently, because the replica of the store may then be outdated and the block may be
+   * leased to another controller.
    */
   private isPartitionedFromWorkers(): boolean {
     const { blockState, clock, settings } = this.ports;
--- a/src/workers/heartbeat-commands.ts
+++ b/src/workers/heartbeat-commands.ts
@@ -1,28 +1,31 @@
-/** Determines the commands in the response to a heartbeat, which may change until the response is sent. */
+/**
+ * Determines the commands in the response to a heartbeat. If the response is held, its commands may change
+ * until it is sent.
+ */
 import { taskKey, type WorkerCommand } from '../model/types.js';
 import type { Task } from '../placement/job-state.js';
 import type { MachineState } from '../placement/machine-state.js';
 
-/** The state in which a heartbeat arrived, kept until its response is sent. */
+/** Data recorded when a heartbeat arrived and kept until the response to the heartbeat is sent. */
 export interface HeartbeatContext {
   readonly machine: MachineState;
-  /** When the heartbeat arrived, as steady time in ms. */
+  /** When the heartbeat arrived, as monotonic time in ms. */
   readonly receivedAt: number;
   /** The machine's fencing token when the heartbeat arrived. The response is sent under this token. */
   readonly fencingToken: number;
   readonly sequence: number;
-  /** The commands that follow from the heartbeat itself. */
+  /** The commands that were determined when the heartbeat was applied. */
   readonly commands: readonly WorkerCommand[];
   /**
-   * The tasks that the machine had, or may have had, when the heartbeat arrived. `commands` does not yet
-   * cover tasks that were added later.
+   * The tasks that were, or may have been, on the machine when the heartbeat arrived. `commands` covers only
+   * these tasks and no tasks that were placed on the machine later.
    */
   readonly tasksAtReceipt: readonly Task[];
 }
 
 /**
- * Returns starts of the tasks that have been committed for the machine since its heartbeat arrived, and stops
- * of the tasks whose job has ended since.
+ * Returns commands to start the tasks whose intents (task attempts in the ledger) have been committed for the
+ * machine since its heartbeat arrived, and commands to stop the tasks whose job has ended since.
  */
 export function commandsSinceHeartbeat({ machine, tasksAtReceipt }: HeartbeatContext): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
@@ -37,9 +40,10 @@
 }
 
 /**
- * Returns the commands that are valid now, including those added since the heartbeat arrived. Records `now`,
- * steady time in ms, as the time at which the start of a task was first sent. If `mayStart` is false, the
- * result contains no starts and no commands that were added after the heartbeat arrived.
+ * Returns the commands that are valid now, including commands that have become necessary since the heartbeat
+ * arrived. If a task is started for the first time, records `now`, a monotonic time in ms, as the time of its
+ * start command. If `mayStart` is false, the result contains no starts and no commands that have become
+ * necessary since the heartbeat arrived.
  */
 export function currentCommands(context: HeartbeatContext, mayStart: boolean, now: number): WorkerCommand[] {
   if (!mayStart) return context.commands.filter(({ kind }) => kind !== 'start');
@@ -56,8 +60,8 @@
 }
 
 /**
- * Returns the task that the command starts; undefined if the job ended, or the attempt was withdrawn, while
- * the response was held.
+ * Returns the task that a start command names; undefined if the task must not be started because its job
+ * ended, or the attempt was withdrawn, while the response was held.
  */
 function findStartableTask(machine: MachineState, command: WorkerCommand): Task | undefined {
   const task = machine.tasks.get(taskKey(command));
@@ -65,14 +69,14 @@
   return isStartable ? task : undefined;
 }
 
-/** Whether all commands, if any, are to forget tasks. These commands are not urgent. */
+/** Whether every command is a `forget` command; true for an empty list. `forget` commands are not urgent. */
 export function containsOnlyForgets(commands: readonly WorkerCommand[]): boolean {
   return commands.every(({ kind }) => kind === 'forget');
 }
 
 /**
- * Puts commands to forget before all others. A worker executes commands in order, and must have forgotten an
- * earlier attempt of a task before the next attempt starts.
+ * Returns the commands with all `forget` commands first. A worker executes commands in order and must have
+ * forgotten the previous attempt of a task before it starts the next attempt.
  */
 export function orderForgetsFirst(commands: readonly WorkerCommand[]): WorkerCommand[] {
   return [
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -1,6 +1,7 @@
 /**
- * A controller spends most of its processor time on heartbeats. The numbers in these tests are upper bounds:
- * one more promise, timer or turn of the event loop for each heartbeat fails a test.
+ * Bounds the asynchronous costs of heartbeats, because a controller spends most of its processor time on
+ * them. The numbers in these tests are upper bounds: a test fails if each heartbeat costs one more promise,
+ * timer or turn of the event loop.
  */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
@@ -12,7 +13,10 @@
 const noCosts: AsyncCosts = { promises: 0, timers: 0, turns: 0 };
 const heartbeatCount = 50;
 
-/** The costs of the commit arise in the placement code. They may decrease, but must not increase. */
+/**
+ * Asserts that no cost exceeds its bound. The costs of a commit arise in the placement code and may decrease,
+ * but must not increase.
+ */
 function assertCostsWithin(costs: AsyncCosts, bounds: AsyncCosts): void {
   const { promises, timers, turns } = bounds;
   const isWithin = costs.promises <= promises && costs.timers <= timers && costs.turns <= turns;
@@ -24,48 +28,52 @@
 }
 
 describe('asynchronous costs of a heartbeat', () => {
-  test('a machine without free resources is answered immediately, without a promise or a timer', async () => {
-    const stage = createHeartbeatFixture({ tasks: 4 });
-    stage.heartbeat('m1');
+  test('a heartbeat of a machine without free resources is answered immediately, without a promise or a timer', async () => {
+    const fixture = createHeartbeatFixture({ tasks: 4 });
+    fixture.heartbeat('m1');
     await waitForTurns();
     const running = [0, 1, 2, 3].map((index) => ({ index, status: 'running' }));
-    stage.heartbeat('m1', running);
-    const repliesBefore = stage.replies.length;
+    fixture.heartbeat('m1', running);
+    const repliesBefore = fixture.replies.length;
     const costs = await countAsyncCosts(() => {
-      for (let i = 0; i < heartbeatCount; i++) stage.heartbeat('m1', running);
+      for (let i = 0; i < heartbeatCount; i++) fixture.heartbeat('m1', running);
     }, waitForTurns);
-    assert.equal(stage.replies.length - repliesBefore, heartbeatCount);
+    assert.equal(fixture.replies.length - repliesBefore, heartbeatCount);
     assert.deepEqual(costs, noCosts);
   });
 
   test('a worker is redirected without a promise or a timer', async () => {
-    const stage = createHeartbeatFixture({ tasks: 1, findMachine: () => undefined, ownerOf: () => 'keel-1' });
+    const fixture = createHeartbeatFixture({
+      tasks: 1,
+      findMachine: () => undefined,
+      ownerOf: () => 'keel-1',
+    });
     const costs = await countAsyncCosts(() => {
-      for (let i = 0; i < heartbeatCount; i++) stage.heartbeat('m1');
+      for (let i = 0; i < heartbeatCount; i++) fixture.heartbeat('m1');
     }, waitForTurns);
-    assert.deepEqual(stage.replies.at(-1), { status: 421, body: { skipper: 'keel-1' } });
+    assert.deepEqual(fixture.replies.at(-1), { status: 421, body: { skipper: 'keel-1' } });
     assert.deepEqual(costs, noCosts);
   });
 
   test('all held responses share one timer', async () => {
-    const stage = createHeartbeatFixture({ tasks: 0 });
-    const first = await countAsyncCosts(() => stage.heartbeat('m1'), waitForTurns);
+    const fixture = createHeartbeatFixture({ tasks: 0 });
+    const first = await countAsyncCosts(() => fixture.heartbeat('m1'), waitForTurns);
     const more = await countAsyncCosts(() => {
-      for (let i = 0; i < heartbeatCount; i++) stage.heartbeat(i % 2 === 0 ? 'm2' : 'm1');
+      for (let i = 0; i < heartbeatCount; i++) fixture.heartbeat(i % 2 === 0 ? 'm2' : 'm1');
     }, waitForTurns);
-    const released = await countAsyncCosts(() => sendHeldResponses(stage), waitForTurns);
-    assert.equal(stage.replies.length, heartbeatCount + 1);
+    const released = await countAsyncCosts(() => sendHeldResponses(fixture), waitForTurns);
+    assert.equal(fixture.replies.length, heartbeatCount + 1);
     assert.deepEqual(
       { first, more, released },
       { first: { promises: 0, timers: 1, turns: 0 }, more: noCosts, released: noCosts },
     );
   });
 
-  test('a heartbeat whose response waits for a commit stays within the measured costs', async () => {
-    const stage = createHeartbeatFixture({ tasks: 4 });
-    const costs = await countAsyncCosts(() => stage.heartbeat('m1'), waitForTurns);
-    assert.equal(stage.blockState.machines.get('m1')?.tasks.size, 4);
-    assert.equal(stage.replies.length, 1);
+  test('a heartbeat whose response waits for a commit does not exceed the upper bounds', async () => {
+    const fixture = createHeartbeatFixture({ tasks: 4 });
+    const costs = await countAsyncCosts(() => fixture.heartbeat('m1'), waitForTurns);
+    assert.equal(fixture.blockState.machines.get('m1')?.tasks.size, 4);
+    assert.equal(fixture.replies.length, 1);
     assertCostsWithin(costs, { promises: 13, timers: 1, turns: 5 });
   });
 });
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,4 +1,7 @@
-/** Handles heartbeats of workers: applies them to the state of the block, and answers with commands. */
+/**
+ * Handles heartbeats of workers: applies each heartbeat to the state of the machine's block and responds with
+ * commands.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type FastPathRoute, type Reply, unavailableReply } from '../base/replies.js';
@@ -23,7 +26,7 @@
   scheduler: Pick<Scheduler, 'placeOn' | 'hasRoom' | 'waitForCommits'>;
 }
 
-/** What the heartbeat handler needs from its controller. */
+/** Dependencies of the heartbeat handler on the rest of the controller. */
 export interface HeartbeatHandlerPorts {
   clock: Clock;
   log: Log;
@@ -35,17 +38,20 @@
   ownerOf: (machine: string) => string | undefined;
   /** Label of the leader; undefined if unknown. */
   leader: () => string | undefined;
-  /** Whether the store answers this controller, and this controller's knowledge of the store is recent. */
+  /** Whether the store answers this controller and the replica of the store is recent. */
   mayStartTasks: () => boolean;
   /**
-   * Whether heartbeats may be answered. Requires that this controller or its peers have learned of every
-   * cancellation that has been confirmed to users.
+   * Whether heartbeats may be answered, given the confirmed cancellations that this controller and its peers
+   * may not know; see `HeartbeatResponsePolicy`.
    */
   mayAnswerHeartbeats: () => boolean;
-  /** Whether connections are scarce. If so, no response is held, since it would occupy its connection. */
+  /**
+   * Whether few connections are left. If so, no response is held, because a held response occupies a
+   * connection.
+   */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
-  /** The longest time, in ms, that a response waits for the commit of the tasks that it starts. */
+  /** Maximum time for which a response waits for the commit of the tasks that it starts, in ms. */
   maxCommitWaitMs: number;
 }
 
@@ -57,28 +63,34 @@
 }
 
 /**
- * How long the response to a machine with free resources is held, in heartbeat intervals, for machines
- * without tasks (`empty`) and with tasks (`busy`). Well below the time that workers wait for a response.
+ * How long the response to a machine with free resources is held, in heartbeat intervals. `empty` applies to
+ * machines without tasks, `busy` to machines with tasks. Both are well below the time-out of workers for a
+ * response.
  */
 const holdHeartbeatIntervals = { empty: 0.5, busy: 0.25 };
-/** Number of checks of the held responses within the shortest hold time. */
+/** Number of checks for due responses within the shortest hold time. */
 const checksPerHold = 4;
-/** Without other commands, ended tasks stay in a worker's heartbeats for up to this many intervals. */
+/**
+ * Maximum delay of a `forget` command that has no other commands to be sent with, in heartbeat intervals.
+ * During the delay, the worker lists the ended task in its heartbeats.
+ */
 const forgetDelayHeartbeatIntervals = 2;
-/** The protocol's time-out for the response to a heartbeat. A worker drops later responses. */
+/** The protocol's time-out for the response to a heartbeat, in ms. A worker drops later responses. */
 const workerTimeoutMs = 4000;
 
 const heartbeatPath = '/hello';
 const malformedHeartbeatReply: Reply = { status: 400, body: { error: 'not a report' } };
-/** Another controller owns the machine, or may own it, but the label of that controller is unknown. */
+/**
+ * Sent if another controller owns the machine, or may own it, but the label of that controller is unknown.
+ */
 const unknownOwnerReply: Reply = { status: 421, body: redirectResponse(undefined) };
-/** No other controller is known that owns the machine or could assign an owner. */
+/** Sent if no other controller is known that owns the machine or could assign an owner to it. */
 const noOwnerReply: Reply = { status: 503, body: redirectResponse(undefined) };
 
 /**
- * Answers heartbeats. A worker whose machine this controller does not own is redirected. No response starts a
- * task whose intent is not committed. Every command is sent under the fencing token under which it was
- * decided.
+ * Answers heartbeats, and redirects workers whose machines this controller does not own. No response starts a
+ * task before the intent of the task (the task attempt in the ledger) is committed. Every command is sent
+ * under the fencing token under which the command was determined.
  */
 export class HeartbeatHandler {
   /** The route for the HTTP server. Under overload, heartbeats may wait in the queue of the server. */
@@ -97,8 +109,8 @@
 
   /**
    * Handles the decoded body of a heartbeat and calls `respond` exactly once, immediately or later. Most
-   * heartbeats report no change and start no task. For these, no promise and no timer may be left to the
-   * event loop.
+   * heartbeats report no change and start no task. Such a heartbeat must leave no promise and no timer of its
+   * own to the event loop.
    */
   handle(body: unknown, respond: Respond): void {
     const heartbeat = parseHeartbeat(body);
@@ -118,7 +130,8 @@
     const now = this.ports.clock();
     switch (verdict) {
       case 'outranked':
-        // Another controller has leased the machine since; the watch has not reported the change yet.
+        // Another controller has leased the machine, but the watch of the store has not yet reported this
+        // change.
         respond(unknownOwnerReply);
         return;
       case 'stale':
@@ -135,8 +148,8 @@
   }
 
   /**
-   * Places waiting tasks on the machine, since a heartbeat often reports that resources have become free. The
-   * response starts these tasks once their intents are committed.
+   * Places waiting tasks on the machine, because a heartbeat often reports that resources have become free.
+   * The response starts these tasks after their intents are committed.
    */
   private placeAndRespond(
     { machine, scheduler }: OwnedMachine,
@@ -145,7 +158,7 @@
     receivedAt: number,
   ): void {
     const { fencingToken, sequence } = machine;
-    // `commands` does not cover the tasks that are placed from here on.
+    // `commands` covers only the tasks that are on the machine now, not the tasks that are placed below.
     const tasksAtReceipt = [...machine.tasks.values()].filter(({ phase }) => phase !== 'placing');
     const pending = {
       machine,
@@ -171,9 +184,9 @@
   }
 
   /**
-   * Holds the response for a while if the machine has free resources: tasks that are submitted meanwhile
-   * start immediately instead of with the next heartbeat. A worker with tasks soon has a change to report, so
-   * its response is held for a shorter time.
+   * Holds the response for a limited time if the machine has free resources, so that tasks that are submitted
+   * in the meantime start immediately instead of after the next heartbeat. A worker with tasks soon has a
+   * change to report, so its response is held for a shorter time.
    */
   private readonly holdOrRespond = (pending: PendingHeartbeat): void => {
     const { machine } = pending;
@@ -206,13 +219,13 @@
   };
 
   /**
-   * Whether the response may still start tasks after what has happened since the heartbeat arrived. A start
-   * is sent only under the fencing token with which its intent was committed.
+   * Whether the response may still start tasks, given the changes since the heartbeat arrived. A start
+   * command is sent only under the fencing token with which its intent was committed.
    */
   private mayStillStartTasks(pending: PendingHeartbeat, now: number): boolean {
     const { machine, fencingToken, sequence, receivedAt } = pending;
-    // If this controller was delayed, the worker has meanwhile sent a heartbeat to another controller and
-    // drops this response.
+    // This controller was delayed for longer than the time-out of the worker. The worker has therefore sent a
+    // heartbeat to another controller and drops this response.
     const hasTimedOut = now - receivedAt > workerTimeoutMs;
     return (
       machine.fencingToken === fencingToken &&
@@ -224,8 +237,9 @@
   }
 
   /**
-   * Delays commands to forget until they can be sent with other commands, for two heartbeat intervals at
-   * most. A worker sends a heartbeat after every change of its tasks, and forgetting a task is such a change.
+   * Delays `forget` commands until they can be sent with other commands, but for at most two heartbeat
+   * intervals. A worker sends a heartbeat after every change of its tasks, and forgetting a task is such a
+   * change.
    */
   private delayForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
     if (commands.length === 0) return commands;
@@ -236,8 +250,8 @@
   }
 
   /**
-   * Runs a step and handles its errors. The server handles errors only in the turn of the event loop in which
-   * the heartbeat arrived.
+   * Runs a step and handles its errors. The HTTP server handles only errors that are thrown in the turn of
+   * the event loop in which the heartbeat arrived.
    */
   private runCatchingErrors(step: (pending: PendingHeartbeat) => void, pending: PendingHeartbeat): void {
     try {
@@ -258,8 +272,8 @@
 
   private redirect(machine: string): Reply {
     const { ownerOf, leader, label } = this.ports;
-    // A machine without a block has yet to be assigned by the leader, which can assign the machine once the
-    // leader has learned of it.
+    // The leader assigns machines to blocks. A machine without a block is redirected to the leader, which can
+    // assign the machine after it has learned of the machine.
     const owner = ownerOf(machine) ?? leader();
     if (owner === undefined || owner === label) return noOwnerReply;
     return { status: 421, body: redirectResponse(owner) };
--- a/src/workers/long-polls.test.ts
+++ b/src/workers/long-polls.test.ts
@@ -7,7 +7,7 @@
 
 const checkIntervalMs = 1;
 
-/** Settles after the timer of the held responses, which was set earlier, has fired. */
+/** Resolves after the timer of the held responses, which must have been set before this call, has fired. */
 function afterCheck(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, checkIntervalMs));
 }
--- a/src/workers/long-polls.ts
+++ b/src/workers/long-polls.ts
@@ -1,4 +1,4 @@
-/** Holds responses to heartbeats until there are commands to send or the hold time is over. */
+/** Holds responses to heartbeats until there are commands to send or the hold time has passed. */
 import type { Clock } from '../base/clock.js';
 import type { MachineState } from '../placement/machine-state.js';
 
@@ -8,15 +8,14 @@
 }
 
 /**
- * Holds at most one response for each machine. One timer serves all held responses, and those that are due
- * are sent together. With one timer for each response, timers would wake the process as often as heartbeats
- * do.
+ * Holds at most one response for each machine. One timer serves all held responses, and due responses are
+ * sent together. If each response had its own timer, timers would wake the process as often as heartbeats do.
  */
 export class LongPolls {
   private readonly heldResponses = new Set<HeldResponse>();
   private isTimerSet = false;
 
-  /** `checkIntervalMs`: the longest delay, in ms, with which a response is sent after it is due. */
+  /** `checkIntervalMs`: maximum delay between the time at which a response is due and its sending, in ms. */
   constructor(
     private readonly clock: Clock,
     private readonly checkIntervalMs: number,
@@ -27,7 +26,8 @@
    * whichever comes first. `send` must not throw.
    */
   hold(machine: MachineState, maxHoldMs: number, send: () => void): void {
-    // A worker has one heartbeat in flight at a time, so it no longer waits for an earlier response.
+    // A worker has only one heartbeat in flight at a time, so it no longer waits for the response that is
+    // still held.
     machine.sendHeldResponse?.();
     const response: HeldResponse = {
       dueAt: this.clock() + maxHoldMs,
--- a/src/workers/machine-assessment.test.ts
+++ b/src/workers/machine-assessment.test.ts
@@ -22,7 +22,7 @@
   return machine;
 }
 
-/** A reconciled machine that sent its last heartbeat at this time. */
+/** Creates a reconciled machine that sent its latest heartbeat at this time. */
 function liveMachine(lastHeartbeatAt: number): MachineState {
   const machine = machineLeasedAt(lastHeartbeatAt);
   machine.hasSentHeartbeat = true;
@@ -36,7 +36,7 @@
 }
 
 describe('release reasons of machines', () => {
-  test('never-started: no heartbeat within two leases, or within a multiple of the boot time if that is longer', () => {
+  test('never-started: no heartbeat within two worker leases, or within a multiple of the boot time if the multiple is longer', () => {
     const noReason = releaseReasonAt(liveMachine(0), 0);
     assert.equal(releaseReasonAt(machineLeasedAt(0), 12_000), noReason);
     assert.equal(releaseReasonAt(machineLeasedAt(0), 12_001), 'never-started');
@@ -76,7 +76,7 @@
     assert.equal(releaseReasonAt(machine, 3001), 'silent');
   });
 
-  test('a reason that was set earlier is kept', () => {
+  test('a release reason that is already set is kept', () => {
     const machine = liveMachine(0);
     machine.faulty = true;
     assert.equal(releaseReasonAt(machine, 0), 'faulty');
@@ -84,7 +84,7 @@
   });
 });
 
-test('a straggler is stopped, and its machine is released once the machine has no tasks left', () => {
+test('a straggler is stopped, and its machine is released after the machine has no tasks left', () => {
   const machine = liveMachine(100_000);
   const job = {
     id: 'req-1',
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -6,7 +6,7 @@
 import { type FailureDetectionTimes, silentMachines } from './failure-detection.js';
 import { findStragglers } from './straggler-detection.js';
 
-/** What the assessment of machines needs besides the states of the machines. */
+/** Dependencies of the assessment on the rest of the controller. */
 export interface AssessmentPorts {
   log: Log;
   settings: FailureDetectionTimes;
@@ -15,14 +15,15 @@
 }
 
 /**
- * A machine has at least this many worker leases to send its first heartbeat, however fast its type boots.
+ * Minimum time for a machine to send its first heartbeat, in worker leases. Applies even if its type boots
+ * faster.
  */
 const minStartupLeases = 2;
 
 /**
- * Sets the release reason of machines that have failed and have no release reason yet. Marks stragglers to be
- * stopped and their machines as faulty; a faulty machine is released once it has no tasks left. `now` is
- * steady time in ms.
+ * Sets the release reason of machines that have failed and have no release reason yet. Marks stragglers,
+ * which are tasks that run far longer than others of their job, to be stopped, and marks their machines as
+ * faulty. A faulty machine is released after it has no tasks left. `now` is a monotonic time in ms.
  */
 export function markFailedMachines(
   machines: Iterable<MachineState>,
@@ -48,7 +49,7 @@
     machine.faulty = true;
     log.info(
       { event: 'straggler', machine: machine.id, job: task.job.id, task: task.index },
-      'task runs far longer than others of its job; stopping it and marking its machine as faulty',
+      'task runs far longer than other tasks of its job; stopping the task and marking its machine as faulty',
     );
   }
 }
@@ -67,7 +68,10 @@
   return now - leasedAt > startupLimitMs;
 }
 
-/** Whether the machine sends heartbeats but executes no commands: responses do not reach the machine. */
+/**
+ * Whether the machine sends heartbeats but has executed no commands for longer than the silence limit. The
+ * responses of this controller then most likely do not reach the machine.
+ */
 function isOneWayPartitioned(
   machine: MachineState,
   now: number,
--- a/src/workers/machine-releaser.ts
+++ b/src/workers/machine-releaser.ts
@@ -1,22 +1,28 @@
-/** Releases failed machines, and requeues their tasks once the cloud has proven the machines terminated. */
+/**
+ * Releases failed machines, and requeues their tasks after the cloud has confirmed that the machines are
+ * terminated.
+ */
 import type { Log } from '../base/log.js';
 import { type CloudClient, maxMachinesPerRelease } from '../cloud/client.js';
 import type { BlockState } from '../placement/block-state.js';
 import type { MachineState } from '../placement/machine-state.js';
 
-/** What the release of machines needs from its controller. */
+/** Dependencies of the release of machines on the rest of the controller. */
 export interface MachineReleaserPorts {
   log: Log;
   cloud: Pick<CloudClient, 'release'>;
   blockState: Pick<BlockState, 'machines' | 'removeTerminated'>;
-  /** Called after machines have been proven terminated and their tasks have been requeued. */
+  /**
+   * Called after the cloud has confirmed a release and the tasks of the released machines have been requeued.
+   */
   onTasksRequeued: () => void;
 }
 
 /**
- * Releases the machines of a block that have a release reason, at most as many as one request to the cloud
- * may name. The machines and their tasks are removed from the block only after the cloud has confirmed the
- * release. Without a confirmation, the machines keep their release reason and are released again.
+ * Releases the machines of a block that have a release reason. If there are more such machines than one
+ * request to the cloud may name, the rest is left for a later call. The machines and their tasks are removed
+ * from the block only after the cloud has confirmed the release. Without a confirmation, the machines keep
+ * their release reason, and the release is retried.
  */
 export async function releaseMarkedMachines(
   markedMachines: readonly MachineState[],
@@ -35,7 +41,7 @@
         reason: releaseReason,
         tasks: requeued.length,
       },
-      'machine released; requeued its tasks',
+      'the cloud confirmed the release of the machine; its tasks were requeued',
     );
   }
   onTasksRequeued();
--- a/src/workers/straggler-detection.test.ts
+++ b/src/workers/straggler-detection.test.ts
@@ -6,8 +6,8 @@
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import { findStragglers } from './straggler-detection.js';
 
-// Guards against a job that waits minutes for its last task because the machine of this task is many times
-// slower than other machines of its type.
+// Guards against a job that waits minutes for its final task. All other tasks of the job have ended, but the
+// machine of the final task is many times slower than other machines of its type.
 test('a task that runs several times as long as the other tasks of its job is stopped', () => {
   let now = 0;
   const { blockState, machine } = createBlockWithMachine(() => now);
@@ -26,7 +26,7 @@
   applyHeartbeat(1, ['running', 'running', 'running', 'running']);
   now = 12_000;
   applyHeartbeat(2, ['ended', 'ended', 'ended', 'running']);
-  // The limit is three times the twelve seconds that the other tasks ran. The estimate is only ten seconds.
+  // The limit is three times the run time of the other tasks, 12 s, and not of the estimate, 10 s.
   assert.deepEqual(findStragglers(machine, 36_000), []);
   const [straggler] = findStragglers(machine, 36_001);
   assert.equal(straggler?.index, 3);
--- a/src/workers/straggler-detection.ts
+++ b/src/workers/straggler-detection.ts
@@ -2,18 +2,21 @@
 import type { Task } from '../placement/job-state.js';
 import type { MachineState } from '../placement/machine-state.js';
 
-/** At least this many tasks of a job must have completed before running tasks are compared with them. */
+/**
+ * Minimum number of completed tasks of a job before its running tasks are compared with the completed tasks.
+ */
 const minCompletedRuns = 3;
 /**
- * The speeds of healthy machines differ by a tenth, and the run times of tasks of one job by more. If a task
- * exceeds its expected run time by more than this factor, the machine is assumed to be the cause.
+ * If a task exceeds its expected run time by more than this factor, its machine is assumed to be the cause.
+ * The factor allows for normal differences: the speeds of healthy machines differ by a tenth, and the run
+ * times of tasks of one job differ by more.
  */
 const stragglerRunTimeRatio = 3;
 
 /**
- * Returns the tasks of the machine that have run several times as long as any completed task of their job and
- * as the user's estimate. The machine is most likely faulty, and these tasks end sooner if they are restarted
- * on another machine. `now` is steady time in ms.
+ * Returns the tasks on the machine that have run several times as long as the longest completed task of their
+ * job and as the user's estimate. The machine is most likely faulty, and these tasks end sooner if they are
+ * restarted on another machine. `now` is a monotonic time in ms.
  */
 export function findStragglers(machine: MachineState, now: number): Task[] {
   return [...machine.tasks.values()].filter((task) => isStraggler(task, now));
