--- a/src/placement/block-machines.test.ts
+++ b/src/placement/block-machines.test.ts
@@ -20,7 +20,7 @@
   return { owner: 'k', incarnation: 'b', quotaShares: {}, machines };
 }
 
-test('a machine missing from the record is removed if it is empty and drained otherwise', () => {
+test("a machine missing from the block's record is removed if no tasks are assigned to it, and drained otherwise", () => {
   const machines = new BlockMachines(() => 0, 1000);
   machines.applyRecord(recordOf('m1', 'm2'));
   const job = createJobState(jobSpec('req-1', 1));
@@ -31,7 +31,7 @@
   assert.equal(machines.ensure('m2').draining, true);
 });
 
-test('a terminated machine is not added again by a record that still names it', () => {
+test('a terminated machine is not added again when an outdated block record still lists the machine', () => {
   let now = 0;
   const machines = new BlockMachines(() => now, 1000);
   machines.applyRecord(recordOf('m1'));
--- a/src/placement/block-machines.ts
+++ b/src/placement/block-machines.ts
@@ -1,24 +1,33 @@
-/** The machines of one block, as seen by the controller that owns the block. */
+/**
+ * Tracks the machines of one block in the controller that owns the block. A block is a set of machines, with
+ * the tasks placed on them, that is leased to one controller.
+ */
 import type { Clock } from '../base/clock.js';
 import { ExpiringNameSet } from '../base/expiring-name-set.js';
 import type { BlockRecord } from '../wire/block-records.js';
 import { MachineState } from './machine-state.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Applies the block's record to the block's machines, and remembers machines that are proven terminated. */
+/**
+ * The machines of one block. The set is updated from the block's record, in which the leader lists the
+ * machines. Machines that the cloud has confirmed as terminated are remembered for a retention time.
+ */
 export class BlockMachines {
   readonly byId = new Map<string, MachineState>();
-  /** Terminated machines, including those that the block's record or a delayed heartbeat still names. */
+  /**
+   * Ids of terminated machines. An outdated block record may still list such a machine, and a delayed
+   * heartbeat of the machine may still arrive.
+   */
   private readonly terminated: ExpiringNameSet;
   /**
-   * Machines that run orphaned tasks, i.e. tasks not assigned to them. These tasks still count as usage of
-   * their teams.
+   * Machines whose latest heartbeat reported orphaned tasks, i.e. tasks that are not assigned to the machine.
+   * The resources of orphaned tasks count as usage of the tasks' teams.
    */
   private readonly machinesWithOrphans = new Set<MachineState>();
 
   /**
-   * `terminatedRetentionMs`: how long a terminated machine is remembered. It has to be long enough for the
-   * leader to remove the machine from the block's record.
+   * `terminatedRetentionMs`: how long a terminated machine is remembered. The leader must remove the machine
+   * from the block's record within this time.
    */
   constructor(
     private readonly clock: Clock,
@@ -28,11 +37,12 @@
   }
 
   /**
-   * Applies the block's list of machines. The leader removes only empty machines from a block. If a removed
-   * machine still has tasks, these tasks stay assigned to it until the cloud proves that the machine is gone.
+   * Adds and updates the machines that the block's record lists. The leader removes a machine from the record
+   * only if the machine is empty. If tasks are nevertheless assigned to a removed machine, the machine is
+   * drained and the tasks stay assigned until the cloud confirms that the machine is terminated.
    */
   applyRecord({ machines }: BlockRecord): void {
-    const listed = new Set(machines.map(({ id }) => id));
+    const listedIds = new Set(machines.map(({ id }) => id));
     for (const leased of machines) {
       if (this.terminated.has(leased.id)) continue;
       const machine = this.ensure(leased.id);
@@ -42,15 +52,14 @@
       machine.setFencingToken(leased.fencingToken);
     }
     for (const machine of this.byId.values()) {
-      if (listed.has(machine.id)) continue;
+      if (listedIds.has(machine.id)) continue;
       if (machine.tasks.size === 0) this.remove(machine.id);
       else machine.draining = true;
     }
   }
 
   /**
-   * Returns the machine with this id, and adds it if neither the block's record nor the ledger has named it
-   * before.
+   * Returns the machine with this id. Adds the machine if the block does not contain it yet.
    */
   ensure(id: string): MachineState {
     let machine = this.byId.get(id);
@@ -61,36 +70,36 @@
     return machine;
   }
 
-  /** Removes a machine that the cloud has proven to be gone, and remembers it as terminated. */
+  /** Removes a machine that the cloud has confirmed as terminated, and remembers its id. */
   removeTerminated(id: string): void {
     this.terminated.add(id);
     this.remove(id);
   }
 
-  /** Whether the cloud has proven within the retention time that the machine is gone. */
+  /** Whether the cloud has confirmed, within the retention time, that the machine is terminated. */
   isTerminated(id: string): boolean {
     return this.terminated.has(id);
   }
 
-  /** Machines proven terminated at or after `time`, in ms of monotonic time. */
+  /** Returns the ids of machines that were confirmed as terminated at or after `time` (monotonic, in ms). */
   terminatedSince(time: number): string[] {
     return this.terminated.addedSince(time);
   }
 
-  /** Machines whose first heartbeat was received at or after `time`, in ms of monotonic time. */
-  upSince(time: number): string[] {
+  /** Returns the ids of machines whose first heartbeat was received at or after `time` (monotonic, in ms). */
+  bootedSince(time: number): string[] {
     return [...this.byId.values()]
       .filter((machine) => machine.hasSentHeartbeat && machine.firstHeartbeatAt >= time)
       .map(({ id }) => id);
   }
 
-  /** Records whether the machine's latest heartbeat reported orphaned tasks. */
+  /** Updates the set of machines with orphaned tasks after a heartbeat of this machine. */
   trackOrphans(machine: MachineState): void {
     if (machine.orphanedTasks.length > 0) this.machinesWithOrphans.add(machine);
     else this.machinesWithOrphans.delete(machine);
   }
 
-  /** Adds the resources of orphaned tasks to the usage of their teams. */
+  /** Adds the resources of the orphaned tasks on all machines to the usage of the tasks' teams. */
   addOrphanUsage(usage: TeamUsage): void {
     for (const machine of this.machinesWithOrphans) {
       for (const { team, need } of machine.orphanedTasks) if (team !== undefined) usage.add(team, need);
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -1,4 +1,7 @@
-/** The in-memory state of a block at its owner: the block's jobs, tasks and machines. */
+/**
+ * Keeps the state of one block in the memory of the controller that owns the block. A block is a set of
+ * machines, with the jobs and tasks placed on them, that is leased to one controller.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Heartbeat, JobSpec } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
@@ -28,49 +31,53 @@
 import { TeamUsage } from './team-usage.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-/** The initial inputs of a block's state. */
+/** The settings and dependencies of a block's state. */
 export interface BlockStateOptions {
   /** Number of the block. */
   block: number;
   /**
-   * Layout of the ledger. If stored entries cover fewer tasks than this layout has per entry, their size is
-   * kept.
+   * Layout of the block's ledger. If entries of the stored ledger cover fewer tasks than this layout
+   * specifies, the number of tasks per entry is reduced to that of the stored entries.
    */
   layout: LedgerLayout;
   heartbeatIntervalMs: number;
   clock: Clock;
-  /** Returns the time of day in ms, the time base of job timestamps; by default the system clock. */
+  /**
+   * Returns the wall-clock time in ms since the epoch, the time base of job timestamps. Default: the system
+   * clock.
+   */
   wallClock?: () => number;
-  /** Order in which waiting jobs start; by default no job has objectives. */
+  /** Order in which waiting jobs start. Default: an order without objectives for any job. */
   queueOrder?: QueueOrder;
   /**
-   * Returns what a job's dependencies and dependents imply for it; by default the job is treated as having
-   * none.
+   * Returns how a job's dependencies and dependents affect the position of the job in the queue. Default:
+   * jobs are sorted as if they had no dependencies or dependents.
    */
   dependencyFactsOf?: (spec: JobSpec) => DependencyFacts;
-  /** The teams from the settings. The block may use its share of their limits. */
+  /** The teams from the settings, by name. The block may use only its share of each team's limits. */
   teams: ReadonlyMap<string, Team>;
 }
 
-/** The queue of waiting jobs is sorted again after this fraction of a heartbeat interval. */
+/** Maximum age of the sorted queue of waiting jobs, in heartbeat intervals. Older queues are sorted again. */
 const resortIntervalHeartbeats = 0.25;
 /**
- * How long terminated machines are remembered, in heartbeat intervals. The leader removes them from the
- * block's record within this time.
+ * Retention time of the ids of terminated machines, in heartbeat intervals. The leader removes a terminated
+ * machine from the block's record within this time.
  */
 const terminatedRetentionHeartbeats = 60;
 
 /**
- * The state of one block. It is rebuilt from the store when the lease of the block begins. From then on it
- * follows the block's record, the records and outcomes of jobs, and the heartbeats of machines. A task is
- * removed from its machine only on evidence that the machine does not have it, and every change is marked for
- * the ledger at once.
+ * The state of one block. It is rebuilt from the store when the lease of the block begins. Afterwards it is
+ * updated from the block's record, the records and outcomes of jobs, and the heartbeats of machines. After
+ * the start command of a task may have been sent, the task is unassigned from its machine only on evidence
+ * that the task is not on the machine. Every change of a task immediately marks a page of the ledger as
+ * dirty.
  */
 export class BlockState implements FindingTarget {
-  /** The jobs that have tasks in this block. */
+  /** Jobs whose tasks are dispatched to this block or recorded in its ledger, by job id. */
   readonly jobs = new Map<string, JobState>();
   readonly ledger: Ledger;
-  /** Initial back-off in ms after a task of a job has failed. */
+  /** Initial retry back-off of a job in ms, after the first failure of one of its tasks. */
   readonly initialRetryBackoffMs: number;
   private readonly blockMachines: BlockMachines;
   private readonly quotas: TeamQuotas;
@@ -103,18 +110,22 @@
     return this.options.block;
   }
 
-  /** Version of the block's record that this state reflects; 0 before the first record. */
+  /** Store version of the latest block record that was applied; 0 before the first one. */
   get version(): number {
     return this.blockVersion;
   }
 
-  /** The block's machines by id, including machines that only the ledger names. */
+  /**
+   * The block's machines by id. This includes machines that appear only in the ledger and not in the block's
+   * record.
+   */
   get machines(): ReadonlyMap<string, MachineState> {
     return this.blockMachines.byId;
   }
 
   /**
-   * Loads the block's jobs and ledger from the replica of the store. Called once, before all other methods.
+   * Loads the block's jobs and ledger from the controller's replica of the store. Called once, before all
+   * other methods.
    */
   load(replica: StoreReplica): void {
     const pages = storedPages(replica, this.block);
@@ -130,7 +141,8 @@
   }
 
   /**
-   * Applies the block's record, in which the leader sets the block's machines and its shares of team limits.
+   * Applies the block's record, in which the leader lists the block's machines and the block's share of each
+   * team's limits.
    */
   applyBlockRecord(record: BlockRecord, version: number): void {
     this.blockVersion = version;
@@ -140,9 +152,10 @@
   }
 
   /**
-   * Applies changes that other controllers have committed to jobs: their records with the task ranges, and
-   * their outcomes. Changes of the block's ledger are not included, since only the block's owner writes the
-   * ledger. Returns true if any change affects this block.
+   * Applies changes to job records, which contain the dispatched task ranges, and to job outcomes. Other
+   * controllers may have committed these changes. Changes of the block's ledger are not included, because
+   * only the block's owner writes the ledger. Returns true if at least one change affects a job of this
+   * block.
    */
   applyChanges(changes: Change[]): boolean {
     let affectsBlock = false;
@@ -153,17 +166,17 @@
     return affectsBlock;
   }
 
-  /** Open jobs with waiting tasks, sorted by the order in which they are to start. */
+  /** Returns the open jobs with waiting tasks, in the order in which the jobs are to start. */
   waitingJobs(): JobState[] {
     return this.queue.jobs();
   }
 
-  /** Records that all tasks of the job in this block are done. */
+  /** Adds the job to the result of the next `takeCompletedJobs`: all its tasks in this block are done. */
   markJobCompleted(job: JobState): void {
     this.completedJobs.add(job);
   }
 
-  /** Returns the jobs whose last task in this block has completed since the previous call. */
+  /** Returns and clears the jobs that were marked as completed since the previous call. */
   takeCompletedJobs(): JobState[] {
     const completed = [...this.completedJobs];
     this.completedJobs.clear();
@@ -171,8 +184,8 @@
   }
 
   /**
-   * Records the job's outcome, after which none of its tasks is started. Machines that run tasks of the job
-   * and whose heartbeat response is held open receive the response at once.
+   * Records the job's outcome. No task of the job is started afterwards. If a machine with tasks of the job
+   * waits for a heartbeat response that is held open, the response is sent immediately.
    */
   endJob(job: JobState, outcome: Outcome): void {
     this.queue.invalidate();
@@ -181,27 +194,31 @@
     for (const task of job.tasks.values()) this.machineOf(task)?.sendHeldResponse?.();
   }
 
-  /** Whether the cloud has lately proven that the machine is gone. */
+  /** Whether the cloud has confirmed, within the retention time, that the machine is terminated. */
   isTerminated(machine: string): boolean {
     return this.blockMachines.isTerminated(machine);
   }
 
-  /** Machines proven terminated at or after `time`, in ms of monotonic time; the leader uses them. */
+  /**
+   * Returns the ids of machines that were confirmed as terminated at or after `time` (monotonic, in ms). The
+   * leader uses these ids.
+   */
   machinesTerminatedSince(time: number): string[] {
     return this.blockMachines.terminatedSince(time);
   }
 
   /**
-   * Machines whose first heartbeat was received at or after `time`, in ms of monotonic time; used wherever
-   * tasks are dispatched to blocks.
+   * Returns the ids of machines whose first heartbeat was received at or after `time` (monotonic, in ms).
+   * Used when tasks are dispatched to blocks.
    */
   machinesUpSince(time: number): string[] {
-    return this.blockMachines.upSince(time);
+    return this.blockMachines.bootedSince(time);
   }
 
   /**
-   * Updates the machine and its tasks from the heartbeat. Returns what the heartbeat proves and which
-   * commands to send.
+   * Updates the machine and its tasks from a heartbeat. Returns the classification of the heartbeat, the
+   * findings about tasks, which are applied already, and the commands to send to the worker. `mayStart`:
+   * whether start commands are allowed.
    */
   applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
@@ -211,7 +228,7 @@
     return result;
   }
 
-  /** Removes a machine that is proven terminated, requeues its tasks and returns them. */
+  /** Removes a machine that the cloud has confirmed as terminated. Requeues and returns its tasks. */
   removeTerminated(id: string): Task[] {
     const tasks = [...(this.machines.get(id)?.tasks.values() ?? [])];
     for (const task of tasks) this.unassign(task);
@@ -220,19 +237,22 @@
   }
 
   /**
-   * The machine that the task is assigned to; undefined if the task waits or the block does not have the
-   * machine.
+   * Returns the machine that the task is assigned to. Undefined if the task is waiting, or if its machine is
+   * not in this block.
    */
   machineOf({ machine }: Task): MachineState | undefined {
     return machine === undefined ? undefined : this.machines.get(machine);
   }
 
-  /** Adds a task to the tasks of the machine that was chosen for it. */
+  /** Adds a task to the machine that the task has been assigned to. */
   addTask(task: Task, machine: MachineState): void {
     machine.tasks.set(keyOfTask(task), task);
   }
 
-  /** Requeues a task once it is proven that no machine has the task. */
+  /**
+   * Requeues a task. May be called only if no start command has been sent for its present attempt, or if
+   * there is proof that the task is on no machine.
+   */
   unassign(task: Task): void {
     this.queue.invalidate();
     this.machineOf(task)?.tasks.delete(keyOfTask(task));
@@ -240,8 +260,9 @@
   }
 
   /**
-   * The resources of all tasks that are or may be on machines, by team. This includes tasks that no heartbeat
-   * has reported yet, tasks that are saving a checkpoint, and tasks on unreachable machines.
+   * Returns the resources, by team, of all tasks that are, may be or are about to be on machines. This
+   * includes tasks that no heartbeat has reported yet, tasks that are saving a checkpoint, and tasks on
+   * unreachable machines.
    */
   teamUsage(): TeamUsage {
     const usage = new TeamUsage();
@@ -252,23 +273,27 @@
   }
 
   /**
-   * The team with its limits reduced to this block's share; undefined if the settings do not have the team.
+   * Returns the team with its limits reduced to this block's share. Undefined if the team is not in the
+   * settings.
    */
   teamWithBlockShare(name: string): Team | undefined {
     return this.quotas.teamWithBlockShare(name);
   }
 
   /**
-   * Withdraws uncommitted intents that the block's present record does not allow. An intent may have been
-   * chosen under an earlier record, but its next commit is conditioned on the present one, so a disallowed
-   * intent must not be part of that commit: the leader may already have given the machine or the quota to
-   * another block.
+   * Withdraws uncommitted intents that the block's current record does not allow. An intent is a task attempt
+   * that must be committed to the ledger before its start command is sent. The machine may have been chosen
+   * under an earlier version of the block's record, but the next commit of the intent is conditioned on the
+   * current version. If the intent were part of that commit, the commit could succeed although the leader has
+   * already assigned the machine or the quota to another block.
    */
   private withdrawDisallowedIntents(): void {
-    const placing = [...this.jobs.values()].flatMap((job) => (job.activeCount > 0 ? job.placingTasks() : []));
-    if (placing.length === 0) return;
+    const placingTasks = [...this.jobs.values()].flatMap((job) =>
+      job.activeCount > 0 ? job.placingTasks() : [],
+    );
+    if (placingTasks.length === 0) return;
     const usage = this.teamUsage();
-    for (const task of placing) {
+    for (const task of placingTasks) {
       const { team, need } = task.job;
       const machine = this.machineOf(task);
       const mayBeUsed = machine !== undefined && !machine.draining;
@@ -279,8 +304,8 @@
   }
 
   /**
-   * Withdraws the job's intents that are not committed and will not be. If a commit of the page is under way,
-   * its outcome decides.
+   * Withdraws the job's uncommitted intents. If a commit of the intent's ledger page is in progress, the
+   * intent is kept until the outcome of this commit is known.
    */
   private withdrawIntents(job: JobState): void {
     for (const task of [...job.tasks.values()]) {
@@ -289,7 +314,7 @@
     }
   }
 
-  /** Returns the job of this block that the change affects, if any. */
+  /** Applies one change. Returns the job of this block that the change affects, if there is one. */
   private applyChange({ key, value, version, deleted }: Change): JobState | undefined {
     if (deleted) return this.applyDeletion(key);
     if (key.startsWith('job/')) return this.applyJobRecord(key, value, version);
@@ -300,8 +325,9 @@
   }
 
   /**
-   * The commit that writes a job's outcome also deletes the job's record. After a gap in the stream of
-   * changes, this deletion may be the only change that is received, so it ends the job as well.
+   * Handles the deletion of a job's record. The commit that writes a job's outcome also deletes the job's
+   * record. After a gap in the stream of changes, the controller may receive only the deletion and not the
+   * outcome, so the deletion also ends the job.
    */
   private applyDeletion(key: string): JobState | undefined {
     if (!key.startsWith('job/')) return undefined;
@@ -322,8 +348,9 @@
     }
     this.queue.invalidate();
     job.assignRanges(taskRanges, version);
-    // The leader takes back only tasks that have not started. A task outside the new ranges has at most an
-    // uncommitted intent, and a commit of that intent that is under way will fail.
+    // The leader recalls only tasks that have not started. So a task outside the new ranges can have only an
+    // uncommitted intent. If a commit of this intent is in progress, it fails, because it is conditioned on
+    // the previous version of the job's record.
     for (const task of [...job.tasks.values()]) {
       if (task.phase === 'placing' && !job.dispatchedRanges.has(task.index)) this.unassign(task);
     }
--- a/src/placement/intent-commits.ts
+++ b/src/placement/intent-commits.ts
@@ -1,32 +1,38 @@
-/** Waits for the commits that decide which tasks may start. */
+/**
+ * Waits for commits of intents. An intent is a task attempt that must be committed to the ledger before its
+ * start command is sent to the machine.
+ */
 import { type Clock, timer } from '../base/clock.js';
 import type { Task } from './job-state.js';
 import type { RecordingPage } from './task-recorder.js';
 
 /**
- * Settles once the commits under way have decided which of the tasks being placed may start, or after
- * `withinMs`.
+ * Waits until none of the tasks has an uncommitted intent, but not longer than `maxWaitMs` milliseconds.
+ *
+ * @param tasks returns the tasks to wait for; called again after each commit
+ * @param maxWaitMs maximum wait in ms
+ * @param clock returns monotonic time in ms
  */
 export async function waitForIntentCommits(
   tasks: () => Iterable<Task>,
-  withinMs: number,
+  maxWaitMs: number,
   clock: Clock,
 ): Promise<void> {
-  const deadline = clock() + withinMs;
+  const deadline = clock() + maxWaitMs;
   let pages = pagesOfPlacingTasks(tasks());
   if (pages.size === 0) return;
-  const timeUp = timer(withinMs);
+  const timeout = timer(maxWaitMs);
   for (; pages.size > 0 && clock() < deadline; pages = pagesOfPlacingTasks(tasks())) {
-    // A page that is not being committed cannot be committed now, because the store has another version of
-    // the block's record. Resolving that takes longer than this function may wait, so it waits for the
-    // time-out.
+    // If a ledger page with uncommitted intents is not being committed, it cannot be committed now, because
+    // the store contains another version of the block's record. Recovering from this takes longer than the
+    // maximum wait. So if no page is being committed, wait for the time-out.
     const commits = [...pages].filter((page) => page.isCommitting).map((page) => page.commit);
-    await (commits.length > 0 ? Promise.race([timeUp.expired, Promise.all(commits)]) : timeUp.expired);
+    await (commits.length > 0 ? Promise.race([timeout.expired, Promise.all(commits)]) : timeout.expired);
   }
-  timeUp.cancel();
+  timeout.cancel();
 }
 
 function pagesOfPlacingTasks(tasks: Iterable<Task>): Set<RecordingPage> {
-  const placing = [...tasks].filter((task) => task.phase === 'placing');
-  return new Set(placing.flatMap((task) => task.job.recorder.pageOf(task.index) ?? []));
+  const placingTasks = [...tasks].filter((task) => task.phase === 'placing');
+  return new Set(placingTasks.flatMap((task) => task.job.recorder.pageOf(task.index) ?? []));
 }
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -1,4 +1,4 @@
-/** Ends the jobs of a block whose tasks are all done. */
+/** Commits the outcomes of completed jobs, and removes ended jobs from the state of a block. */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { logUnexpectedFailure } from '../base/unexpected-failures.js';
@@ -11,58 +11,58 @@
 import type { JobState } from './job-state.js';
 
 /**
- * Limit of the outcome commits in flight, in seconds' worth of a controller's even share of the store's
- * changes.
+ * Maximum number of outcome commits in flight, expressed as the time in seconds that they take at the
+ * controller's equal share of the store's write rate.
  */
-const outcomesInFlightS = 2;
+const maxOutcomesInFlightS = 2;
 /**
- * After a failed commit, the job's outcome is not committed again for this fraction of a heartbeat interval.
+ * Delay in heartbeat intervals before the outcome of a job is committed again after a failed commit.
  */
 const retryDelayHeartbeats = 1 / 4;
 
 /** The dependencies and settings of job completion. */
 export interface JobCompletionPorts {
   clock: Clock;
-  /** Returns the time of day in ms, which is recorded as the end of a job. */
+  /** Returns the wall-clock time in ms since the epoch, which is stored as the time at which a job ended. */
   wallClock: () => number;
   log: Log;
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'controllers' | 'state'>;
   commits: Pick<CommitQueue, 'commit' | 'full'>;
   blockState: BlockState;
-  /** Fires when the lease of the block ends. */
+  /** Aborted when the lease of the block ends. */
   signal: AbortSignal;
   jobIndex: Pick<JobIndex, 'progress'>;
-  /** Called after an outcome commit has been applied or rejected. */
+  /** Called after an outcome commit has been applied, or after the retry delay of a failed commit. */
   onOutcomeSettled: () => void;
 }
 
 /**
- * Commits the outcome of jobs whose tasks are all done, and removes ended jobs from the block once none of
- * their tasks is on a machine. Only the first commit of a job's outcome succeeds, whichever controller makes
- * it.
+ * Commits the outcomes of jobs whose tasks are all done. Removes an ended job from the block after all its
+ * tasks have left their machines. If several controllers commit an outcome of the same job, only the first
+ * commit succeeds.
  */
 export class JobCompletion {
   /**
-   * Number of outcome commits in flight. Outcomes and ledger pages use the same budget of changes and take
-   * turns.
+   * Number of outcome commits in flight. It is limited because outcomes and ledger pages share the
+   * controller's write rate.
    */
   private outcomesInFlight = 0;
   private readonly maxOutcomesInFlight: number;
 
   constructor(private readonly ports: JobCompletionPorts) {
     const { controllers, state } = ports.settings;
-    const changes = (state.writeRps * outcomesInFlightS) / controllers;
+    const changes = (state.writeRps * maxOutcomesInFlightS) / controllers;
     this.maxOutcomesInFlight = Math.max(1, Math.floor(changes / writesPerOutcome));
   }
 
-  /** Checks every job of the block. */
+  /** Commits the outcome of each completed job of the block, and removes each idle ended job. */
   checkAllJobs(): void {
     for (const job of this.ports.blockState.jobs.values()) this.commitOutcomeOrRemove(job);
   }
 
   /**
-   * Checks the jobs that have completed since the last call. Users and dependent jobs wait for their
-   * outcomes.
+   * Commits the outcomes of the jobs that have completed since the previous call. These outcomes should not
+   * be delayed, because users and dependent jobs wait for them.
    */
   checkCompletedJobs(): void {
     for (const job of this.ports.blockState.takeCompletedJobs()) this.commitOutcomeOrRemove(job);
@@ -87,21 +87,22 @@
   }
 
   /**
-   * The replica may lag behind the ledgers of other blocks. This is safe, since a completed task stays
-   * completed.
+   * Whether all tasks of the job are done, including tasks in other blocks. The progress in other blocks is
+   * read from this controller's replica of the store. The replica may lag, but it never reports a task as
+   * done too early, and a completed task stays completed.
    */
   private isCompleteInAllBlocks(job: JobState): boolean {
     if (job.hasAllTasks) return true;
-    // Only the owner of the block with the job's first range commits the outcome: competing commits would
-    // only spend writes on conflicts.
+    // Only the owner of the block with the job's first range commits the outcome. If the owners of several
+    // blocks committed it, all commits but one would fail with a conflict and waste writes.
     if (!job.dispatchedRanges.includesFirstRange || !job.isCompleteCommitted || !job.spec) return false;
     return this.ports.jobIndex.progress(job.id).done === job.spec.tasks;
   }
 
   /**
-   * Commits the outcome of the job. The commit is not conditioned on the block's record: that all tasks are
-   * done stays true whichever controller owns the block. The record also changes so often that outcomes which
-   * wait to be sent would be rejected repeatedly.
+   * Commits the outcome of the job. The commit is not conditioned on the block's record, because the job is
+   * complete regardless of which controller owns the block. In addition, the block's record changes so often
+   * that it would change while commits wait to be sent, and they would be rejected repeatedly.
    */
   private async commitOutcome(job: JobState): Promise<void> {
     const { blockState, settings, signal, log, onOutcomeSettled } = this.ports;
@@ -111,8 +112,9 @@
       const result = await this.startCommit(job);
       if (result.kind === 'applied') blockState.endJob(job, 'done');
       this.outcomesInFlight--;
-      // The job may have ended already: by this commit after all, by the owner of another block or by a user.
-      // The changes of the store will show which.
+      // The job may have ended nevertheless: this commit may have been applied although its outcome is
+      // unknown, the owner of another block may have committed an outcome, or a user may have cancelled the
+      // job. The controller receives the actual outcome with the changes of the store.
       if (result.kind !== 'applied') await sleep(settings.heartbeatIntervalMs * retryDelayHeartbeats, signal);
       job.isCommittingOutcome = false;
       onOutcomeSettled();
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -1,6 +1,6 @@
 /**
- * Index of all open jobs and all tasks on machines, kept on every controller with a slight lag behind the
- * store.
+ * Indexes all open jobs and all tasks on machines. Every controller has such an index, which it updates from
+ * its replica of the store, so the index lags slightly behind the store.
  */
 import { DependencyGraph, type DependencyState } from '../dependencies/dependency-graph.js';
 import type { JobSpec, Resources } from '../model/types.js';
@@ -11,36 +11,38 @@
 import { type ActiveTask, type IndexedEntry, type JobProgress, LedgerIndex } from './ledger-index.js';
 import type { DependencyFacts, QueuedJob, QueueOrder } from './queue-order.js';
 
-/** An open job. */
+/** An open job, i.e. a job without an outcome. */
 export interface IndexedJob extends JobRecord {
   id: string;
-  /** Version of the job's record. */
+  /** Store version of the job's record. */
   version: number;
-  /** Monotonic time in ms at which this controller first saw the job ready to run. */
+  /** Monotonic time in ms at which this index first contained the job as ready. */
   readySeenAt: number;
 }
 
-/** Number of waiting tasks of a job in one block, or not dispatched to any block yet. */
+/** Number of a job's waiting tasks in one block, or of tasks that are not dispatched to a block yet. */
 export interface WaitingTasks {
+  /** Number of the block; undefined for tasks that are not dispatched yet. */
   block: number | undefined;
   count: number;
 }
 
 /**
- * Follows the records of jobs, their outcomes and the ledgers of all blocks in the replica of the store. A
- * job is ready once all jobs that it depends on are done.
+ * An index of the job records, the outcomes of jobs and the ledgers of all blocks in the replica of the
+ * store. In the ledger of a block, the block's owner records which tasks are assigned to machines or done. A
+ * job is ready if all jobs that it depends on are done.
  */
 export class JobIndex {
-  /** Open jobs that are ready; jobs that are not ready use no resources. */
+  /** Open jobs that are ready, by id. Jobs that are not ready use no resources. */
   readonly jobs = new Map<string, IndexedJob>();
   readonly dependencies: DependencyGraph;
-  /** Open jobs with dependencies that are not done yet. */
+  /** Open jobs that are not ready because a dependency is not done yet, by id. */
   private readonly blockedJobs = new Map<string, IndexedJob>();
   private readonly ledgers = new LedgerIndex();
 
   /**
-   * `clock` returns monotonic time in ms. `outcomeOf` looks up outcomes that are not among the received
-   * changes.
+   * `clock` returns monotonic time in ms. `outcomeOf` looks up outcomes that were not received as changes of
+   * the store.
    */
   constructor(
     private readonly clock: () => number,
@@ -61,7 +63,7 @@
       this.applyValue(key, value, version);
   }
 
-  /** Applies changes of the store. */
+  /** Applies changes of the store to the index. */
   applyChanges(changes: Change[]): void {
     for (const { key, value, version, deleted } of changes) {
       if (!deleted) this.applyValue(key, value, version);
@@ -70,58 +72,63 @@
     }
   }
 
-  /** Whether the index has the record of the job, ready or not. */
+  /** Whether the index contains the job as an open job, ready or not. */
   isOpen(id: string): boolean {
     return this.jobs.has(id) || this.blockedJobs.has(id);
   }
 
-  /** Returns an open job by its id, ready or not. */
+  /** Returns the open job with this id, ready or not. */
   openJob(id: string): IndexedJob | undefined {
     return this.jobs.get(id) ?? this.blockedJobs.get(id);
   }
 
-  /** Whether a job with these dependencies would be ready immediately. */
+  /** Whether all these dependencies are done, so that a job with these dependencies would be ready. */
   isReadyAfter(dependencies: Iterable<string>): boolean {
     return this.dependencies.areDone(dependencies);
   }
 
   /**
-   * Whether the job is ready, waits for dependencies, or has dependencies that are cancelled or unknown here.
+   * Returns whether the job is ready, waits for dependencies, or depends on a job that is cancelled or that
+   * this controller does not know.
    */
   dependencyState(id: string): DependencyState {
     return this.dependencies.stateOf(id, (other) => this.isOpen(other));
   }
 
-  /** What the job's dependencies and dependents imply for its place in the queue. */
+  /** Returns how the job's dependencies and dependents affect the position of the job in the queue. */
   dependencyFactsOf(spec: JobSpec): DependencyFacts {
     return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.downstreamDemand(spec) };
   }
 
   /**
-   * All ledger entries of the job in all blocks, without those that entries for fewer tasks have superseded.
+   * Returns the ledger entries of the job in all blocks. Tasks of an entry that a smaller entry of the same
+   * block also covers are omitted, because the smaller entry supersedes them.
    */
   entriesOf(id: string): Iterable<IndexedEntry> {
     return this.ledgers.entriesOf(id);
   }
 
-  /** All tasks that are or may be on machines, including tasks of ended jobs. */
+  /** Returns all tasks that are or may be on machines, including tasks of ended jobs. */
   activeTasks(): Iterable<ActiveTask> {
     return this.ledgers.activeTasks();
   }
 
-  /** The resources that tasks use on each machine, by machine id. Machines without tasks are not included. */
+  /** Returns the resources that tasks use on each machine, by machine id, omitting machines without tasks. */
   machineLoads(): ReadonlyMap<string, Resources> {
     return this.ledgers.machineLoads();
   }
 
-  /** Numbers of the job's tasks that are done and active, in one block or in all blocks. */
+  /**
+   * Returns the number of the job's tasks that are done, and the number of its tasks that are or may be on
+   * machines. Counts the tasks of one block, or of all blocks if `block` is not given.
+   */
   progress(id: string, block?: number): JobProgress {
     return this.ledgers.progress(id, block);
   }
 
   /**
-   * Sorts the given jobs, by default all ready jobs, by the order in which they are to start. `now` is the
-   * time of day in ms.
+   * Returns the given jobs, by default all ready jobs, in the order in which they are to start. `now` is
+   * wall-clock time in ms since the epoch.
    */
   inQueueOrder(
     queueOrder: QueueOrder,
@@ -131,7 +138,7 @@
     return queueOrder.sorted(jobs, (job) => this.asQueuedJob(job), now);
   }
 
-  /** The properties of the job that determine its place in the queue. */
+  /** Returns the properties of the job that determine its position in the queue. */
   asQueuedJob({ id, spec }: IndexedJob): QueuedJob {
     const { done, active } = this.progress(id);
     return {
@@ -143,8 +150,8 @@
   }
 
   /**
-   * The job's waiting tasks by block. Tasks that are not dispatched yet come first; blocks without waiting
-   * tasks are omitted.
+   * Returns the number of the job's waiting tasks in each block. Tasks that are not dispatched yet come
+   * first. Blocks without waiting tasks are omitted.
    */
   waitingByBlock({ id, spec, taskRanges }: IndexedJob): WaitingTasks[] {
     const dispatched = new Map<number, number>();
--- a/src/placement/job-recorder.ts
+++ b/src/placement/job-recorder.ts
@@ -1,6 +1,7 @@
 /**
- * Records the tasks of one job in chunks. The chunks share the pages of the block's ledger with chunks of
- * other jobs.
+ * Records the tasks of one job in the ledger of a block. The ledger consists of pages in the store, and each
+ * page contains entries of several jobs. One entry records a chunk, i.e. a range of consecutive tasks of a
+ * job.
  */
 import { expandRanges, toRanges } from '../base/ranges.js';
 import { type LedgerEntry, maxIdleCompactEntryBytes, maxPlainEntryBytes } from '../wire/ledger-records.js';
@@ -9,11 +10,11 @@
 import type { LedgerLayout } from './ledger-layout.js';
 import type { TaskRecorder, WriteUrgency } from './task-recorder.js';
 
-/** The parts of the ledger's layout that concern entries. */
+/** The properties of the ledger's layout that apply to single entries. */
 export type EntryLayout = Pick<LedgerLayout, 'chunkTasks' | 'isLegacy'>;
 
 /**
- * Maps the job's tasks to chunks of the ledger, and builds the entries of these chunks from the job's state.
+ * Maps the job's tasks to chunks, and builds the ledger entries of these chunks from the state of the job.
  */
 export class JobRecorder implements TaskRecorder, EntryBuilder {
   private readonly chunks = new Map<number, Chunk>();
@@ -25,21 +26,21 @@
   ) {}
 
   /**
-   * Marks the chunk of the task to be written again. The chunk is added to a page of the ledger at the first
-   * call.
+   * Marks the page with the chunk of the task to be written again. If the chunk is not on a page of the
+   * ledger yet, it is added to one.
    */
   markDirty(index: number, urgency: WriteUrgency, now: number): void {
     this.markChunkDirty(index, urgency, now);
   }
 
-  /** The page that records the task; undefined while nothing of its chunk has been recorded. */
+  /** Returns the page that contains the task's chunk. Undefined if the chunk is not on a page yet. */
   pageOf(index: number): LedgerPage | undefined {
     return this.chunks.get(this.chunkOf(index))?.page;
   }
 
   /**
-   * Adds the chunk of a stored entry to its page. If that page is retired, marks the entry's tasks to be
-   * recorded in new chunks instead.
+   * Adds the chunk of a stored entry to the entry's page. If this page is retired, because its entries have
+   * another chunk size, the tasks of the entry are marked to be recorded in new chunks on other pages.
    */
   restore(entry: LedgerEntry, pageIndex: number, now: number): void {
     const retired = this.ledger.retiredPages.get(pageIndex);
@@ -47,7 +48,7 @@
     else this.addStoredChunk(entry, this.ledger.page(pageIndex));
   }
 
-  /** Removes the job's chunks from their pages. */
+  /** Removes all chunks of the job from their pages, and marks these pages to be written. */
   remove(now: number): void {
     for (const chunk of this.chunks.values()) {
       chunk.page.removeChunk(chunk);
@@ -57,7 +58,7 @@
     this.chunks.clear();
   }
 
-  /** Builds the entry that the store should have for the chunk. */
+  /** Builds the entry of the chunk from the current state of the job. `done` contains its completed tasks. */
   buildEntry(chunk: number): BuiltEntry {
     const active: LedgerEntry['active'] = [];
     const waiting: LedgerEntry['waiting'] = [];
@@ -74,7 +75,7 @@
     };
   }
 
-  /** Tasks of the chunk whose intent is not committed yet. */
+  /** Returns the tasks of the chunk whose intent, i.e. the assignment to a machine, is not committed yet. */
   placingTasksOf(chunk: number): Task[] {
     return [...this.tasksOf(chunk)].filter((task) => task.phase === 'placing');
   }
@@ -127,7 +128,7 @@
     return Math.min(this.layout.chunkTasks, this.job.spec?.tasks ?? this.layout.chunkTasks);
   }
 
-  /** Number of bytes to reserve for the entry of a chunk. */
+  /** Returns the number of bytes to reserve on a page for the entry of a chunk with this many tasks. */
   private reservedBytesFor(chunk: number, tasks: number): number {
     return this.layout.isLegacy
       ? maxPlainEntryBytes(tasks)
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -1,4 +1,7 @@
-/** The tasks of one job in one block, with the phase of each task. */
+/**
+ * Keeps the state of one job in one block: its tasks and the phase of each task. A block is a set of machines
+ * that is leased to one controller.
+ */
 import { expandRanges } from '../base/ranges.js';
 import { type JobSpec, type Resources, taskKey } from '../model/types.js';
 import type { Outcome, TaskRange } from '../wire/job-records.js';
@@ -7,81 +10,95 @@
 import type { TaskRecorder } from './task-recorder.js';
 
 /**
- * `waiting`: the task is on no machine. `placing`: a machine is chosen in memory only; the machine must not
- * receive the task yet. `placed`: the intent is committed, so the machine may have received the command to
- * start the task. `seen`: the machine has reported the task.
+ * The phase of a task.
+ *
+ * - `waiting`: the task is on no machine.
+ * - `placing`: a machine is chosen, but the ledger entry with this intent is not committed yet. The start
+ *   command must not be sent.
+ * - `placed`: the intent is committed, so the machine may have received the start command.
+ * - `seen`: a heartbeat of the machine has reported the task.
  */
 export type TaskPhase = 'waiting' | 'placing' | 'placed' | 'seen';
 
-/** A task that has been started at least once or is about to be started. */
+/** A task that has been placed at least once or is about to be placed. */
 export interface Task {
   readonly job: JobState;
   /** Index of the task within its job, from 0. */
   readonly index: number;
-  /** Number of times the task has been placed. Workers distinguish the attempts of a task by this number. */
+  /**
+   * Number of times that the task has been placed on a machine. Workers distinguish the attempts of a task by
+   * this number.
+   */
   attempt: number;
   phase: TaskPhase;
-  /** Id of the machine that runs the task or is to start it; undefined while the task waits. */
+  /** Id of the machine that the task is assigned to; undefined while the task is waiting. */
   machine: string | undefined;
+  /** Whether the latest heartbeat that reported this attempt reported it as running. */
   running: boolean;
-  /** Monotonic time in ms at which the start command was first sent to the machine. */
+  /**
+   * Monotonic time in ms at which the start command of this attempt was first sent; undefined before that.
+   */
   startSentAt: number | undefined;
-  /** Monotonic time in ms at which a heartbeat first reported the task as running. */
+  /**
+   * Monotonic time in ms at which a heartbeat first reported this attempt as running; undefined before that.
+   */
   runningSince: number | undefined;
   /**
-   * The task is a straggler: it runs far longer than other tasks of its job, and is stopped to start on
-   * another machine.
+   * Whether the task is being stopped as a straggler: it runs far longer than other tasks of its job and has
+   * to be restarted on another machine.
    */
   stopping: boolean;
 }
 
-/** A task that is, may be or is about to be on a machine. */
+/** A task that is assigned to a machine: it is, may be or is about to be on this machine. */
 export interface AssignedTask extends Task {
   phase: Exclude<TaskPhase, 'waiting'>;
   machine: string;
 }
 
-/** The block that a job's tasks belong to, with the factory for the recorder of its tasks. */
+/** The block of a job's state, with a factory for the recorder of the job's tasks. */
 export interface OwningBlock {
   /** Number of the block. */
   readonly block: number;
+  /** Creates the recorder that writes the job's tasks to the ledger of the block. */
   createRecorder: (job: JobState) => TaskRecorder;
 }
 
-/** The initial inputs of a job's state. */
+/** The properties of a job when its state is created. */
 export interface JobStateOptions {
   id: string;
-  /** Undefined once the job's record has been deleted. */
+  /** Undefined if the job's record has been deleted. */
   spec: JobSpec | undefined;
   team: string;
-  /** Resources that one task uses of its machine and of its team's limit. */
+  /** Resources that one task uses on its machine. They also count towards the team's limit. */
   need: Resources;
-  /** Version of the job's record; 0 once the record has been deleted. */
+  /** Store version of the job's record; 0 if the record has been deleted. */
   version: number;
   owner: OwningBlock;
 }
 
 /**
- * Upper bound of a job's back-off after repeated task failures. The back-off starts at one heartbeat interval
- * and doubles with each failure.
+ * Maximum retry back-off of a job after repeated task failures, in ms. The back-off starts at one heartbeat
+ * interval and doubles with each failure.
  */
 const maxRetryBackoffMs = 60_000;
+/** Maximum number of times that the back-off is doubled. */
 const maxRetryBackoffDoublings = 10;
 
-/** Whether the task is, may be or is about to be on a machine. */
+/** Whether the task is assigned to a machine, i.e. not waiting. */
 export function isAssigned(task: Task): task is AssignedTask {
   return task.phase !== 'waiting';
 }
 
-/** The key of the task in the task map of its machine. */
+/** Returns the key of the task in `MachineState.tasks`. */
 export function keyOfTask({ job, index }: Task): string {
   return taskKey({ job: job.id, index });
 }
 
 /**
- * The state of a job in one block: for most jobs all tasks, otherwise the ranges that the leader has
- * dispatched to the block. A task that has never been started is represented by its index alone, so 100,000
- * such tasks cost little. Every change of a task is marked for the ledger in the same step.
+ * The state of a job in one block. It covers the task ranges that the leader has dispatched to the block,
+ * which contain all tasks for most jobs. Tasks that have never been placed have no `Task` object, so a job
+ * with 100,000 of them uses little memory. Every change of a task also marks its ledger entry to be written.
  */
 export class JobState {
   readonly id: string;
@@ -89,34 +106,36 @@
   readonly team: string;
   readonly need: Resources;
   readonly recorder: TaskRecorder;
-  /** Version of the job's record that this state reflects. */
+  /** Store version of the job record that was applied last; 0 if the record has been deleted. */
   version: number;
   /**
-   * Version of the job's record that the store has rejected as a commit condition. No task is placed until a
-   * newer version is read.
+   * Version of the job's record for which the store has reported a commit conflict. No task of the job is
+   * placed until a newer version of the record has been read.
    */
   rejectedVersion: number | undefined;
-  /** The job's tasks that belong to this block. */
+  /** The ranges of the job's tasks that are dispatched to this block. */
   dispatchedRanges: DispatchedRanges;
   /**
-   * Tasks by index: tasks that are or were on a machine and are not done, and tasks that are about to start.
+   * Tasks that are not done and have been placed or are about to be placed, by index within the job.
    */
   readonly tasks = new Map<number, Task>();
-  /** Set once the job has ended. */
+  /** Outcome of the job; undefined while the job is open. */
   outcome: Outcome | undefined;
-  /** True while a commit of the job's outcome is under way. */
+  /** True during a commit of the job's outcome, and during the retry delay after a failed commit. */
   isCommittingOutcome = false;
-  /** Monotonic time in ms before which no task of the job is started, because tasks have failed recently. */
+  /** Monotonic time in ms before which no task of the job is placed, because tasks have failed recently. */
   retryAt = 0;
-  /** Number of completed tasks that heartbeats have reported as running. */
+  /** Number of tasks that have completed after a heartbeat had reported them as running. */
   completedRuns = 0;
-  /** Longest run time among these tasks, in ms. */
+  /** Longest run time of the tasks counted in `completedRuns`, in ms. */
   maxRunMs = 0;
   private readonly block: number;
+  /** Indices of the block's tasks that are done, committed or not. */
   private readonly doneTasks = new Set<number>();
+  /** Indices of the block's tasks that the stored ledger records as done. */
   private readonly committedDoneTasks = new Set<number>();
   private failureCount = 0;
-  /** Every task of this block with a lower index has been started at least once. */
+  /** Index at which the search for the next never-placed task begins; lower indices need no check. */
   private nextUnstarted = 0;
   private assignedCount = 0;
 
@@ -131,15 +150,15 @@
     this.recorder = owner.createRecorder(this);
   }
 
-  /** Creates an open job from its record. The job has no tasks in this block yet. */
+  /** Creates an open job. `assignRanges` has to be called afterwards to assign tasks to this block. */
   static fromSpec(spec: JobSpec, version: number, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = spec;
     return new JobState({ id, spec, team, need: { cpus, accelerators, memoryGb }, version, owner });
   }
 
   /**
-   * Creates a job whose record has been deleted. The job has ended, but some of its tasks may still be on
-   * machines.
+   * Creates a job from a ledger entry if the job's record has been deleted. The job has ended, but some of
+   * its tasks may still be on machines.
    */
   static fromLedgerEntry(entry: LedgerEntry, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = entry;
@@ -149,19 +168,22 @@
     return job;
   }
 
-  /** Applies the job's record, in which the leader assigns the job's tasks to blocks. */
+  /**
+   * Applies a new version of the job's record, in which the leader dispatches ranges of the job's tasks to
+   * blocks.
+   */
   assignRanges(allRanges: readonly TaskRange[], version: number): void {
     this.version = version;
     this.dispatchedRanges = new DispatchedRanges(allRanges, this.block);
     this.nextUnstarted = this.dispatchedRanges.ranges[0]?.first ?? 0;
-    // A task whose intent was never committed may now belong to another block. It is removed here, so that
-    // two blocks cannot start it; it remains as an index only.
+    // A waiting task outside the new ranges may now be dispatched to another block. It is removed here, so
+    // that two blocks cannot start the same task.
     for (const task of this.tasks.values()) {
       if (!isAssigned(task) && !this.dispatchedRanges.has(task.index)) this.tasks.delete(task.index);
     }
   }
 
-  /** Number of tasks that are, may be or are about to be on machines. */
+  /** Number of tasks that are assigned to machines, i.e. are, may be or are about to be on machines. */
   get activeCount(): number {
     return this.assignedCount;
   }
@@ -171,12 +193,15 @@
     return this.doneTasks.size;
   }
 
-  /** Whether all tasks of the job belong to this block. */
+  /** Whether all tasks of the job are dispatched to this block. */
   get hasAllTasks(): boolean {
     return this.dispatchedRanges.count === this.spec?.tasks;
   }
 
-  /** Whether all tasks of the job in this block are done. */
+  /**
+   * Whether all tasks of the job in this block are done, committed or not. False if this state was created
+   * without the job's record.
+   */
   get isComplete(): boolean {
     return (
       this.spec !== undefined &&
@@ -185,12 +210,12 @@
     );
   }
 
-  /** Whether all tasks of the job in this block are done and the stored ledger records them as done. */
+  /** Whether the stored ledger records all tasks of the job in this block as done. */
   get isCompleteCommitted(): boolean {
     return this.isComplete && this.committedDoneTasks.size === this.dispatchedRanges.count;
   }
 
-  /** Number of tasks that are neither on machines nor done; 0 once the job has ended. */
+  /** Number of the block's tasks that are neither assigned to machines nor done; 0 if the job has ended. */
   get waitingCount(): number {
     if (this.outcome || !this.spec) return 0;
     return this.dispatchedRanges.count - this.doneTasks.size - this.assignedCount;
@@ -202,19 +227,19 @@
   }
 
   /**
-   * Whether the stored ledger records the task as done. Only then may the machine receive a `forget` command
-   * for it.
+   * Whether the stored ledger records the task as done. The machine may receive a `forget` command for the
+   * task only after that, because the worker would no longer report the completion.
    */
   isDoneCommitted(index: number): boolean {
     return this.committedDoneTasks.has(index);
   }
 
-  /** Records that the stored ledger has these tasks as done. */
+  /** Notes that the stored ledger records these tasks as done. Called after the commit of a ledger page. */
   markDoneCommitted(indices: number[]): void {
     for (const index of indices) this.committedDoneTasks.add(index);
   }
 
-  /** Applies an entry of the stored ledger and returns its tasks that are on machines. */
+  /** Applies an entry of the stored ledger. Returns its tasks that are or may be on machines. */
   applyEntry(entry: LedgerEntry): AssignedTask[] {
     for (const index of expandRanges(entry.done)) {
       this.doneTasks.add(index);
@@ -231,16 +256,16 @@
   }
 
   /**
-   * Returns the next task to start, which remains in phase `waiting`. Tasks that were requeued from a machine
-   * come first.
+   * Returns the next task to place. The task stays in phase `waiting` until `placeTask` is called. Requeued
+   * tasks come before tasks that were never placed.
    */
   nextWaitingTask(): Task | undefined {
     return this.nextRequeuedTask() ?? this.nextUnstartedTask();
   }
 
   /**
-   * Assigns a waiting task to a machine. The machine must not receive the task before the ledger is
-   * committed.
+   * Assigns a waiting task to a machine and begins a new attempt. The start command must not be sent before
+   * the ledger entry of the task has been committed.
    */
   placeTask(task: Task, machine: string, now: number): void {
     task.attempt++;
@@ -249,8 +274,8 @@
   }
 
   /**
-   * Returns the task to the waiting state. Called only on evidence that the task is on no machine; does
-   * nothing if the task is waiting already.
+   * Returns the task to phase `waiting`, or does nothing if the task is waiting already. May be called only
+   * if no start command was sent for the attempt, or if there is proof that the task is on no machine.
    */
   unassignTask(task: Task, now: number): void {
     if (task.phase === 'waiting') return;
@@ -263,7 +288,7 @@
   }
 
   /**
-   * Records that the task has completed. Returns false if the task was already done or does not belong to
+   * Records that the task has completed. Returns false if the task was already done or is not dispatched to
    * this block.
    */
   finishTask(index: number, now: number): boolean {
@@ -277,16 +302,18 @@
     this.tasks.delete(index);
     this.doneTasks.add(index);
     this.failureCount = 0;
-    // The block that commits the job's outcome waits until all other blocks have recorded their tasks as
-    // done.
+    // If the job has tasks in several blocks, the owner of one of them commits the outcome after the ledgers
+    // of all these blocks record their tasks as done. So the last completion in this block is written
+    // immediately.
     const urgency = this.isComplete && !this.hasAllTasks ? 'immediate' : 'deferred';
     this.recorder.markDirty(index, urgency, now);
     return true;
   }
 
   /**
-   * Records the failure of a task. Further starts of the job are delayed, with an exponential back-off from
-   * `initialBackoffMs`, so that the job does not delay other jobs.
+   * Records the failure of a task. No task of the job is placed before an exponential back-off has ended, so
+   * that a job whose tasks keep failing does not delay other jobs. The back-off after the first failure is
+   * `initialBackoffMs`.
    */
   recordTaskFailure(now: number, initialBackoffMs: number): void {
     const doublings = Math.min(this.failureCount, maxRetryBackoffDoublings);
@@ -294,7 +321,7 @@
     this.retryAt = now + Math.min(maxRetryBackoffMs, initialBackoffMs * 2 ** doublings);
   }
 
-  /** Tasks whose intent is not committed yet. */
+  /** Returns the tasks in phase `placing`, i.e. whose intent is not committed yet. */
   placingTasks(): Task[] {
     return [...this.tasks.values()].filter((task) => task.phase === 'placing');
   }
--- a/src/placement/machine-state.test.ts
+++ b/src/placement/machine-state.test.ts
@@ -6,9 +6,10 @@
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
 import type { Verdict } from './reconciliation.js';
 
-// Guards against tasks that are placed for ever on a machine which sends heartbeats but receives no
-// responses: its heartbeats arrive, so it never counts as silent.
-test('a machine that sends heartbeats without executing commands counts as behind a one-way partition, others do not', () => {
+// If a machine's heartbeats arrive but the responses do not reach the machine, the machine never counts as
+// silent. Without a separate check for this one-way partition, tasks would be placed on the machine
+// indefinitely and would never start.
+test('a machine counts as behind a one-way partition only while it sends heartbeats without executing commands', () => {
   let now = 0;
   const { blockState, machine } = createBlockWithMachine(() => now);
   const sendHeartbeat = (
@@ -26,13 +27,13 @@
     const heartbeat = { ...emptyHeartbeat('m1', sequence), fencingToken, tasks };
     return blockState.applyHeartbeat(machine, heartbeat, true).verdict;
   };
-  // The machine's heartbeat does not carry the fencing token of this owner.
+  // The machine's heartbeat contains an older fencing token than that of this owner.
   assert.equal(sendHeartbeat(1, machineToken - 4), 'unreconciled');
   machine.fencingTokenOfferedAt = 100;
   assert.equal(machine.oneWayPartitionSince(), 100);
   assert.equal(sendHeartbeat(2, machineToken), 'reconciled');
   assert.equal(machine.oneWayPartitionSince(), undefined);
-  // A start command was sent, but no heartbeat reports the task.
+  // A start command was sent, but the next heartbeat does not report the task.
   const job = addPlacedJob(blockState, jobSpec('req-1', 1), machine);
   const task = job.tasks.get(0);
   assert.ok(task);
@@ -40,8 +41,8 @@
   task.startSentAt = now = 500;
   sendHeartbeat(3, machineToken);
   assert.equal(machine.oneWayPartitionSince(), 500);
-  // The task stays assigned to the machine and counted in the team's usage until there is evidence that it is
-  // gone.
+  // The task stays assigned to the machine and counts towards the team's usage until there is proof that the
+  // task is not on the machine.
   assert.deepEqual(
     [machine.tasks.has(taskKey({ job: 'req-1', index: 0 })), blockState.teamUsage().usedBy('red').cpus],
     [true, 2],
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -1,14 +1,23 @@
-/** The state of one rented machine, as seen by the controller that owns its block. */
+/**
+ * Keeps the state of one rented machine in the controller that owns the machine's block. A block is a set of
+ * machines that is leased to one controller.
+ */
 import type { MachineType, ReportedTask, Resources } from '../model/types.js';
 import type { Task } from './job-state.js';
 
-/** Zone of a machine that only a ledger names and no block's record: the machine may be in any zone. */
+/**
+ * Zone of a machine that appears in the ledger of the block but not in the block's record. Such a machine may
+ * be in any zone.
+ */
 export const unknownZone = '';
 
-/** Type of a machine that only a ledger names; no type of the cloud has this name. */
+/**
+ * Type of a machine that appears in the ledger of the block but not in the block's record. No machine type of
+ * the cloud has this name.
+ */
 const unknownType = '';
 
-/** The properties of a machine in the block's record. */
+/** The properties of a machine that the block's record contains. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -16,87 +25,106 @@
   spot: boolean;
 }
 
-/** Why the owner of a block has decided to terminate a machine. */
+/** Reason for which the owner of a block releases a machine, i.e. has the cloud terminate it. */
 export type ReleaseReason = 'never-started' | 'one-way-partition' | 'faulty' | 'silent';
 
-/** A task that a machine reports but that is not assigned to the machine. */
+/** A task that the machine's heartbeat reports but that is not assigned to the machine. */
 export interface OrphanedTask {
   task: ReportedTask;
+  /** Resources that the task uses; zero if the block does not contain the task's job. */
   need: Resources;
-  /** Undefined if the block has no record of the task's job. */
+  /** Undefined if the block does not contain the task's job. */
   team: string | undefined;
 }
 
 /**
- * Number of jobs with failed tasks on a machine at which the machine is considered faulty. Failures of a
- * single job do not count as evidence against the machine.
+ * If tasks of at least this many jobs have failed on a machine, the machine is considered faulty. If only
+ * tasks of a single job fail, the cause may be the job.
  */
 const faultyAfterFailedJobs = 2;
 
 /**
- * State of a machine from the block's record, the machine's heartbeats and the placement of tasks. Times are
- * monotonic, in ms.
+ * The state of a machine. It combines the machine's properties from the block's record, the contents of its
+ * heartbeats and the tasks assigned to it. Times are monotonic, in ms, unless stated otherwise.
  */
 export class MachineState {
   info: MachineInfo;
   /**
-   * Token that authorizes commands to the machine. A worker drops commands with a lower token than it has
-   * seen.
+   * Fencing token sent with each command to the machine's worker. The worker ignores commands with a lower
+   * token than the highest one it has received.
    */
   fencingToken = 0;
-  /** Address of the machine's worker; empty before the first heartbeat. */
+  /** Address of the machine's worker, from its latest heartbeat; empty before the first one. */
   address = '';
   /**
-   * Agent epoch and sequence number of the latest heartbeat. The epoch grows with each start of the worker,
-   * the sequence number with each heartbeat within an epoch.
+   * Agent epoch of the latest heartbeat. The epoch increases with each start of the worker process.
    */
   agentEpoch = 0;
+  /** Sequence number of the latest heartbeat. It increases with each heartbeat within an agent epoch. */
   sequence = -1;
-  /** The latest heartbeat carried this owner's fencing token, so its list of tasks is authoritative. */
+  /**
+   * Whether the latest heartbeat contained the fencing token of this owner. Only then is the heartbeat's list
+   * of tasks used.
+   */
   reconciled = false;
   /**
-   * When this controller first responded to a heartbeat without its fencing token. Reset to undefined by a
-   * heartbeat with the token.
+   * Time at which this controller first sent its fencing token in the response to a heartbeat that did not
+   * contain this token. Undefined after a heartbeat that contains the token.
    */
   fencingTokenOfferedAt: number | undefined;
-  /** Whether this owner has received a heartbeat of the machine. */
+  /** Whether this owner has received at least one heartbeat of the machine. */
   hasSentHeartbeat = false;
+  /** Time at which the first heartbeat was received; valid only if `hasSentHeartbeat` is true. */
   firstHeartbeatAt = 0;
-  /** The machine is to be terminated or leased to another block; no more tasks are placed on it. */
+  /**
+   * Whether no more tasks are placed on the machine, because it is to be terminated or leased to another
+   * block.
+   */
   draining = false;
-  /** No more tasks are placed on the machine, and it is terminated once it is empty. */
+  /**
+   * Whether the machine is considered faulty. No more tasks are placed on a faulty machine, and it is
+   * terminated after all tasks have left it.
+   */
   faulty = false;
   /**
-   * Set once the termination of the machine is decided. The cloud's response will be the proof that the
-   * machine is gone.
+   * Set if the machine is to be terminated. The machine is removed after the cloud's response has confirmed
+   * the termination.
    */
   releaseReason: ReleaseReason | undefined;
   /**
-   * Seconds until the cloud reclaims the spot machine, counted from the notice to its worker; null without a
-   * notice.
+   * Seconds from the cloud's preemption notice to the worker until the cloud reclaims the spot machine; null
+   * if there was no notice.
    */
   preemptionNoticeS: number | null = null;
-  /** Time of day in ms at which the machine was rented. */
+  /** Wall-clock time in ms since the epoch at which the machine was rented. */
   rentedAt = 0;
-  /** When the latest heartbeat was received or, before the first, when this owner began to expect one. */
+  /**
+   * Time at which the latest heartbeat was received. Before the first heartbeat: the time at which this owner
+   * began to wait for heartbeats.
+   */
   lastHeartbeatAt: number;
+  /** Time at which this owner added the machine to its block. */
   readonly leasedAt: number;
   /**
-   * Sends the response to the machine's heartbeat, with the commands that are due by then. Set only while the
-   * response is held open.
+   * Sends the response to the machine's latest heartbeat, with the commands that are due at the time of the
+   * call. Set only while this response is held open.
    */
   sendHeldResponse: (() => void) | undefined;
-  /** When the worker last received a `forget` command. */
+  /** Time at which commands, including all pending `forget` commands, were last sent to the worker. */
   lastForgetAt = 0;
   /**
-   * Tasks that are on the machine, that it may have received the command to start, or that are about to be
-   * placed on it.
+   * Tasks assigned to the machine, by `keyOfTask`. This includes tasks whose start command the machine may
+   * have received, and tasks whose start command must not be sent yet.
    */
   readonly tasks = new Map<string, Task>();
-  /** Reported tasks that are not assigned to the machine. They use its resources until they are gone. */
+  /**
+   * Tasks that the latest heartbeat reported but that are not assigned to the machine. Their resources are
+   * not free until a heartbeat no longer reports them.
+   */
   orphanedTasks: OrphanedTask[] = [];
-  /** Images that the machine has fetched. */
+  /** Images of the tasks that have run on the machine, and that it therefore need not fetch again. */
   readonly cachedImages = new Set<string>();
+  /** Ids of the jobs of which tasks have failed on the machine. */
   private readonly failedJobs = new Set<string>();
 
   constructor(id: string, now: number) {
@@ -110,7 +138,10 @@
     return this.info.id;
   }
 
-  /** Sets the fencing token of a lease. If the token changes, the machine has to be reconciled again. */
+  /**
+   * Sets the fencing token from the block's record. If the token has changed, tasks can be placed on the
+   * machine only after a heartbeat that contains the new token.
+   */
   setFencingToken(fencingToken: number): void {
     if (fencingToken === this.fencingToken) return;
     this.fencingToken = fencingToken;
@@ -119,8 +150,8 @@
   }
 
   /**
-   * Whether tasks may be placed on the machine; its latest heartbeat must be less than `maxHeartbeatAgeMs`
-   * old.
+   * Whether tasks may be placed on the machine. This requires, among other conditions, that its latest
+   * heartbeat is less than `maxHeartbeatAgeMs` old.
    */
   isUsable(now: number, maxHeartbeatAgeMs: number): boolean {
     return (
@@ -133,15 +164,15 @@
     );
   }
 
-  /** Records that a task of the job has failed on the machine. */
+  /** Records that a task of the job has failed on the machine, and checks whether the machine is faulty. */
   recordFailedJob(job: string): void {
     this.failedJobs.add(job);
     if (this.failedJobs.size >= faultyAfterFailedJobs) this.faulty = true;
   }
 
   /**
-   * Excludes `graceMs`, a time during which the controller itself was delayed: it counts neither as missed
-   * heartbeats nor as commands that the machine did not execute.
+   * Excludes a delay of the controller itself from failure detection. The time `graceMs` then counts neither
+   * towards missed heartbeats nor towards the time without executed commands.
    */
   excludeControllerDelay(graceMs: number): void {
     this.lastHeartbeatAt += graceMs;
@@ -150,9 +181,10 @@
   }
 
   /**
-   * Since when the machine has sent heartbeats without executing its commands, which means that its requests
-   * reach this controller but the responses do not reach the machine. Tasks would be placed on such a machine
-   * indefinitely and none would start. Undefined if there is no sign of this.
+   * Returns the time since which the machine has sent heartbeats without executing commands. This is a sign
+   * of a one-way partition: the machine's requests arrive at this controller, but the responses do not reach
+   * the machine. If this were not detected, tasks would be placed on the machine indefinitely and none would
+   * start. Returns undefined if there is no sign of such a partition.
    */
   oneWayPartitionSince(): number | undefined {
     let since = this.reconciled ? undefined : this.fencingTokenOfferedAt;
@@ -164,8 +196,8 @@
   }
 
   /**
-   * Resources of the machine that its tasks and orphaned tasks leave free; negative if they exceed the
-   * machine.
+   * Returns the resources of the machine that neither its assigned tasks nor its orphaned tasks use. A
+   * resource is negative if these tasks need more than the machine provides.
    */
   freeResources(machineType: MachineType): Resources {
     let { cpus, accelerators, memoryGb } = machineType;
--- a/src/placement/placement-round.test.ts
+++ b/src/placement/placement-round.test.ts
@@ -13,7 +13,8 @@
 import { TeamUsage } from './team-usage.js';
 
 /**
- * Runs a round over all machines in which every machine is usable, unless `overrides` specifies otherwise.
+ * Runs a placement round over the given machines. All of them are usable, and the round is not partial,
+ * unless `overrides` specifies otherwise.
  */
 function runRound(
   jobs: JobState[],
@@ -35,8 +36,9 @@
   });
 }
 
-// Guards against regular machines filled with jobs that could have waited for a spot machine.
-test('jobs that may use spot machines are not placed on regular ones while there is a spot machine, even a full one', () => {
+// If a job that may use spot machines were placed on a regular machine as soon as all spot machines are full,
+// it would fill the regular machines, although it could have waited for a spot machine.
+test('jobs that may use spot machines are not placed on regular machines while there is a spot machine, even a full one', () => {
   const machines = [createMachineState('m1', { spot: true }), createMachineState('m2')];
   const job = createJobState({ ...jobSpec('req-1', 6), spot: true });
   const place = (): string[] => {
@@ -51,9 +53,9 @@
   assert.deepEqual(place(), ['m2', 'm2']);
 });
 
-// Guards against a round that drops machines too early: a machine that is full for one job may have room for
-// a smaller one.
-test('a round places smaller jobs after larger ones have found no room, and skips teams at their limit', () => {
+// A machine without room for a task of one job may have room for a task of a smaller job. If the round
+// dropped this machine from its candidates after the larger job, the smaller job would not be placed.
+test('a placement round places a smaller job if a larger job before it found no room, and skips teams at their limit', () => {
   const jobs = [
     { ...jobSpec('req-1', 1), cpus: 6, team: 'blue' },
     { ...jobSpec('req-2', 1), cpus: 6, team: 'blue' },
@@ -69,10 +71,10 @@
   );
 });
 
-// Guards against a round that iterates the block's machines twice with an iterator that is consumed the first
-// time. Such a round found no placed task of the job, and placed tasks in any zone that had to be in the zone
-// of the job's other tasks.
-test('a round keeps colocated and spread jobs to the zones that their placed tasks allow', () => {
+// The round iterates over the block's machines twice: to find candidates, and to count the job's placed tasks
+// by zone. If the second iteration used an iterator that the first one has consumed, it would find no placed
+// tasks. The round would then place tasks of a colocated job outside the zone of the job's other tasks.
+test('a placement round places tasks of colocated and spread jobs only in zones that their placed tasks allow', () => {
   const zonesOf = (overrides: Partial<JobSpec>, placedOn: string[]): string[] => {
     const job = createJobState({ ...jobSpec('req-1', 4), ...overrides });
     const machines = new Map(
@@ -86,14 +88,14 @@
     }
     const placements = runRound([job], machines.values(), {
       teamOf: () => testSettings().teams.get('blue'),
-      // A machine whose zone is not known yet gets no tasks.
+      // No tasks are placed on a machine whose zone is unknown.
       isUsable: (machine) => machine.info.zone !== '',
     });
     return placements.map(({ machine }) => machine.info.zone);
   };
   assert.deepEqual(zonesOf({ colocated: true }, ['m-b']), ['b', 'b', 'b']);
   assert.deepEqual(zonesOf({ spread: true }, ['m-a', 'm-a']), ['b', 'b']);
-  // The zone of the placed task is unknown: it may be either zone.
+  // The zone of the placed task is unknown, so the task may be in either zone.
   assert.deepEqual(zonesOf({ spread: true }, ['m-']), ['a', 'b']);
   assert.deepEqual(zonesOf({ colocated: true }, ['m-']), []);
 });
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,4 +1,7 @@
-/** Chooses machines for waiting tasks. */
+/**
+ * Chooses machines for waiting tasks in a placement round, i.e. one pass over the waiting jobs and the usable
+ * machines of a block. A block is a set of machines that is leased to one controller.
+ */
 import { fits, isZoneConstrained, type JobSpec, type MachineType, type Resources } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import type { JobState, Task } from './job-state.js';
@@ -11,35 +14,38 @@
   now: number;
   /** Jobs with waiting tasks, sorted by the order in which they are to start. */
   jobs: JobState[];
+  /** All machines of the block, or some of them if `isPartial` is true. */
   machines: Iterable<MachineState>;
-  /** Types of which the block has usable spot machines, whether these have free resources or not. */
+  /** Machine types of the block's usable spot machines, including spot machines without free resources. */
   spotTypes: ReadonlySet<string>;
   /**
-   * Whether the round covers only some of the block's machines. Jobs that are colocated or spread over zones
-   * are placed only in rounds over all machines.
+   * Whether `machines` contains only some of the block's machines. Colocated jobs and jobs that are spread
+   * over zones are placed only in rounds over all machines.
    */
   isPartial: boolean;
+  /** The machine types of the cloud, by name. */
   machineTypes: ReadonlyMap<string, MachineType>;
   /**
-   * Returns the team with its limits reduced to this block's share; undefined if the settings do not have the
-   * team.
+   * Returns the team with its limits reduced to this block's share. Undefined if the team is not in the
+   * settings.
    */
   teamOf: (name: string) => Team | undefined;
-  /** Returns the present usage of all teams; the round adds the tasks that it places. */
+  /** Returns the current usage of all teams. The round adds the tasks it places to the returned object. */
   teamUsage: () => TeamUsage;
-  /** Maximum number of tasks to place: as many as one round of commits can record. */
+  /** Maximum number of tasks to place, so that one series of commits can record all of them. */
   maxTasks: number;
+  /** Whether tasks may be placed on the machine. */
   isUsable: (machine: MachineState) => boolean;
 }
 
-/** A machine chosen for a task. */
+/** A task with the machine that the round has chosen for it. */
 export interface Placement {
   task: Task;
   machine: MachineState;
 }
 
 /**
- * A machine that tasks may be placed on, with the resources that are still free at this point of the round.
+ * A machine on which the round may place tasks, with its free resources after the placements made so far.
  */
 interface Candidate {
   readonly machine: MachineState;
@@ -49,20 +55,20 @@
 type PlaceableJob = JobState & { readonly spec: JobSpec };
 
 /**
- * Places tasks by first-fit: each waiting task, in the order of the jobs, goes to the first machine with
- * enough free resources. The tasks are marked as assigned to their machines; the caller has to add them to
- * the machines' own lists of tasks.
+ * Places waiting tasks by first-fit: in the order of the jobs, each task is placed on the first suitable
+ * machine with enough free resources. The tasks are marked as assigned to their machines. The caller has to
+ * add each returned task to `MachineState.tasks` of its machine.
  */
 export function placeTasks(round: PlacementRound): Placement[] {
   const jobs = round.jobs.filter((job) => isPlaceable(job, round));
-  // There is a round for nearly every heartbeat, and most rounds have nothing to place.
+  // A round runs for nearly every heartbeat, and in most rounds no job can be placed.
   if (jobs.length === 0) return [];
   const minNeed = smallestNeed(jobs.map((job) => job.need));
-  // The machines are iterated more than once, and an iterator can be consumed only once.
+  // `round.machines` may be an iterator, which can be consumed only once, but the machines are needed again.
   const machines = [...round.machines];
   const candidates = findCandidates(round, machines, minNeed);
   if (candidates.length === 0) return [];
-  return new RoundInProgress(round, machines, candidates).placeAll(jobs, minNeed);
+  return new TaskPlacer(round, machines, candidates).placeAll(jobs, minNeed);
 }
 
 function isPlaceable(job: JobState, round: PlacementRound): job is PlaceableJob {
@@ -77,8 +83,8 @@
 }
 
 /**
- * The minimum of each resource over all needs. A machine without room for this has no room for any of the
- * tasks.
+ * Returns the minimum of each resource over all needs. A machine without room for this minimum has no room
+ * for any of the tasks.
  */
 function smallestNeed(needs: Resources[]): Resources {
   return {
@@ -88,7 +94,7 @@
   };
 }
 
-/** Usable machines with room for the smallest need, sorted by id. */
+/** Returns the usable machines with free resources of at least `minNeed`, sorted by id. */
 function findCandidates(round: PlacementRound, machines: MachineState[], minNeed: Resources): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of machines) {
@@ -101,7 +107,7 @@
   return candidates.sort((a, b) => (a.machine.id < b.machine.id ? -1 : 1));
 }
 
-class RoundInProgress {
+class TaskPlacer {
   private readonly placements: Placement[] = [];
   private readonly usage: TeamUsage;
 
@@ -118,7 +124,7 @@
       const placedBefore = this.placements.length;
       this.placeJob(job);
       if (this.hasReachedTaskLimit) break;
-      // Removing full machines keeps the round short when the queue is long and few machines have room.
+      // Removing full machines keeps the round short if the queue is long and few machines have room.
       if (this.placements.length > placedBefore)
         this.candidates = this.candidates.filter(({ free }) => fits(minNeed, free));
       if (this.candidates.length === 0) break;
@@ -138,8 +144,8 @@
     let waiting = job.waitingCount;
     let candidateIndex = 0;
     while (waiting > 0 && !this.hasReachedTaskLimit && this.usage.admits(team, job.need)) {
-      // A machine that does not suit one task of the job does not suit the job's next task either: no
-      // resources are freed within a round.
+      // If a machine does not suit one task of the job, it does not suit the job's next task either, because
+      // no resources are freed during a round. So the search continues from the previous index.
       candidateIndex = indexOfSuitable(candidates, candidateIndex, job, tasksByZone);
       const candidate = candidates[candidateIndex];
       const task = candidate && job.nextWaitingTask();
@@ -158,9 +164,9 @@
         (zone === null || zone === info.zone) &&
         (spot || !info.spot),
     );
-    // A job that may use spot machines is not placed on regular machines while the block has usable spot
-    // machines, even if these are full. This keeps the regular machines free for jobs that may not use spot
-    // machines.
+    // If the block has usable spot machines that suit the job, a job that may use spot machines is not placed
+    // on regular machines, even if the spot machines are full. This keeps the regular machines free for jobs
+    // that may not use spot machines.
     const hasSpot = [...this.round.spotTypes].some(
       (type) => machineTypes === null || machineTypes.includes(type),
     );
@@ -179,8 +185,9 @@
 }
 
 /**
- * Sorts machines by how fast they can start the job. A machine that has the image need not fetch it, and a
- * machine whose heartbeat response is held open receives the start command at once.
+ * Sorts machines by how soon they can start a task with this image. Machines that have the image in their
+ * cache come first, because they need not fetch it. Among these and among the others, machines whose
+ * heartbeat response is held open come first, because they can receive the start command immediately.
  */
 function fastestStartFirst(candidates: Candidate[], image: string): Candidate[] {
   const candidatesByRank: Candidate[][] = [[], [], [], []];
@@ -192,8 +199,8 @@
 }
 
 /**
- * Index of the first candidate at or after `start` that suits the next task of the job; the number of
- * candidates if none does.
+ * Returns the index of the first candidate at or after `start` that suits the next task of the job. Returns
+ * the number of candidates if no such candidate exists.
  */
 function indexOfSuitable(
   candidates: Candidate[],
@@ -209,6 +216,10 @@
   return index;
 }
 
+/**
+ * Whether the zone of the candidate is allowed for the next task of the job. At most half of the tasks of a
+ * spread job, rounded up, may be in one zone. All tasks of a colocated job must be in the same zone.
+ */
 function suitsZone(
   { spec }: PlaceableJob,
   { machine }: Candidate,
@@ -221,15 +232,16 @@
 }
 
 /**
- * Whether the zones of the job's tasks depend on each other. A job that only the ledger names has no spec, so
- * it has no known constraint.
+ * Whether the zones of the job's tasks constrain each other, because the job is colocated or spread over
+ * zones. A job that appears only in the ledger has no spec, so no constraint is known.
  */
 function isJobZoneConstrained({ spec }: JobState): boolean {
   return spec !== undefined && isZoneConstrained(spec);
 }
 
 /**
- * Number of the job's tasks that are or may be on machines, by zone; empty for a job without zone constraint.
+ * Counts the job's tasks that are, may be or are about to be on the machines, by zone. Returns an empty map
+ * if the job has no zone constraint.
  */
 function countTasksByZone(job: JobState, machines: MachineState[]): Map<string, number> {
   const tasksByZone = new Map<string, number>();
@@ -242,6 +254,7 @@
   return tasksByZone;
 }
 
+/** Counts the job's tasks that are or may be in the zone, including tasks on machines of unknown zone. */
 function countInZone(tasksByZone: ReadonlyMap<string, number>, zone: string): number {
   return (tasksByZone.get(zone) ?? 0) + (tasksByZone.get(unknownZone) ?? 0);
 }
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -1,4 +1,7 @@
-/** Schedules the placement rounds of a block and the writes of its changes to the store. */
+/**
+ * Schedules the placement rounds of a block, and the writes of the block's changes to the store. A block is a
+ * set of machines that is leased to one controller. A placement round assigns waiting tasks to machines.
+ */
 import { sleep } from '../base/clock.js';
 import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { MachineType } from '../model/types.js';
@@ -14,29 +17,37 @@
 export interface SchedulerPorts
   extends Omit<LedgerWriterPorts, 'onCommitSettled'>, Omit<JobCompletionPorts, 'onOutcomeSettled'> {
   commits: LedgerWriterPorts['commits'];
+  /** Returns the machine types of the cloud, by name. */
   machineTypes: () => ReadonlyMap<string, MachineType>;
 }
 
-/** Requests that arrive within this time are handled by one round. */
+/** Time in ms for which requests for a placement round are collected. One round handles all of them. */
 const requestBatchingMs = 100;
 /**
- * Minimum number of rounds per heartbeat interval. Rounds are needed even without requests, since machines
- * become usable and retry back-offs end with time alone.
+ * Minimum number of placement rounds per heartbeat interval. Rounds are needed even without requests, because
+ * retry back-offs end and machines become usable without an event that requests a round.
  */
 const roundsPerHeartbeat = 4;
-/** One round places at most as many tasks as this many transactions have writes. */
+/**
+ * Maximum number of tasks that one round places, in transactions. Each transaction counts as its maximum
+ * number of writes.
+ */
 const transactionsPerRound = 8;
-/** A machine whose latest heartbeat is older than this many heartbeat intervals gets no tasks. */
+/**
+ * Maximum age of a machine's latest heartbeat, in heartbeat intervals. If the heartbeat is older, no tasks
+ * are placed on the machine.
+ */
 const maxHeartbeatAgeIntervals = 1.6;
 
 /**
- * Places waiting tasks and writes the state of the block to the store; a task's intent is committed before
- * the task starts.
+ * Places waiting tasks on machines of the block, and writes the state of the block to the store. The intent
+ * of a task, i.e. its assignment to a machine, is committed to the ledger before the start command is sent.
  */
 export class Scheduler {
   private readonly trigger = new RoundTrigger();
+  /** Monotonic time in ms at which the latest round over all machines began. */
   private lastRoundAt = -Infinity;
-  /** Types of the block's usable spot machines as of the last round over all machines. */
+  /** Machine types of the block's usable spot machines, determined by the latest round over all machines. */
   private spotTypes: ReadonlySet<string> = new Set();
   private readonly writer: LedgerWriter;
   private readonly completion: JobCompletion;
@@ -51,23 +62,24 @@
     this.completion = new JobCompletion({ ...ports, onOutcomeSettled: () => this.requestRound() });
   }
 
-  /** Requests a round over all machines, because a change may let a task start. The round follows shortly. */
+  /** Requests a round over all machines. Called after changes that may allow waiting tasks to be placed. */
   requestRound(): void {
     this.trigger.request();
   }
 
   /**
-   * Runs a round for one machine at once, so that the response to its heartbeat can carry its start commands.
+   * Runs a placement round for one machine immediately, so that the response to the machine's heartbeat can
+   * contain the start commands. Does nothing if the lease has ended or the store is failing.
    */
   placeOn(machine: MachineState): void {
     const { signal, store, blockState } = this.ports;
     if (signal.aborted || store.failing) return;
     if (blockState.waitingJobs().length > 0 && this.hasRoom(machine)) this.placeWaitingTasks([machine]);
-    // Changes from the heartbeat are written when their pages are due; most heartbeats bring no changes.
+    // Changes from the heartbeat are written if their pages are due. Most heartbeats cause no changes.
     if (blockState.ledger.hasUnwrittenChanges) this.writeChanges();
   }
 
-  /** Whether the machine is usable and has free CPUs and free memory. */
+  /** Whether tasks may be placed on the machine, and some of its CPUs and memory are free. */
   hasRoom(machine: MachineState): boolean {
     const type = this.ports.machineTypes().get(machine.info.type);
     if (!type || !this.isUsable(machine)) return false;
@@ -76,19 +88,21 @@
   }
 
   /**
-   * Settles once the commits under way have decided which of the tasks being placed may start, or after
-   * `withinMs`.
+   * Waits until none of the tasks has an uncommitted intent, but not longer than `maxWaitMs` milliseconds.
    */
-  waitForCommits(tasks: () => Iterable<Task>, withinMs: number): Promise<void> {
-    return waitForIntentCommits(tasks, withinMs, this.ports.clock);
+  waitForCommits(tasks: () => Iterable<Task>, maxWaitMs: number): Promise<void> {
+    return waitForIntentCommits(tasks, maxWaitMs, this.ports.clock);
   }
 
-  /** Runs rounds over all machines until the lease of the block ends. Called once. */
+  /**
+   * Runs placement rounds over all machines, and writes the changes of the block, until the lease of the
+   * block ends. Called once.
+   */
   async run(): Promise<void> {
     const { signal } = this.ports;
     while (!this.hasLeaseEnded()) {
       await sleep(requestBatchingMs, signal);
-      if (!this.trigger.isRequested) await this.trigger.wait(this.nextRoundMs(), signal);
+      if (!this.trigger.isRequested) await this.trigger.wait(this.nextRoundDelayMs(), signal);
       if (this.hasLeaseEnded()) return;
       if (this.isRoundDue()) {
         this.startRound();
@@ -100,7 +114,7 @@
     }
   }
 
-  /** Checked after each pause, since the signal may fire during any of them. */
+  /** Has to be checked after each `await`, because the lease may end during the wait. */
   private hasLeaseEnded(): boolean {
     return this.ports.signal.aborted;
   }
@@ -119,10 +133,10 @@
   }
 
   /**
-   * Time until the next round in ms. It is shorter while intents wait to be committed or completions are
-   * being gathered for a write.
+   * Returns the time in ms after which `run` continues even if no round is requested: the round interval, or
+   * less if intents wait to be committed or completions are being collected for a deferred write.
    */
-  private nextRoundMs(): number {
+  private nextRoundDelayMs(): number {
     const { blockState, store } = this.ports;
     const writeWaitMs = Math.max(requestBatchingMs, store.writeWaitMs('duty'));
     if (blockState.ledger.hasUrgentWrites && !store.failing)
@@ -131,7 +145,7 @@
     return Math.min(this.roundIntervalMs, this.writer.nextCheckMs);
   }
 
-  /** Places waiting tasks on the given machines, by default on all machines of the block. */
+  /** Runs a placement round over the given machines, by default over all machines of the block. */
   private placeWaitingTasks(machines?: MachineState[]): void {
     const { blockState, clock, settings, machineTypes } = this.ports;
     if (!machines) this.spotTypes = this.usableSpotTypes();
@@ -161,7 +175,10 @@
     return types;
   }
 
-  /** Commits outcomes before ledger pages, since users and dependent jobs wait for outcomes. */
+  /**
+   * Starts the commits that are due. Commits of job outcomes are started before commits of ledger pages,
+   * because users and dependent jobs wait for the outcomes.
+   */
   private writeChanges(): void {
     if (!this.writer.canCommit) return;
     this.completion.checkCompletedJobs();
