--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -110,7 +110,10 @@
     return this.options.block;
   }
 
-  /** Store version of the latest block record that was applied; 0 before the first one. */
+  /**
+   * Version of the block's record that was applied last, i.e. the store revision of the record's latest
+   * change; 0 before a record is applied.
+   */
   get version(): number {
     return this.blockVersion;
   }
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -55,7 +55,10 @@
     this.maxOutcomesInFlight = Math.max(1, Math.floor(changes / writesPerOutcome));
   }
 
-  /** Commits the outcome of each completed job of the block, and removes each idle ended job. */
+  /**
+   * Commits the outcome of each completed job of the block, and removes each ended job without tasks on
+   * machines.
+   */
   checkAllJobs(): void {
     for (const job of this.ports.blockState.jobs.values()) this.commitOutcomeOrRemove(job);
   }
@@ -88,8 +91,8 @@
 
   /**
    * Whether all tasks of the job are done, including tasks in other blocks. The progress in other blocks is
-   * read from this controller's replica of the store. The replica may lag, but it never reports a task as
-   * done too early, and a completed task stays completed.
+   * read from this controller's replica of the store. The replica may lag, but this is safe, because a
+   * completed task stays completed.
    */
   private isCompleteInAllBlocks(job: JobState): boolean {
     if (job.hasAllTasks) return true;
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -14,7 +14,7 @@
 /** An open job, i.e. a job without an outcome. */
 export interface IndexedJob extends JobRecord {
   id: string;
-  /** Store version of the job's record. */
+  /** Version of the job's record, i.e. the store revision of its latest change. */
   version: number;
   /** Monotonic time in ms at which this index first contained the job as ready. */
   readySeenAt: number;
--- a/src/placement/job-recorder.ts
+++ b/src/placement/job-recorder.ts
@@ -75,7 +75,7 @@
     };
   }
 
-  /** Returns the tasks of the chunk whose intent, i.e. the assignment to a machine, is not committed yet. */
+  /** Returns the tasks of the chunk in phase `placing`, i.e. whose intent is not committed yet. */
   placingTasksOf(chunk: number): Task[] {
     return [...this.tasksOf(chunk)].filter((task) => task.phase === 'placing');
   }
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -72,7 +72,10 @@
   team: string;
   /** Resources that one task uses on its machine. They also count towards the team's limit. */
   need: Resources;
-  /** Store version of the job's record; 0 if the record has been deleted. */
+  /**
+   * Version of the job's record, i.e. the store revision of its latest change; 0 if the record has been
+   * deleted.
+   */
   version: number;
   owner: OwningBlock;
 }
@@ -106,7 +109,7 @@
   readonly team: string;
   readonly need: Resources;
   readonly recorder: TaskRecorder;
-  /** Store version of the job record that was applied last; 0 if the record has been deleted. */
+  /** Version of the job's record that was applied last; 0 if the state was created without a record. */
   version: number;
   /**
    * Version of the job's record for which the store has reported a commit conflict. No task of the job is
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -48,6 +48,7 @@
  * heartbeats and the tasks assigned to it. Times are monotonic, in ms, unless stated otherwise.
  */
 export class MachineState {
+  /** Properties from the block's record; type and zone are empty if the record has not listed the machine. */
   info: MachineInfo;
   /**
    * Fencing token sent with each command to the machine's worker. The worker ignores commands with a lower
@@ -57,7 +58,8 @@
   /** Address of the machine's worker, from its latest heartbeat; empty before the first one. */
   address = '';
   /**
-   * Agent epoch of the latest heartbeat. The epoch increases with each start of the worker process.
+   * Agent epoch of the latest heartbeat. The epoch increases each time the worker's lease expires, which ends
+   * all tasks of the worker.
    */
   agentEpoch = 0;
   /** Sequence number of the latest heartbeat. It increases with each heartbeat within an agent epoch. */
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -186,8 +186,8 @@
 
 /**
  * Sorts machines by how soon they can start a task with this image. Machines that have the image in their
- * cache come first, because they need not fetch it. Among these and among the others, machines whose
- * heartbeat response is held open come first, because they can receive the start command immediately.
+ * cache come first, because they need not fetch it. Of two machines that are equal in this respect, a machine
+ * whose heartbeat response is held open comes first, because it can receive the start command immediately.
  */
 function fastestStartFirst(candidates: Candidate[], image: string): Candidate[] {
   const candidatesByRank: Candidate[][] = [[], [], [], []];
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -40,8 +40,8 @@
 const maxHeartbeatAgeIntervals = 1.6;
 
 /**
- * Places waiting tasks on machines of the block, and writes the state of the block to the store. The intent
- * of a task, i.e. its assignment to a machine, is committed to the ledger before the start command is sent.
+ * Places waiting tasks on machines of the block, and writes the state of the block to the store. A task
+ * attempt is committed to the ledger, as an intent, before its start command is sent.
  */
 export class Scheduler {
   private readonly trigger = new RoundTrigger();
