--- a/src/placement/heartbeat-findings.ts
+++ b/src/placement/heartbeat-findings.ts
@@ -1,32 +1,40 @@
-/** Applies the findings of a heartbeat to the state of a block. */
+/**
+ * Applies findings, which are facts about tasks that a machine's heartbeat proves, to the state of a block.
+ */
 import { type JobState, keyOfTask, type Task } from './job-state.js';
 import type { MachineState } from './machine-state.js';
 import type { Finding } from './reconciliation.js';
 
-/** The state of the block that a finding is applied to. */
+/** The state of the block to which findings are applied. */
 export interface FindingTarget {
-  /** Makes a task wait again; may be called only if it is proven that the task is on no machine. */
+  /** Returns a task to phase `waiting`. May be called only if it is proven that the task is on no machine. */
   unassign(task: Task): void;
-  /** Returns the machine to which the task is assigned, if the block has this machine. */
+  /**
+   * Returns the machine to which the task is assigned; undefined if the task waits or the machine does not
+   * belong to the block.
+   */
   machineOf(task: Task): MachineState | undefined;
-  /** Called when all tasks of the job that belong to this block are done. */
+  /** Called when all of the job's tasks that belong to this block are done. */
   markJobCompleted(job: JobState): void;
   /** Initial retry back-off of a job in ms, after the first failure of one of its tasks. */
   readonly initialRetryBackoffMs: number;
 }
 
-/** Causes that are failures of the machine or the job, and not results of a controller's command. */
+/**
+ * Reported causes that count as failures. They are failures of the machine or the job, and not results of a
+ * controller's command.
+ */
 const failureCauses: ReadonlySet<string> = new Set(['error']);
-/** The cause that a worker reports when it refuses a start because it does not know the job or the task. */
+/** Cause that a worker reports if it rejects a start command because it cannot find the job or the task. */
 const unknownTaskCause = 'no_such';
 
 /**
- * Applies one finding of a heartbeat.
+ * Applies one finding from a heartbeat to the block and to the machine.
  *
  * @param target the state of the block
  * @param machine the machine that sent the heartbeat
  * @param finding the finding to apply
- * @param now steady time in ms
+ * @param now monotonic time in ms
  */
 export function applyFinding(
   target: FindingTarget,
@@ -58,8 +66,8 @@
 
 function applyTaskCompleted(target: FindingTarget, job: JobState, index: number, now: number): void {
   const task = job.tasks.get(index);
-  // If the leader has recalled the task in the meantime, the task remains assigned to its machine until this
-  // block has the task again.
+  // If the leader has taken the task back from this block in the meantime, `finishTask` returns false. The
+  // task then remains assigned to its machine until it belongs to this block again.
   if (!job.finishTask(index, now)) return;
   if (job.isComplete) target.markJobCompleted(job);
   if (task) target.machineOf(task)?.tasks.delete(keyOfTask(task));
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -1,4 +1,4 @@
-/** Reports classes of jobs that miss their objectives. */
+/** Determines which job classes miss their objectives. */
 import type { Objective } from '../settings/settings.js';
 import type { QueuedJob } from './queue-order.js';
 
@@ -9,18 +9,19 @@
   objective: string;
   /** Number of open jobs of the class. */
   open: number;
-  /** Number of these jobs that have missed the objective. */
+  /** Number of these open jobs that have missed the objective. */
   late: number;
 }
 
 /**
- * Shares are decimal fractions, so the number of jobs that they allow to be late may have a rounding error.
+ * Tolerance in jobs. The share of an objective is a decimal fraction, so the computed number of jobs that may
+ * be late can have a rounding error.
  */
 const shareTolerance = 1e-6;
 
 /**
- * Returns the classes that miss their objectives at `now`, the time of day in ms. Their purpose is to alert
- * people on call before users complain.
+ * Returns the job classes that miss an objective, so that people on call can be alerted before users
+ * complain. `now` is the wall-clock time in ms since the epoch.
  */
 export function lateClasses(
   objectives: Iterable<Objective>,
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -1,6 +1,4 @@
-/**
- * Indexes the ledger entries of all blocks by job, as this controller's replica of the store contains them.
- */
+/** Indexes the ledger entries of all blocks by job, as read from this controller's replica of the store. */
 import { groupBy } from '../base/group-by.js';
 import { rangesSize } from '../base/ranges.js';
 import type { JobSpec, Resources } from '../model/types.js';
@@ -8,7 +6,10 @@
 import { type LedgerEntry, parseLedgerPage } from '../wire/ledger-records.js';
 import { dropSupersededEntries } from './superseded-entries.js';
 
-/** A ledger entry with its block: the tasks of a job, or of one chunk of it, that this block has recorded. */
+/**
+ * A ledger entry with the number of its block. The entry records the tasks of one job, or of one chunk (a
+ * range of consecutive tasks) of the job.
+ */
 export interface IndexedEntry extends LedgerEntry {
   /** Number of the block. */
   block: number;
@@ -24,23 +25,25 @@
   machine: string;
 }
 
-/** Number of tasks of a job that are done, and number of its tasks that are or may be on machines. */
+/** Number of a job's tasks that are done, and number of its tasks that are or may be on machines. */
 export interface JobProgress {
   done: number;
   active: number;
 }
 
 /**
- * The ledger entries of all blocks. A changed page is parsed at the first query after the change; if it has
- * changed several times since the last query, only its latest version is parsed.
+ * The ledger entries of all blocks. In its ledger, the owner of a block records the block's tasks; each page
+ * of the ledger is one value in the store. A changed page is parsed at the first query after the change. If
+ * the page has changed several times since the previous query, only its latest version is parsed.
  */
 export class LedgerIndex {
   /**
-   * Values of the pages that have changed since the last query, by key; undefined if the page was deleted.
+   * Values of the pages that have changed since the previous query, by page key. The value of a deleted page
+   * is undefined.
    */
   private readonly changedPages = new Map<string, unknown>();
   private readonly entriesByPage = new Map<string, IndexedEntry[]>();
-  /** Entries by job. The entries of an ended job remain until its tasks have left their machines. */
+  /** Entries by job id. The entries of an ended job remain until its tasks have left their machines. */
   private readonly entriesByJob = new Map<string, Set<IndexedEntry>>();
   private cachedLoads: Map<string, Resources> | undefined;
 
@@ -52,12 +55,15 @@
     this.cachedLoads = undefined;
   }
 
-  /** Replaces a page of some block's ledger; `undefined` as the value removes the page. */
+  /** Replaces a page of a block's ledger. If `value` is undefined, the page is removed. */
   setPage(key: string, value: unknown): void {
     this.changedPages.set(key, value);
   }
 
-  /** The entries that all blocks have recorded for the job, without tasks that smaller entries supersede. */
+  /**
+   * Returns the job's entries from the ledgers of all blocks. If several entries of a block cover the same
+   * task, only the entry with the smallest chunk size contains the task in the result.
+   */
   entriesOf(id: string): Iterable<IndexedEntry> {
     this.parseChangedPages();
     const entries = this.entriesByJob.get(id);
@@ -65,7 +71,7 @@
     return haveSameChunkSize(entries) ? entries : newestEntriesOfEachBlock(entries);
   }
 
-  /** All tasks that are or may be on machines, including tasks of ended jobs. */
+  /** Yields all tasks that are or may be on machines, including tasks of ended jobs. */
   *activeTasks(): Iterable<ActiveTask> {
     this.parseChangedPages();
     for (const id of this.entriesByJob.keys()) {
@@ -75,14 +81,17 @@
     }
   }
 
-  /** Resources that the tasks on each machine use, by machine; machines without tasks are not included. */
+  /**
+   * Returns the resources that the tasks on each machine use, by machine id. Machines without tasks are not
+   * included.
+   */
   machineLoads(): ReadonlyMap<string, Resources> {
     this.parseChangedPages();
     this.cachedLoads ??= this.sumLoads();
     return this.cachedLoads;
   }
 
-  /** Progress of the job in one block, or in all blocks if no block is given. */
+  /** Returns the progress of the job in one block, or in all blocks if no block is given. */
   progress(id: string, block?: number): JobProgress {
     let done = 0;
     let active = 0;
@@ -136,7 +145,10 @@
   return { cpus, accelerators, memoryGb };
 }
 
-/** Parses a page. A key that does not name a block yields no entries: no controller writes such a key. */
+/**
+ * Parses a page. If the key of the page does not contain a block number, the result is empty; no controller
+ * writes such a key.
+ */
 function parseEntries(key: string, value: unknown): IndexedEntry[] {
   const parsedKey = parseLedgerKey(key);
   if (!parsedKey) return [];
@@ -147,7 +159,10 @@
   }));
 }
 
-/** Called for each job many times in a placement round, so it does not allocate memory. */
+/**
+ * Returns true if all entries have the same chunk size. The function does not allocate memory, because it is
+ * called many times for each job in a placement round.
+ */
 function haveSameChunkSize(entries: ReadonlySet<IndexedEntry>): boolean {
   let first: IndexedEntry | undefined;
   for (const entry of entries) {
--- a/src/placement/ledger-layout.test.ts
+++ b/src/placement/ledger-layout.test.ts
@@ -22,7 +22,10 @@
 });
 const compactLayout = ledgerLayout(settings, true);
 
-/** A page as version 67f789d writes it: two chunks of 288 tasks, without the number of tasks of a chunk. */
+/**
+ * A page as version 67f789d writes it. It has two chunks of 288 tasks, and its entries do not contain the
+ * number of tasks per chunk.
+ */
 const legacyPage = [
   [
     ...[id, 0, 'red', 2, 0, 2],
@@ -57,7 +60,7 @@
   return blockState;
 }
 
-/** The state of all tasks of the job in a comparable form. */
+/** Returns the state of all tasks of the job in a form that can be compared. */
 function jobContentOf(blockState: BlockState): unknown {
   const job = blockState.jobs.get(id);
   const startedTasks = [...(job?.tasks.values() ?? [])].filter((task) => task.attempt > 0);
@@ -77,16 +80,16 @@
 }
 
 describe('a ledger written by an earlier version', () => {
-  test('keeps its layout until every controller can read the new one, and if no smaller value limit is to come', () => {
+  test('keeps its layout if some controller cannot read the new layout, or if the settings announce no smaller value limit', () => {
     assert.equal(ledgerLayout(settings, false).isLegacy, true);
     assert.equal(ledgerLayout(testSettings(), true).isLegacy, true);
     assert.equal(compactLayout.isLegacy, false);
     assert.ok(compactLayout.pageBytes <= 1024);
   });
 
-  // Guards against tasks that are lost from the ledger, and started again, while it contains entries of two
-  // chunk sizes. If the owner of the block stops between any two commits, the stored ledger must still
-  // describe the same tasks.
+  // During the conversion to a new layout, the stored ledger contains entries of two chunk sizes. The owner
+  // of the block can stop between any two commits, and the next owner then loads this ledger. If some tasks
+  // were missing from it, the next owner would start them again.
   test('is converted to the new layout page by page and describes the same tasks after every commit', async () => {
     const store = await storeWithLegacyPage();
     const before = jobContentOf(await loadBlockState(store, ledgerLayout(settings, false)));
@@ -118,11 +121,11 @@
     assert.deepEqual(await loadIndexedProgress(store), { done: 143, active: 101, machines: 101 });
   });
 
-  test('is superseded by smaller entries, also if these record less progress', async () => {
+  test('is superseded by entries with a smaller chunk size, even if these entries record less progress', async () => {
     const store = await storeWithLegacyPage();
     const blockState = await loadBlockState(store, compactLayout);
     const job = blockState.jobs.get(id);
-    // The machine of task 150 is terminated before the first page is written in the new layout.
+    // The machine of task 150 is terminated before any page is written in the new layout.
     for (const task of blockState.removeTerminated('vm-100')) assert.equal(task.phase, 'waiting');
     assert.equal(job?.activeCount, 91);
     for (const page of [...blockState.ledger.pages.values()].slice(0, 4)) {
@@ -133,7 +136,7 @@
     assert.equal(reloaded.jobs.get(id)?.tasks.get(150)?.phase, 'waiting');
   });
 
-  test('keeps its chunk size if its entries are smaller than the settings require', async () => {
+  test('keeps its chunk size if its entries cover fewer tasks than the layout from the settings requires', async () => {
     const store = await storeWithLegacyPage();
     const value = [[id, 0, 'red', 2, 0, 2, [3, 1], [], [], [0, 2], 10, ['vm-', 1]]];
     await store.commit('duty', [], [{ put: ledgerKey(0, 0), value }]);
--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -1,4 +1,4 @@
-/** Computes the layout of a ledger: the size of its pages and the number of tasks for each entry. */
+/** Computes the layout of a block's ledger: the size of its pages and the number of tasks in each entry. */
 import type { Settings } from '../settings/settings.js';
 import {
   compactTasksPerChunk,
@@ -7,15 +7,18 @@
   plainTasksPerChunk,
 } from '../wire/ledger-records.js';
 
-/** The layout of one block's ledger. */
+/**
+ * The layout of one block's ledger. The owner of the block records the block's tasks in entries, and each
+ * page of entries is one value in the store.
+ */
 export interface LedgerLayout {
   /** Maximum size of a page in the store, in bytes. */
   pageBytes: number;
   /** Number of consecutive tasks of a job that are recorded in one entry. */
   chunkTasks: number;
   /**
-   * True if earlier versions use this layout too: entries then do not have to contain the number of tasks
-   * they cover.
+   * True if earlier versions use the same layout. Entries of this layout do not contain the number of tasks
+   * that they cover.
    */
   isLegacy: boolean;
 }
@@ -23,19 +26,22 @@
 type LayoutSettings = Pick<Settings, 'state' | 'controllers'>;
 
 /**
- * A value is split into pages only if a controller's equal share of the write rate allows this many writes
- * per second for each page.
+ * Minimum number of writes per second for each page. Pages are made smaller than the maximum size of a value
+ * only if a controller's equal share of the write rate allows this many writes per second for each page.
  */
 const minWritesPerSecondPerPage = 8;
-/** With more pages, the additional writes would cost more than the smaller reads save. */
+/**
+ * Maximum number of pages into which the size of a value is divided. With more pages, the cost of additional
+ * writes would exceed the savings from smaller reads.
+ */
 const maxPagesPerValue = 8;
-/** A value is not split into pages with space for fewer than this many chunks of this many tasks. */
+/** Minimum capacity of a page: each page has space for at least this many chunks of this many tasks. */
 const minPageContent = { chunks: 4, tasksPerChunk: 16 };
 
 /**
- * Returns the number of pages into which a value is split. Every controller reads every changed page, so
- * small pages cost less if the store admits enough writes. If the store admits few writes, one page has to
- * hold a whole placement round.
+ * Returns the number of pages into which the maximum size of a value is divided. Every controller reads every
+ * changed page, so small pages reduce the cost of reads if the write rate of the store is high enough. If the
+ * write rate is low, one page has to hold all intents of a placement round.
  */
 function pagesPerValue(
   { state, controllers }: LayoutSettings,
@@ -47,7 +53,10 @@
   return Math.max(1, Math.min(maxPagesBySize, maxPagesByWriteRate));
 }
 
-/** The layout of earlier versions, which do not take coming limits of the state service into account. */
+/**
+ * Returns the layout of earlier versions, which do not take announced limits of the state service into
+ * account.
+ */
 function legacyLayout(settings: LayoutSettings): LedgerLayout {
   const { presentValueBytes } = settings.state;
   const pageBytes = presentValueBytes / pagesPerValue(settings, presentValueBytes, minPageBytes);
@@ -58,8 +67,8 @@
  * Returns the ledger layout for these settings.
  *
  * @param settings limits of the state service and the number of controllers
- * @param upgraded whether all controllers can read entries that contain the number of tasks they cover. If
- *   not, the layout of earlier versions is used.
+ * @param upgraded true if all controllers can read entries that contain the number of tasks they cover. If it
+ *   is false, the layout of earlier versions is returned.
  */
 export function ledgerLayout(settings: LayoutSettings, upgraded: boolean): LedgerLayout {
   const legacy = legacyLayout(settings);
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes the pages of a block's ledger to the store: intents immediately, and changes that workers would
- * report again in their heartbeats later, when a transaction has space for them.
+ * Writes the pages of a block's ledger to the store. An intent (a task attempt that has to be committed
+ * before its start command is sent) is written immediately. A change that workers would report again in their
+ * heartbeats is written later, when a transaction has space for it.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
@@ -18,20 +19,25 @@
 import { type PageSnapshot, snapshotPage } from './page-snapshot.js';
 
 /**
- * Minimum delay of deferred writes, as the number of writes that a controller's equal share of the write rate
- * admits in this time.
+ * Minimum delay of deferred writes, expressed as a number of writes. The delay is the time in which a
+ * controller's equal share of the write rate admits this many writes.
  */
 const minDelayWrites = 4;
-/** The same for each page in use: with many pages, the delay admits this many writes for each of them. */
+/**
+ * Minimum delay of deferred writes if many pages are in use. In this time, a controller's equal share of the
+ * write rate admits this many writes for each page in use.
+ */
 const delayWritesPerPage = 1 / 2;
 /** Minimum delay of deferred writes, in heartbeat intervals. */
 const minDelayHeartbeats = 1 / 8;
 /**
- * One commit of a page may place tasks of at most this many jobs for each write that a transaction can hold.
- * This uses half of the conditions that a transaction can hold.
+ * Maximum number of jobs whose tasks one commit of a page may place, for each write that a transaction can
+ * hold. These jobs use at most half of the conditions that a transaction can hold.
  */
 const maxJobsPerTransactionOp = 2;
-/** Delay between a failed deletion of a retired page and the next read of it, in heartbeat intervals. */
+/**
+ * Delay between a failed deletion of a retired page and the next read of its version, in heartbeat intervals.
+ */
 const retryDelayHeartbeats = 1 / 4;
 
 /** Dependencies of the ledger writer. */
@@ -44,30 +50,36 @@
   blockState: BlockState;
   /** Aborted when the lease of the block ends. */
   signal: AbortSignal;
-  /** Called after the commit of a page was applied or has failed; writes what changed during the commit. */
+  /**
+   * Called after a commit of a page was applied or has failed, so that changes made during the commit are
+   * written.
+   */
   onCommitSettled: () => void;
 }
 
-/** One commit of a page, with the state at its start that is needed to process the outcome. */
+/** A commit of one page, with the state at the start of the commit that is needed to process its outcome. */
 interface PageCommit {
   page: LedgerPage;
   key: string;
   snapshot: PageSnapshot;
-  /** The condition of the commit on the version of the block's record. */
+  /** Condition of the commit on the version of the block's record. */
   blockCondition: Condition;
-  /** Versions of the records of the jobs whose tasks the commit places; conditions of the commit as well. */
+  /**
+   * Versions of the records of the jobs whose tasks the commit places. The commit is conditioned on these
+   * versions too.
+   */
   jobVersions: ReadonlyMap<JobState, number>;
-  /** Attempt number, at the start of the commit, of each task that the commit places. */
+  /** Attempt number of each task that the commit places, as of the start of the commit. */
   attempts: ReadonlyMap<Task, number>;
 }
 
 /**
  * Writes the changes of the block's state to the ledger pages in the store. Every commit is conditioned on
- * the versions of the block's record and of the page, so that only the owner of the block can make it. It is
- * also conditioned on the versions of the records of the jobs whose tasks it places.
+ * the versions of the block's record and of the page, so that only commits of the block's owner are applied.
+ * A commit is also conditioned on the versions of the records of the jobs whose tasks it places.
  */
 export class LedgerWriter {
-  /** The version of the block's record for which the store last reported a commit conflict. */
+  /** Version of the block's record that the store has most recently rejected as a commit condition. */
   private rejectedBlockVersion: number | undefined;
 
   constructor(private readonly ports: LedgerWriterPorts) {}
@@ -79,15 +91,15 @@
 
   /**
    * Whether a commit can be sent without waiting for the rate limit. The block's record changes often, so a
-   * commit that waited would fail with a conflict. This is also false after a conflict on the block's record,
-   * until a newer version of the record has been read.
+   * commit that waited would fail with a conflict. After a conflict on the block's record, the result is
+   * false until a newer version of the record has been read.
    */
   get canCommit(): boolean {
     const { blockState, store } = this.ports;
     return blockState.version !== this.rejectedBlockVersion && store.writeWaitMs('duty') === 0;
   }
 
-  /** Starts the commits of all pages that are due. May be called only while `canCommit` is true. */
+  /** Starts the commits of all pages that are due. May be called only if `canCommit` is true. */
   writePages(): void {
     const { blockState, commits } = this.ports;
     const pages = [...blockState.ledger.pages.values()].filter((page) => !page.isCommitting);
@@ -100,9 +112,9 @@
   }
 
   /**
-   * Time in ms for which completions are collected before a page is written only to record them. If the store
-   * admits few writes, or the ledger has many pages, these deferred writes must not delay the commits of
-   * intents.
+   * Returns the time in ms for which completions are collected before a page is written only to record them.
+   * The delay is longer if the store admits few writes or the ledger has many pages, so that deferred writes
+   * do not delay the commits of intents.
    */
   private deferredWriteDelayMs(pageCount: number): number {
     const { heartbeatIntervalMs, controllers, state } = this.ports.settings;
@@ -112,8 +124,9 @@
   }
 
   /**
-   * Writes at most as many deferred pages as fit into the next transaction: more of them would delay pages
-   * that become urgent afterwards.
+   * Starts the commits of deferred pages that are due, with the oldest changes first. The number of these
+   * commits is limited to the free space of the next transaction, because more of them would delay pages that
+   * need an immediate write afterwards.
    */
   private writeDeferredPages(pages: LedgerPage[]): void {
     const { blockState, commits, clock, settings } = this.ports;
@@ -168,7 +181,10 @@
     return { key: blockKey(block), version };
   }
 
-  /** Commits a page. Only after this commit has confirmed an intent may the start be sent to the machine. */
+  /**
+   * Commits a page. The start command of a task may be sent to its machine only after this commit has
+   * confirmed the task's intent.
+   */
   private async commitPage(page: LedgerPage): Promise<void> {
     const { commits, blockState, signal, store, log, onCommitSettled } = this.ports;
     try {
@@ -183,7 +199,7 @@
       page.isCommitting = false;
       if (outcome.kind === 'applied') this.confirmCommit(commit, outcome.revision);
       else await this.recoverFromFailedCommit(commit, outcome);
-      // Pages that became dirty during the commit are written immediately.
+      // The callback starts the writes of pages that became dirty during the commit.
       if (!signal.aborted && !store.failing) onCommitSettled();
     } catch (error) {
       logUnexpectedFailure(log, 'commit of a ledger page', error);
@@ -210,16 +226,18 @@
   }
 
   /**
-   * Conditions of the commit. The record of a job is deleted when the job ends, so a condition on its version
-   * guarantees that the job is open and that its tasks are still assigned to blocks as this controller has
-   * read it.
+   * Returns the conditions of the commit. The record of a job changes if the leader assigns the job's tasks
+   * to other blocks, and it is deleted when the job ends. So a condition on its version guarantees that the
+   * job is open and that the assignment of its tasks is the one that this controller has read.
    */
   private conditionsOf({ page, key, blockCondition, jobVersions }: PageCommit): Condition[] {
     const openJobs = [...jobVersions].map(([job, version]) => ({ key: jobKey(job.id), version }));
     return [blockCondition, { key, version: page.version }, ...openJobs];
   }
 
-  /** Postpones the commit of a page that is too large: it is written after enough of its tasks are done. */
+  /**
+   * Postpones the commit of a page that is too large. The page is written after enough of its tasks are done.
+   */
   private postponePage(page: LedgerPage): void {
     const { clock, log } = this.ports;
     page.discardBuiltEntries();
@@ -236,8 +254,8 @@
     page.version = revision;
     blockState.ledger.markWritten(snapshot.chunks);
     for (const task of snapshot.placing) {
-      // The machine may have been removed during the commit and another one chosen. This commit does not
-      // cover that attempt.
+      // If the machine was removed during the commit, the task may have been placed again as a new attempt.
+      // This commit does not contain the new attempt.
       if (task.phase !== 'placing' || task.attempt !== attempts.get(task)) continue;
       task.phase = 'placed';
       blockState.machineOf(task)?.sendHeldResponse?.();
@@ -258,26 +276,27 @@
   }
 
   /**
-   * Withdraws the intents of jobs whose records have changed: the job has ended, or the leader has dispatched
-   * its tasks again. No start of these intents was sent to a worker.
+   * Withdraws the intents of jobs whose records have changed because the job has ended or the leader has
+   * dispatched its tasks again. No start command for these intents has been sent to a worker.
    */
   private withdrawRejectedIntents({ snapshot, jobVersions }: PageCommit, failedKeys: string[]): void {
     for (const task of snapshot.placing) {
       const { job } = task;
       if (!failedKeys.includes(jobKey(job.id))) continue;
-      // Stores the version that had the conflict, not the current one: a newer version may have been read
-      // already.
+      // The rejected version is the version on which the commit was conditioned. `job.version` may be newer,
+      // because a newer version of the record may have been read during the commit.
       job.rejectedVersion = jobVersions.get(job);
       if (task.phase === 'placing') this.ports.blockState.unassign(task);
     }
   }
 
   /**
-   * Updates the version of the page after a commit that had a conflict on the page or whose outcome is
-   * unknown. After a malformed commit, waits for one heartbeat interval instead. While this controller owns
-   * the block, only this controller writes the page. So the version in the store is from one of its own
-   * commits, and the next commit is conditioned on it. An earlier commit that is still in transit then fails,
-   * since it is conditioned on an older version.
+   * Reads the version of the page from the store after a commit that had a conflict on the page or whose
+   * outcome is unknown. After a malformed commit, waits for one heartbeat interval instead.
+   *
+   * While this controller owns the block, no other controller writes the page. So the version in the store
+   * was written by a commit of this controller, and the next commit is conditioned on this version. An
+   * earlier commit that is still in transit then fails, because it is conditioned on an older version.
    */
   private async refreshPageVersion({ page, key }: PageCommit, outcome: CommitOutcome): Promise<void> {
     const { signal, log, settings } = this.ports;
@@ -310,7 +329,7 @@
   private logReadFailure(key: string, error: unknown): void {
     this.ports.log.debug(
       { event: 'page-read-failed', key, err: error },
-      'could not read a ledger page; its last known version is kept',
+      'could not read a ledger page; its version stays unchanged for the next commit or deletion',
     );
   }
 }
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -1,4 +1,7 @@
-/** The ledger of a block: pages in the store in which the block's owner records the tasks it has started. */
+/**
+ * In-memory form of a block's ledger, which consists of the pages in the store in which the block's owner
+ * records the tasks that it has started.
+ */
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
 import type { RecordingPage, WriteUrgency } from './task-recorder.js';
@@ -16,7 +19,7 @@
   placingTasksOf(chunk: number): Task[];
 }
 
-/** A range of consecutive tasks of a job that is recorded in one ledger entry. */
+/** A range of consecutive tasks of a job that are recorded in one ledger entry. */
 export interface Chunk {
   readonly builder: EntryBuilder;
   /** Number of the chunk within its job, counted from 0. */
@@ -24,40 +27,46 @@
   readonly page: LedgerPage;
   /** Bytes of the page that are reserved for the entry of this chunk. */
   readonly reservedBytes: number;
-  /** The entry as it was last built; undefined if a task of the chunk has changed since. */
+  /**
+   * The most recently built entry; undefined if it has to be rebuilt, for example because a task has changed.
+   */
   entry: LedgerEntry | undefined;
-  /** Size of the last built entry, in bytes. */
+  /** Upper bound of the size of the most recently built entry, in bytes. */
   entryBytes: number;
-  /** Tasks in phase `placing` that the last built entry contains. */
+  /**
+   * Tasks in phase `placing` that the most recently built entry contains; empty after a snapshot for a commit
+   * has included them.
+   */
   placing: Task[];
   /**
-   * Indices of the tasks that the last built entry records as done; empty once a snapshot for a commit
-   * includes them.
+   * Indices of the tasks that the most recently built entry records as done; empty after a snapshot for a
+   * commit has included them.
    */
   done: number[];
 }
 
-/** One page of a ledger: a single value of the store that holds entries of several jobs. */
+/** One page of a ledger. A page is one value in the store and can hold entries of several jobs. */
 export class LedgerPage implements RecordingPage {
   /** Version of the page in the store; 0 if the store does not contain the page. */
   version = 0;
   /** How soon the page has to be written; undefined if it has no unwritten changes. */
   writeUrgency: WriteUrgency | undefined;
-  /** Steady time in ms since which the page has had unwritten changes. */
+  /** Monotonic time in ms since which the page has had unwritten changes. */
   dirtySince = 0;
   /**
-   * True while a commit of the page is in progress or its version is being read: no other commit may start.
+   * True while a commit of the page is in progress or the version of the page is being read. Another commit
+   * of the page must not start during this time.
    */
   isCommitting = false;
-  /** Settles when the most recently started commit of the page is finished. */
+  /** Settles when the most recently started commit of the page has finished. */
   commit: Promise<void> = Promise.resolve();
-  /** Sum of the bytes reserved for the entries of the chunks on this page. */
+  /** Total number of bytes that are reserved for the entries of the chunks on this page. */
   reservedBytes = 0;
   readonly chunks = new Set<Chunk>();
 
   constructor(readonly index: number) {}
 
-  /** Schedules the page to be written. Of two urgencies the higher one applies. */
+  /** Schedules a write of the page. If an immediate write is already scheduled, it stays immediate. */
   markDirty(urgency: WriteUrgency, now: number): void {
     if (this.writeUrgency === undefined) this.dirtySince = now;
     if (this.writeUrgency !== 'immediate') this.writeUrgency = urgency;
@@ -68,30 +77,30 @@
     if (this.chunks.delete(chunk)) this.reservedBytes -= chunk.reservedBytes;
   }
 
-  /** Discards all built entries, so that the next commit rebuilds each of them. */
+  /** Discards all built entries, so that the next commit rebuilds every entry of the page. */
   discardBuiltEntries(): void {
     for (const chunk of this.chunks) chunk.entry = undefined;
   }
 }
 
 /**
- * A stored page whose entries have another chunk size than the current layout. It is deleted from the store
- * after smaller entries on other pages record all of its tasks.
+ * A stored page that contains an entry with a chunk size other than that of the current layout. The page is
+ * deleted from the store after smaller entries on other pages record all of its tasks.
  */
 export interface RetiredPage {
   readonly index: number;
   /** Version of the page in the store. */
   version: number;
-  /** Chunks with tasks of this page that have not been written to another page yet. */
+  /** Chunks that contain tasks of this page and have not been written to another page yet. */
   readonly unwrittenChunks: Set<Chunk>;
   /** True while the deletion of the page is in progress. */
   isBeingDeleted: boolean;
 }
 
 /**
- * The ledger of one block. A chunk is assigned to a page when it first has something to record, and stays on
- * that page. The page reserves bytes for the growth of the chunk's entry, so that the page does not exceed
- * the size of a value in the store.
+ * The ledger of one block. A chunk is assigned to a page when a change of one of its tasks has to be recorded
+ * for the first time, and stays on that page. The page reserves bytes for the growth of the chunk's entry, so
+ * that the page does not exceed its maximum size in the store.
  */
 export class Ledger {
   readonly pages = new Map<number, LedgerPage>();
@@ -100,7 +109,7 @@
   /** @param pageBytes maximum size of a page in the store, in bytes */
   constructor(readonly pageBytes: number) {}
 
-  /** True if some page has an immediate write for which no commit has been started. */
+  /** True if some page needs an immediate write and no commit of this page is in progress. */
   get hasUrgentWrites(): boolean {
     for (const page of this.pages.values())
       if (page.writeUrgency === 'immediate' && !page.isCommitting) return true;
@@ -120,14 +129,17 @@
     return count;
   }
 
-  /** Returns the page with this number; creates it if it does not exist. */
+  /** Returns the page with this number, and creates the page if it does not exist. */
   page(index: number): LedgerPage {
     let page = this.pages.get(index);
     if (!page) this.pages.set(index, (page = new LedgerPage(index)));
     return page;
   }
 
-  /** Retires a stored page with another chunk size: it is kept until other pages record its tasks. */
+  /**
+   * Marks a stored page as retired because the chunk size of its entries differs from that of the layout. The
+   * page is kept until other pages record all of its tasks.
+   */
   retirePage(index: number, version: number): void {
     this.retiredPages.set(index, { index, version, unwrittenChunks: new Set(), isBeingDeleted: false });
   }
@@ -138,8 +150,8 @@
    * @param builder builds the entry of the chunk
    * @param index number of the chunk within its job
    * @param reservedBytes bytes to reserve for the entry of the chunk
-   * @param storedPage the page on which the store already has the chunk; by default the first page with
-   *   enough space
+   * @param storedPage the page that contains the chunk in the store; by default the first page with enough
+   *   space
    */
   addChunk(builder: EntryBuilder, index: number, reservedBytes: number, storedPage?: LedgerPage): Chunk {
     const page = storedPage ?? this.pageWithSpaceFor(reservedBytes);
@@ -165,7 +177,10 @@
     return this.page(index);
   }
 
-  /** Marks the chunks as recorded in the store, or as no longer needing a record. */
+  /**
+   * Removes the chunks from the unwritten chunks of all retired pages, because their tasks are now recorded
+   * on other pages or no longer have to be recorded.
+   */
   markWritten(chunks: Iterable<Chunk>): void {
     if (this.retiredPages.size === 0) return;
     for (const chunk of chunks) {
@@ -174,7 +189,8 @@
   }
 
   /**
-   * Retired pages whose tasks are all stored on other pages, without pages that are already being deleted.
+   * Returns the retired pages whose tasks are all stored on other pages. Pages that are already being deleted
+   * are not included.
    */
   deletableRetiredPages(): RetiredPage[] {
     return [...this.retiredPages.values()].filter(
--- a/src/placement/page-snapshot.test.ts
+++ b/src/placement/page-snapshot.test.ts
@@ -8,8 +8,8 @@
 import { Ledger } from './ledger.js';
 import { snapshotPage } from './page-snapshot.js';
 
-// Guards against a block whose owner can no longer write its ledger because a page exceeds the size of a
-// value.
+// If a page exceeded the maximum size of a value, the store would reject every commit of the page, and the
+// owner of the block could no longer write its ledger.
 test('each page of the ledger fits into one value of the store, however many tasks the block runs', () => {
   const ledger = new Ledger(valueBytes);
   for (let i = 0; i < 40; i++)
@@ -27,21 +27,23 @@
   assert.equal(tasks, 40 + (8 * 39 * 40) / 2 + 3000);
 });
 
-test('one commit of a page places tasks of at most as many jobs as a transaction can be conditioned on', () => {
+test('one commit of a page places tasks of no more than the given maximum number of jobs', () => {
   const ledger = new Ledger(valueBytes);
   const jobs = ['req-1', 'req-2', 'req-3'].map((id) => createJobState(jobSpec(id, 2), ledger));
   for (const job of jobs) placeAll(job, 'vm-1');
   const page = ledger.page(0);
   const snapshot = snapshotPage(page, 2, (task) => task.job.unassignTask(task, 0));
   assert.deepEqual([...new Set(snapshot.placing.map((task) => task.job.id))], ['req-1', 'req-2']);
-  // The unassigned tasks are recorded as waiting after their first attempt; the next commit can place them.
+  // The tasks of req-3 were unassigned, so their entry records them as waiting after the first attempt. The
+  // next commit can place them.
   assert.deepEqual(snapshot.entries[2]?.active, []);
   assert.equal(jobs[2]?.waitingCount, 2);
 });
 
-// Guards against a page that the store refuses permanently: the reserved space of a compact entry covers its
-// tasks only while they are on no machine, and tasks on machines need more space.
-test('a page of compact entries admits only tasks that fit, and admits more when tasks are done', () => {
+// The space reserved for a compact entry is sufficient only if its tasks are on no machine, because tasks on
+// machines need more space. If all tasks were placed anyway, the page would become too large and the store
+// would reject it permanently.
+test('a page of compact entries accepts only placed tasks that fit, and accepts more after tasks are done', () => {
   const ledger = new Ledger(600);
   const layout = { chunkTasks: 20, isLegacy: false };
   const [firstJob, secondJob] = [
@@ -49,7 +51,7 @@
     createJobState(jobSpec('req-2', 20), ledger, layout),
   ];
   for (const [i, job] of [firstJob, secondJob].entries()) {
-    // Each machine name is different and cannot be shortened to a number.
+    // Every task is on a machine with a different name, and these names cannot be shortened to numbers.
     for (let task = job.nextWaitingTask(); task; task = job.nextWaitingTask())
       job.placeTask(task, `machine-${i}-${task.index}-x`, 0);
   }
--- a/src/placement/page-snapshot.ts
+++ b/src/placement/page-snapshot.ts
@@ -1,16 +1,19 @@
-/** Builds the content of a ledger page for one commit. */
+/**
+ * Builds the content of a ledger page (one value in the store that records tasks of a block) for one commit.
+ */
 import { type LedgerEntry, maxEntryBytes } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
 import type { Chunk, LedgerPage } from './ledger.js';
 
 /**
- * The content that a commit writes to a page, and the task changes that take effect if the commit is applied.
+ * The content that one commit writes to a page, and the tasks whose state changes if the commit is applied.
  */
 export interface PageSnapshot {
   chunks: Chunk[];
   entries: LedgerEntry[];
   /**
-   * Upper bound of the size of the entries: measuring them for each commit would cost more than writing them.
+   * Upper bound of the size of the entries in bytes. The exact size is not used, because measuring it for
+   * each commit would cost more than writing the entries.
    */
   bytes: number;
   /** Tasks whose phase changes from `placing` to `placed` if the commit is applied. */
@@ -20,14 +23,14 @@
 }
 
 /**
- * Returns the content of the page for the next commit. A commit can be conditioned on a limited number of
- * jobs, and a page has a maximum size. Tasks in phase `placing` that exceed one of these limits are passed to
- * `unassign`, so that they are placed again later. A task on a machine needs more space than a done task. So
- * the result can temporarily exceed `maxBytes` even without tasks in phase `placing`.
+ * Returns the content of the page for the next commit. A commit can be conditioned on the records of only a
+ * limited number of jobs, and a page has a maximum size. Tasks in phase `placing` that exceed one of these
+ * limits are passed to `unassign`, so that they are placed again later. A task on a machine needs more space
+ * than a done task. So the result can temporarily exceed `maxBytes` even without tasks in phase `placing`.
  *
  * @param page the page to write
  * @param maxJobs maximum number of jobs whose tasks the commit may place
- * @param unassign makes a task wait again
+ * @param unassign returns a task to phase `waiting`
  * @param maxBytes maximum size of the page in bytes
  */
 export function snapshotPage(
@@ -53,8 +56,8 @@
 }
 
 /**
- * Unassigns the `placing` tasks of chunks, beginning with the last chunk, until the entries fit into
- * `maxBytes`. Returns the resulting size in bytes.
+ * Unassigns the tasks in phase `placing` chunk by chunk, beginning with the last chunk of the page, until the
+ * entries fit into `maxBytes`. Returns the resulting upper bound of the size in bytes.
  */
 function limitBytes(page: LedgerPage, maxBytes: number, unassign: (task: Task) => void): number {
   let bytes = 0;
--- a/src/placement/queue-order.test.ts
+++ b/src/placement/queue-order.test.ts
@@ -33,16 +33,16 @@
   return new QueueOrder(objectives).sorted(jobs, (job) => job, nowS * 1000).map(({ spec }) => spec.id);
 }
 
-// Guards against a burst that makes every job late: in the order of arrival, every job waits for the whole
-// backlog.
-test('small jobs start before large ones, but a large job starts before its objective has passed', () => {
+// During a burst of submissions, more jobs wait than can start. If jobs were started in order of arrival,
+// each job would wait for the whole backlog, and every job would be late.
+test('small jobs start before large jobs, but a large job starts before small jobs that arrive much later', () => {
   const large = queuedJob('req-1', 90, 0);
   const small = (acceptedS: number): QueuedJob => queuedJob('req-2', 10, acceptedS);
   assert.deepEqual(ids([large, small(1)], 2), ['req-2', 'req-1']);
   assert.deepEqual(ids([large, small(50)], 50), ['req-1', 'req-2']);
 });
 
-test('starving jobs start before jobs that can meet an objective, and these before jobs that cannot', () => {
+test('starved jobs start first, then jobs that can still meet an objective, then jobs that have missed all objectives', () => {
   const late = queuedJob('req-1', 5, 0);
   const fresh = queuedJob('req-2', 50, 80);
   assert.deepEqual(ids([late, fresh], 81), ['req-2', 'req-1']);
@@ -56,8 +56,8 @@
   assert.deepEqual(ids([later, soon, urgent], 1), ['req-3', 'req-1', 'req-2']);
 });
 
-// Guards against starting the newest jobs first: on a busy day half of the jobs waited until the end of the
-// burst.
+// If an objective of a few seconds were used, only the newest jobs could still meet it, so these jobs would
+// start first. With this order, half of the jobs of a busy day waited until the end of the burst.
 test('an objective of a few seconds does not put new jobs before jobs that have waited slightly longer', () => {
   const shortWaitObjectives = [
     { ...objectives[0], kind: 'wait', jobClass: 'quick', withinS: 4 } as (typeof objectives)[number],
@@ -74,14 +74,15 @@
   );
 });
 
-test('a class is reported as late once more of its open jobs miss an objective than the objective allows', () => {
+test('a job class is reported as late if more of its open jobs miss an objective than the objective allows', () => {
   const waiting = (id: string, acceptedS: number): QueuedJob => queuedJob(id, 3, acceptedS);
   const jobs = [...Array(9).keys()].map((i) => waiting(`req-${i}`, 50));
   const allowed = [...jobs, waiting('req-9', 0)];
   assert.deepEqual(lateClasses(objectives, allowed, 61_000), []);
   const late = { jobClass: 'quick', objective: 'wait 60 s', open: 11, late: 2 };
   assert.deepEqual(lateClasses(objectives, [...allowed, waiting('req-10', 0)], 61_000), [late]);
-  // A job whose tasks are all on machines no longer waits; a deadline counts as long as the job is open.
+  // A wait objective does not apply to a job whose tasks are all on machines. A deadline applies until the
+  // job ends.
   const started = { ...queuedJob('req-1', 0, 0), started: true };
   assert.deepEqual(lateClasses(objectives, [started], 61_000), []);
   const due = queuedJob('req-1', 0, 0, { jobClass: 'due', deadlineS: 40 });
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -1,32 +1,33 @@
-/** The order in which waiting jobs are to start. */
+/** Sorts waiting jobs into the order in which they are to start. */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { urgencyRanks } from '../model/urgency.js';
 import type { Objective } from '../settings/settings.js';
 
 /**
- * A job with no started task is sorted first after it has waited for this many seconds: every job has to
- * start within four minutes.
+ * A job without a started task is sorted before other jobs of its urgency after it has waited for this many
+ * seconds, because every job has to start within four minutes.
  */
 const starvedAfterS = 150;
-/**
- * A job that has started but still has waiting tasks is sorted first after this multiple of `starvedAfterS`.
- */
+/** Factor by which `starvedAfterS` is multiplied for a job that has started but still has waiting tasks. */
 const starvedStartedFactor = 2;
 
-/** What a job's dependencies and dependents imply for its place in the queue. */
+/** Values for the sort order of a job that are derived from its dependencies and its dependents. */
 export interface DependencyFacts {
   /**
-   * Time of day in ms from which the job's waiting time and objectives count; its deadline counts from
-   * submission.
+   * Wall-clock time in ms since the epoch from which the job's waiting time and objectives count. Its
+   * deadline counts from submission instead.
    */
   readyAt: number;
   /** The highest urgency of the job and of all its dependents. */
   urgency: Urgency;
-  /** Time of day in ms by which the job has to end so that all its dependents can meet their deadlines. */
+  /**
+   * Wall-clock time in ms since the epoch by which the job has to end so that all its dependents can meet
+   * their deadlines.
+   */
   endBy: number | undefined;
 }
 
-/** The facts of a job without dependencies and dependents. */
+/** Returns the facts of a job that has neither dependencies nor dependents. */
 export function withoutDependencies(spec: JobSpec): DependencyFacts {
   return { readyAt: spec.acceptedAt, urgency: spec.urgency, endBy: undefined };
 }
@@ -35,38 +36,40 @@
 export interface QueuedJob {
   spec: JobSpec;
   dependencyFacts: DependencyFacts;
-  /** Number of tasks that have yet to start. */
+  /** Number of the job's tasks that wait to start. */
   waiting: number;
-  /** Whether any task has started. */
+  /** Whether any task of the job has started. */
   started: boolean;
 }
 
-/** Within an urgency, jobs of a lower tier start first. */
+/** Tiers of the sort order. Among jobs of equal urgency, jobs of a lower tier start first. */
 const tiers = { starved: 0, canMeetObjective: 1, hasMissedObjectives: 2 } as const;
 
-/** Sort keys are compared field by field, in this order. */
+/** The values by which a job is sorted, compared field by field in this order. */
 interface SortKey {
   urgencyRank: number;
   tier: number;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch at which the job is due to start. */
   dueAt: number;
   id: string;
 }
 
 /**
- * Sorts jobs by urgency, then by tier, then by due time. Among jobs of equal urgency, those that can still
- * meet their next objective come first, with small jobs before large ones. While there is more work than
- * room, this lets most jobs meet their objectives and a few wait, whereas the order of arrival would make all
- * of them late. A large job is due by the end of the time that its objective leaves. Jobs that have missed
- * all their objectives come after the others, but starved jobs come first, so that no job is left without any
- * start.
+ * Sorts jobs by urgency, then by tier, then by due time. Among jobs of equal urgency, starved jobs come
+ * first, so that no job is left without a started task. Jobs that can still meet an objective come next, with
+ * small jobs before large jobs. Jobs that have missed all their objectives come last.
+ *
+ * If there is more work than the machines can run, this order lets most jobs meet their objectives, and only
+ * a few jobs wait. If jobs were sorted in order of arrival, all of them would be late. A large job is due by
+ * the end of the time that its objective leaves for the start.
  */
 export class QueueOrder {
   private readonly objectivesByClass = new Map<string, Objective[]>();
 
   /**
-   * `minWindowMs`: objectives that leave no more than this time for the start are ignored if others leave
-   * more.
+   * @param objectives the objectives of all job classes
+   * @param minWindowMs an objective that leaves no more than this time in ms for the start of a job is
+   *   ignored if another objective of the job leaves more
    */
   constructor(
     objectives: Objective[],
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Returns the items sorted by the order in which their jobs are to start. `now` is the time of day in ms,
-   * the time base of job timestamps.
+   * Returns the items sorted by the order in which their jobs are to start. `now` is the wall-clock time in
+   * ms since the epoch; the timestamps of jobs have the same time base.
    */
   sorted<T>(items: Iterable<T>, toJob: (item: T) => QueuedJob, now: number): T[] {
     const queued = [...items].map((item) => ({ item, job: toJob(item) }));
@@ -92,7 +95,7 @@
         const mean = meanWaiting.get(job.dependencyFacts.urgency) ?? 1;
         return { item, sortKey: this.sortKey(job, mean, now) };
       })
-      .sort((a, b) => compare(a.sortKey, b.sortKey))
+      .sort((a, b) => compareSortKeys(a.sortKey, b.sortKey))
       .map(({ item }) => item);
   }
 
@@ -107,30 +110,31 @@
     const windows = this.startWindowsS(spec, dependencyFacts);
     const nextWindow = windows.find((windowS) => windowS >= ageS);
     const tier = nextWindow === undefined ? tiers.hasMissedObjectives : tiers.canMeetObjective;
-    // The larger the job compared with the mean, the later it is due within the time that its objective
-    // leaves.
+    // The larger the job is compared with the mean of its urgency, the later it is due within its start
+    // window.
     const sizeShare = waiting / Math.max(1, waiting + meanWaiting);
     const dueAt = readyAt + (nextWindow ?? windows.at(-1) ?? 0) * 1000 * sizeShare;
     return { urgencyRank, tier, dueAt, id };
   }
 
   /**
-   * The time after `readyAt` within which the job's tasks have to start to meet each objective, in seconds,
-   * shortest first.
+   * Returns the start windows of the job in seconds, shortest first. A start window is the time after
+   * `readyAt` within which the job's tasks have to start to meet one objective.
    */
   private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyFacts): number[] {
     const { estimatedRunS, deadlineS } = spec;
-    // A deadline counts from submission, including the time for which the job waited for its dependencies.
+    // A deadline counts from submission and so includes the time for which the job waited for its
+    // dependencies.
     const waitedS = (readyAt - spec.acceptedAt) / 1000;
     const objectives = this.objectivesByClass.get(spec.jobClass) ?? [];
     const windows = objectives.flatMap((objective) => startWindowS(objective, spec, waitedS) ?? []);
     if (endBy !== undefined) windows.push((endBy - readyAt) / 1000 - estimatedRunS);
-    // Without an objective, a job is due in time for its deadline. Without a deadline, it is due once its
-    // estimated run time has passed.
+    // A job without objectives is due in time to meet its deadline. A job with neither objectives nor a
+    // deadline is due after its estimated run time has passed.
     if (windows.length === 0)
       windows.push(deadlineS === null ? estimatedRunS : deadlineS - waitedS - estimatedRunS);
-    const meaningful = windows.filter((windowS) => windowS * 1000 > this.minWindowMs);
-    return (meaningful.length > 0 ? meaningful : windows).sort((a, b) => a - b);
+    const usableWindows = windows.filter((windowS) => windowS * 1000 > this.minWindowMs);
+    return (usableWindows.length > 0 ? usableWindows : windows).sort((a, b) => a - b);
   }
 }
 
@@ -147,8 +151,8 @@
 }
 
 /**
- * Seconds after `readyAt` within which the job has to start to meet the objective; undefined if the objective
- * does not constrain the start.
+ * Returns the time in seconds after `readyAt` within which the job has to start to meet the objective;
+ * undefined if the objective does not constrain the start.
  */
 function startWindowS(
   { kind, withinS, times }: Objective,
@@ -161,7 +165,7 @@
   return undefined;
 }
 
-function compare(x: SortKey, y: SortKey): number {
+function compareSortKeys(x: SortKey, y: SortKey): number {
   return x.urgencyRank - y.urgencyRank || x.tier - y.tier || x.dueAt - y.dueAt || compareIds(x.id, y.id);
 }
 
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * Compares a worker's heartbeat with the intended tasks of its machine, and derives findings and commands
- * from it.
+ * Compares a worker's heartbeat with the tasks that are intended to be on its machine, and derives findings
+ * and commands for the worker from the differences.
  */
 import {
   type Heartbeat,
@@ -13,9 +13,9 @@
 import type { MachineState } from './machine-state.js';
 
 /**
- * A fact about a task that a heartbeat proves; no finding depends on a timer. `completed`: some attempt of
- * the task has completed. `left`: the attempt has ended without completing, or is not on the machine. `seen`:
- * the attempt is on the machine.
+ * A fact about a task that is proven by a heartbeat; no finding is derived from a time-out. `completed`: some
+ * attempt of the task has completed. `left`: the present attempt of the task has ended without completing, or
+ * is not on the machine. `seen`: the present attempt is on the machine.
  */
 export type Finding =
   | { kind: 'completed'; job: JobState; index: number }
@@ -23,10 +23,10 @@
   | { kind: 'seen'; task: Task; running: boolean };
 
 /**
- * How a heartbeat is classified. `stale`: a later heartbeat of the worker has been processed. `outranked`:
- * the worker has received a higher fencing token than the machine's present one. `unreconciled`: the worker
- * has not received the present fencing token yet. `reconciled`: the worker has received it. The reported
- * tasks are used only in a `reconciled` heartbeat.
+ * Classification of a heartbeat. `stale`: a later heartbeat of the worker has already been processed.
+ * `outranked`: the worker has received a fencing token that is higher than the machine's present token.
+ * `unreconciled`: the worker has not received the present token yet. `reconciled`: the worker has received
+ * the present token. The reported tasks are used only if the heartbeat is `reconciled`.
  */
 export type Verdict = 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
 
@@ -37,21 +37,24 @@
   commands: WorkerCommand[];
 }
 
-/** The state, other than that of the machine, that determines the commands for the worker. */
+/** The state, besides that of the machine, from which the commands for the worker are derived. */
 export interface ReconciliationInputs {
-  /** Steady time in ms. */
+  /** Monotonic time in ms. */
   now: number;
   /** The jobs of the block, by job id. */
   jobs: ReadonlyMap<string, JobState>;
-  /** False while no task may be started, for example without contact to the state service. */
+  /**
+   * False if no task may be started, for example because the controller has no contact to the state service.
+   */
   mayStart: boolean;
 }
 
 const noResources: Resources = { cpus: 0, accelerators: 0, memoryGb: 0 };
 
 /**
- * Updates the state of the machine, including its orphaned tasks, from the heartbeat. The consequences for
- * tasks are not applied but returned as findings, which the caller has to apply.
+ * Updates the state of the machine from the heartbeat, including the list of orphaned tasks (reported tasks
+ * that are not intended to be on the machine). The states of tasks are not changed. Instead, the changes are
+ * returned as findings, which the caller has to apply.
  */
 export function reconcile(
   machine: MachineState,
@@ -74,12 +77,14 @@
 }
 
 /**
- * Updates the attributes of the machine from the heartbeat. Changes nothing if the heartbeat is stale, or if
- * the worker has received a higher fencing token because another controller owns the machine.
+ * Updates the attributes of the machine from the heartbeat and returns the verdict. Changes nothing if the
+ * heartbeat is stale, or if the worker has received a higher fencing token because another controller owns
+ * the machine.
  */
 function acceptHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): Verdict {
   if (heartbeat.fencingToken > machine.fencingToken) return 'outranked';
-  // A network partition delayed this heartbeat and a later one arrived first: its task list is out of date.
+  // A later heartbeat has been processed before this one, for example because a network partition delayed
+  // this heartbeat. So its list of tasks is out of date.
   if (!isNewer(heartbeat, machine)) return 'stale';
   machine.agentEpoch = heartbeat.agentEpoch;
   machine.sequence = heartbeat.sequence;
@@ -88,7 +93,8 @@
   machine.hasSentHeartbeat = true;
   machine.address = heartbeat.address;
   machine.preemptionNoticeS = heartbeat.preemptionNoticeS;
-  // Until the worker has received the present token, it may still accept a command of an earlier owner.
+  // Until the worker has received the machine's present token, it may still accept a command from an earlier
+  // owner of the machine.
   machine.reconciled = heartbeat.fencingToken === machine.fencingToken;
   return machine.reconciled ? 'reconciled' : 'unreconciled';
 }
@@ -99,7 +105,7 @@
   );
 }
 
-/** Groups the reported attempts by task: a worker may report several attempts of the same task. */
+/** Groups the reported attempts by task, because a worker may report several attempts of the same task. */
 function groupByTask(reported: ReportedTask[]): Map<string, ReportedTask[]> {
   const byTask = new Map<string, ReportedTask[]>();
   for (const task of reported) {
@@ -123,7 +129,7 @@
 
 function reconcileReportedAttempt(task: Task, reported: ReportedTask, result: Reconciliation): void {
   if (reported.state === 'ended') {
-    // `reconcileEndedTask` handles completions, for all attempts of the task.
+    // Completions are handled by `reconcileEndedTask`, for all attempts of the task.
     if (reported.cause !== 'done') result.findings.push({ kind: 'left', task, cause: reported.cause });
     return;
   }
@@ -135,7 +141,7 @@
 }
 
 /**
- * Handles a task whose present attempt is missing in the heartbeat. A start command is sent only in the
+ * Handles a task whose present attempt is missing from the heartbeat. A start command is sent only in the
  * response to a heartbeat, and the worker finishes processing this response before it sends the next
  * heartbeat. So a reconciled heartbeat without the attempt proves that the attempt is not on the machine.
  */
@@ -186,8 +192,8 @@
 ): void {
   const isOpen = job !== undefined && job.outcome === undefined;
   if (isOpen && cause === 'done' && !job.isDoneCommitted(index)) {
-    // The task is complete whichever attempt completed it. The worker keeps the attempt until the completion
-    // is committed.
+    // A task is complete if any of its attempts has completed. The worker keeps the attempt until it receives
+    // a `forget` command, which is sent only after the completion is committed.
     if (!job.isDone(index)) result.findings.push({ kind: 'completed', job, index });
     return;
   }
--- a/src/placement/round-trigger.test.ts
+++ b/src/placement/round-trigger.test.ts
@@ -3,10 +3,10 @@
 
 import { RoundTrigger } from './round-trigger.js';
 
-/** Longer than any test may take, so only an event other than the time-out can end the wait. */
+/** Longer than any test may take, so that the wait cannot end because of its time-out. */
 const longWaitMs = 600_000;
 
-test('a request ends the wait for the next round and stays pending until a round begins', async () => {
+test('a request ends the wait for the next placement round and stays pending until the round begins', async () => {
   const trigger = new RoundTrigger();
   assert.equal(trigger.isRequested, true);
   trigger.clear();
@@ -18,7 +18,7 @@
   assert.equal(trigger.isRequested, false);
 });
 
-test('the end of the lease ends the wait for the next round without requesting a round', async () => {
+test('the end of the block’s lease ends the wait for the next placement round without requesting a round', async () => {
   const trigger = new RoundTrigger();
   trigger.clear();
   const lease = new AbortController();
--- a/src/placement/round-trigger.ts
+++ b/src/placement/round-trigger.ts
@@ -1,33 +1,35 @@
-/** Signals that a placement round of a block is requested. */
+/** Signals requests for placement rounds, in which waiting tasks of a block are assigned to machines. */
 import { onAbort } from '../base/abort-callbacks.js';
 import { timer } from '../base/clock.js';
 
 /**
- * Collects requests for placement rounds. All requests before the start of a round are handled by that round.
- * The first round is requested from the start.
+ * Collects requests for the placement rounds of one block. A round handles all requests that were made before
+ * it begins. The first round is requested when the trigger is created.
  */
 export class RoundTrigger {
   private requested = true;
-  /** Ends the wait in progress; undefined while nothing waits. */
+  /** Ends the wait in progress; undefined if no wait is in progress. */
   private wake: (() => void) | undefined;
 
-  /** Whether a round has been requested since the last round began. */
+  /** Whether a placement round has been requested since the previous round began. */
   get isRequested(): boolean {
     return this.requested;
   }
 
-  /** Requests a round, because a change may let a task start. */
+  /** Requests a placement round. Called after a change that may allow a task to start. */
   request(): void {
     this.requested = true;
     this.wake?.();
   }
 
-  /** Marks all requests so far as handled, because a round begins. */
+  /** Marks all previous requests as handled. Called when a placement round begins. */
   clear(): void {
     this.requested = false;
   }
 
-  /** Settles after `ms`, or as soon as a round is requested or the signal fires. */
+  /**
+   * Settles after `ms` milliseconds, or earlier if a placement round is requested or the signal is aborted.
+   */
   async wait(ms: number, signal: AbortSignal): Promise<void> {
     const timeUp = timer(ms);
     const stopListening = onAbort(signal, () => this.wake?.());
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -1,4 +1,7 @@
-/** Reads the ledger of a block from the controller's replica of the store. */
+/**
+ * Reads the ledger of a block (the pages in which its owner records tasks) from the controller's replica of
+ * the store.
+ */
 import { groupBy } from '../base/group-by.js';
 import type { StoreReplica } from '../store/store-replica.js';
 import { ledgerPrefix, parseLedgerKey } from '../wire/keys.js';
@@ -7,7 +10,7 @@
 import type { LedgerLayout } from './ledger-layout.js';
 import { chunkTasksOf, dropSupersededEntries } from './superseded-entries.js';
 
-/** A page of the ledger as the replica of the store contains it. */
+/** A page of a block's ledger as read from the replica of the store. */
 export interface StoredPage {
   /** Number of the page within the ledger of the block. */
   index: number;
@@ -22,7 +25,7 @@
   page: StoredPage;
 }
 
-/** Returns the pages of the ledger of one block. */
+/** Returns the ledger pages of one block. */
 export function storedPages(replica: Pick<StoreReplica, 'entriesWithPrefix'>, block: number): StoredPage[] {
   const pages: StoredPage[] = [];
   for (const [key, { value, version }] of replica.entriesWithPrefix(ledgerPrefix(block))) {
@@ -33,8 +36,9 @@
 }
 
 /**
- * Adds the stored pages to the ledger. A page that contains an entry with another chunk size than the layout
- * is retired: its tasks have to be recorded again in entries of this layout.
+ * Adds the stored pages to the ledger. If a page contains an entry whose chunk size differs from that of the
+ * layout, the page is retired, and its tasks have to be recorded again in entries with the chunk size of the
+ * layout.
  */
 export function addStoredPages(ledger: Ledger, pages: StoredPage[], layout: LedgerLayout): void {
   const chunkTasks = layout.isLegacy ? Infinity : layout.chunkTasks;
@@ -44,7 +48,10 @@
   }
 }
 
-/** Yields the entries of all pages, without the tasks that entries with a smaller chunk size cover. */
+/**
+ * Yields the entries of all pages. A task that is also covered by an entry with a smaller chunk size is
+ * omitted from the larger entry.
+ */
 export function* newestEntries(pages: StoredPage[]): Iterable<StoredEntry> {
   const stored = pages.flatMap((page) => page.entries.map((entry) => ({ entry, page })));
   for (const jobEntries of groupBy(stored, ({ entry }) => entry.id).values()) {
@@ -61,9 +68,9 @@
 }
 
 /**
- * Returns the layout with its chunk size reduced to that of the smallest stored chunk, if that is smaller.
- * The chunk size never increases: the smaller stored entries would supersede the larger entries that were
- * written to replace them.
+ * Returns the layout, with the chunk size of the smallest stored chunk if that is smaller. The chunk size
+ * never increases, because the smaller stored entries would supersede the larger entries that were written to
+ * replace them.
  */
 export function keepStoredChunkSize(layout: LedgerLayout, pages: StoredPage[]): LedgerLayout {
   const sizes = pages.flatMap(({ entries }) => entries.map(chunkTasksOf));
--- a/src/placement/superseded-entries.ts
+++ b/src/placement/superseded-entries.ts
@@ -9,17 +9,17 @@
 }
 
 /**
- * Number of tasks that the entry covers; Infinity for entries of earlier versions, which do not contain this
- * number.
+ * Returns the number of tasks that the entry covers; Infinity for an entry of an earlier version, which does
+ * not contain this number.
  */
 export function chunkTasksOf({ chunkTasks }: Pick<LedgerEntry, 'chunkTasks'>): number {
   return chunkTasks ?? Infinity;
 }
 
 /**
- * Returns the entries of one job in one block, without the tasks that entries with a smaller chunk size
- * cover. A ledger is converted to smaller entries one entry at a time, and each smaller entry contains the
- * complete state of its tasks.
+ * Returns the entries of one job in one block. A task that is covered by an entry with a smaller chunk size
+ * is removed from the larger entries. The smaller entry is valid because a ledger is converted to smaller
+ * entries one entry at a time, and each smaller entry contains the complete state of its tasks.
  */
 export function dropSupersededEntries<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -1,8 +1,8 @@
-/** Tracks how much of their limits teams use. */
+/** Tracks the resources that teams use and checks them against the limits of the teams. */
 import { type Resources, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 
-/** The resources that team limits apply to. */
+/** The kinds of resources that are limited for each team. */
 export interface LimitedResources {
   cpus: number;
   accelerators: number;
@@ -12,24 +12,27 @@
 export class TeamUsage {
   private readonly usageByTeam = new Map<string, LimitedResources>();
 
-  /** The usage of the team; the returned object reflects later additions. */
+  /** Returns the usage of the team. Later calls of `add` change the returned object. */
   usedBy(team: string): LimitedResources {
-    let entry = this.usageByTeam.get(team);
-    if (!entry) {
-      entry = { cpus: 0, accelerators: 0 };
-      this.usageByTeam.set(team, entry);
+    let usage = this.usageByTeam.get(team);
+    if (!usage) {
+      usage = { cpus: 0, accelerators: 0 };
+      this.usageByTeam.set(team, usage);
     }
-    return entry;
+    return usage;
   }
 
-  /** Adds the needs of `count` tasks; a negative count subtracts them. */
+  /** Adds the resources of `count` tasks; a negative count subtracts them. */
   add(team: string, need: Resources, count = 1): void {
-    const entry = this.usedBy(team);
-    entry.cpus += need.cpus * count;
-    entry.accelerators += need.accelerators * count;
+    const usage = this.usedBy(team);
+    usage.cpus += need.cpus * count;
+    usage.accelerators += need.accelerators * count;
   }
 
-  /** Whether the team uses more than its limit. A team that is not in the settings has no limit to exceed. */
+  /**
+   * Whether the team uses more than its limit; false for a team that is not in the settings, because there is
+   * no limit to exceed.
+   */
   exceedsLimit(team: Team | undefined): boolean {
     if (!team) return false;
     const used = this.usedBy(team.name);
@@ -39,8 +42,8 @@
   }
 
   /**
-   * Whether the team's limit admits one more task with this need. A team that is not in the settings may not
-   * have any.
+   * Whether the team's limit admits one more task with this need; false for a team that is not in the
+   * settings.
    */
   admits(team: Team | undefined, need: Resources): boolean {
     if (!team) return false;
--- a/src/placement/waiting-queue.test.ts
+++ b/src/placement/waiting-queue.test.ts
@@ -6,7 +6,7 @@
 import { QueueOrder } from './queue-order.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-test('the queue lists open jobs with waiting tasks, and is sorted again when invalidated or too old', () => {
+test('the queue lists open jobs with waiting tasks, and is sorted again if it is invalidated or too old', () => {
   let now = 0;
   const jobs = new Map(['req-1', 'req-2', 'req-3'].map((id) => [id, createJobState(jobSpec(id, 2))]));
   const queue = new WaitingQueue({
--- a/src/placement/waiting-queue.ts
+++ b/src/placement/waiting-queue.ts
@@ -1,4 +1,4 @@
-/** The jobs of a block that have waiting tasks, in the order in which they are to start. */
+/** Keeps the jobs of a block that have waiting tasks, in the order in which they are to start. */
 import type { Clock } from '../base/clock.js';
 import type { JobSpec } from '../model/types.js';
 import type { JobState } from './job-state.js';
@@ -10,18 +10,23 @@
   jobs: ReadonlyMap<string, JobState>;
   order: QueueOrder;
   /**
-   * Returns what a job's dependencies and dependents imply for it; by default jobs are treated as having
-   * none.
+   * Returns the facts that are derived from a job's dependencies and dependents. By default, jobs are treated
+   * as having neither dependencies nor dependents.
    */
   dependencyFactsOf: ((spec: JobSpec) => DependencyFacts) | undefined;
   clock: Clock;
-  /** Returns the time of day in ms, the time base of job timestamps. */
+  /** Returns the wall-clock time in ms since the epoch; the timestamps of jobs have the same time base. */
   wallClock: () => number;
-  /** Maximum age of the sorted queue in ms: the order changes as time passes, even without other changes. */
+  /**
+   * Maximum age of the sorted queue in ms. The queue has to be sorted again after this time, because the
+   * order depends on the current time.
+   */
   maxAgeMs: number;
 }
 
-/** Caches the sorted queue for a limited time, since nearly every heartbeat reads it. */
+/**
+ * The sorted queue of waiting jobs. It is cached for a limited time, because nearly every heartbeat reads it.
+ */
 export class WaitingQueue {
   private sortedJobs: JobState[] | undefined;
   private sortedAt = -Infinity;
@@ -33,7 +38,7 @@
     this.sortedJobs = undefined;
   }
 
-  /** Open jobs with waiting tasks, sorted by the order in which they are to start. */
+  /** Returns the open jobs that have waiting tasks, sorted by the order in which they are to start. */
   jobs(): JobState[] {
     const { clock, maxAgeMs } = this.options;
     if (this.sortedJobs && clock() - this.sortedAt < maxAgeMs) return this.sortedJobs;
