--- a/src/placement/intents.test.ts
+++ b/src/placement/intents.test.ts
@@ -30,9 +30,10 @@
   assert.equal(blockVersions[1], 8);
 });
 
-// The outcome of a commit is unknown, and the block's share of the quota is reduced meanwhile. The commit may
-// have been applied before the share was reduced, or not at all. In both cases no start command for its tasks
-// has been sent to a worker.
+// A commit gets no response, so its outcome is unknown, and meanwhile the leader reduces the block's share of
+// the quota. The commit may have been applied before the share was reduced, or not at all. In both cases no
+// start command for its tasks has been sent to a worker. If all its intents were committed again, the team
+// could exceed its quota.
 test('an intent whose commit has an unknown outcome is withdrawn if its team’s share is reduced', async () => {
   let commits = 0;
   const fixture = createBlockFixture(
--- a/src/placement/ledger-index.ts
+++ b/src/placement/ledger-index.ts
@@ -19,7 +19,7 @@
 
 /** A task that is or may be on a machine, with the ledger entry that records it. */
 export interface ActiveTask {
-  /** Id of the job of the task. */
+  /** Id of the job to which the task belongs. */
   id: string;
   entry: IndexedEntry;
   machine: string;
@@ -32,9 +32,11 @@
 }
 
 /**
- * The ledger entries of all blocks. In its ledger, the owner of a block records the block's tasks; each page
- * of the ledger is one value in the store. A changed page is parsed at the first query after the change. If
- * the page has changed several times since the previous query, only its latest version is parsed.
+ * The ledger entries of all blocks. A block is a set of machines with the work placed on them, leased to one
+ * controller. This controller records the tasks of the block on the pages of the block's ledger.
+ *
+ * A changed page is parsed at the first query after the change. If the page has changed several times since
+ * the previous query, only its latest version is parsed.
  */
 export class LedgerIndex {
   /**
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -1,6 +1,7 @@
 /**
- * In-memory form of a block's ledger, which consists of the pages in the store in which the block's owner
- * records the tasks that it has started.
+ * In-memory form of a block's ledger. A block is a set of machines with the work placed on them, leased to
+ * one controller, the block's owner. The ledger consists of pages in the store on which the owner records the
+ * tasks that it has started.
  */
 import type { LedgerEntry } from '../wire/ledger-records.js';
 import type { JobState, Task } from './job-state.js';
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -123,8 +123,8 @@
    */
   private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyFacts): number[] {
     const { estimatedRunS, deadlineS } = spec;
-    // A deadline counts from submission and so includes the time for which the job waited for its
-    // dependencies.
+    // A deadline counts from submission, so the time for which the job waited for its dependencies is
+    // subtracted.
     const waitedS = (readyAt - spec.acceptedAt) / 1000;
     const objectives = this.objectivesByClass.get(spec.jobClass) ?? [];
     const windows = objectives.flatMap((objective) => startWindowS(objective, spec, waitedS) ?? []);
--- a/src/placement/superseded-entries.ts
+++ b/src/placement/superseded-entries.ts
@@ -18,8 +18,8 @@
 
 /**
  * Returns the entries of one job in one block. A task that is covered by an entry with a smaller chunk size
- * is removed from the larger entries. The smaller entry is valid because a ledger is converted to smaller
- * entries one entry at a time, and each smaller entry contains the complete state of its tasks.
+ * is removed from the larger entries. The smaller entries take precedence because a ledger is converted to
+ * smaller entries one entry at a time, and each smaller entry contains the complete state of its tasks.
  */
 export function dropSupersededEntries<E extends LedgerEntry>(entries: Iterable<E>): E[] {
   const all = [...entries];
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -2,7 +2,7 @@
 import { type Resources, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 
-/** The kinds of resources that are limited for each team. */
+/** Amounts of the resources to which team limits apply. */
 export interface LimitedResources {
   cpus: number;
   accelerators: number;
