--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -22,19 +22,19 @@
 };
 
 /**
- * A registry in which the records and the versions of all blocks can change between two turns of the event
- * loop.
+ * A block registry in which a test can change the records and the versions of all blocks between two
+ * iterations of the event loop.
  */
 class ChangingRegistry {
   private currentVersion = 1;
-  /** Called on every read of the blocks. */
+  /** Called whenever the block records are read. */
   onRead: () => void = () => undefined;
 
   /**
-   * Changes what a renewal of the leases by their owners changes: the owners' incarnations and the block
-   * versions.
+   * Simulates that the owners of all blocks renew their leases: each block record gets a new incarnation, and
+   * each block gets a new version.
    */
-  change(): void {
+  simulateLeaseRenewals(): void {
     this.currentVersion++;
   }
 
@@ -110,13 +110,14 @@
   return commits[0];
 }
 
-// Guards against a lost update: the leader built a block record from an earlier version and committed it on
-// condition of a newer version, which undid the lease renewal that the owner had committed in between.
-test('a block record is built from the same version of the block that its commit is conditioned on', async () => {
+// Guards against a lost update. The leader built a block record from one version of the block, and the owner
+// then committed a renewal of its lease. The leader committed its record on condition of the version after
+// the renewal, so the commit was applied and overwrote the renewal.
+test('the commit of a block record is conditioned on the version of the block from which the record was built', async () => {
   const registry = new ChangingRegistry();
   registry.onRead = () => {
     registry.onRead = () => undefined;
-    queueMicrotask(() => registry.change());
+    queueMicrotask(() => registry.simulateLeaseRenewals());
   };
   const { conditions, writes } = await firstCommitOf(registry);
   const [write] = writes;
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -1,5 +1,6 @@
 /**
- * The leader's loop that assigns owners, machines and quota shares to blocks, and dispatches jobs to blocks.
+ * Runs the leader's loop, which assigns owners, machines and quota shares to blocks and dispatches jobs to
+ * blocks. A block is a set of machines with the tasks placed on them, leased to one controller.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import { nextEventLoopIteration } from '../base/event-loop.js';
@@ -20,11 +21,11 @@
   readonly unassigned: ReadonlyMap<string, LeasedMachine>;
   /** Machines that are proven to be terminated. */
   readonly terminated: MachineIdSet;
-  /** Machines that are to be released: no further tasks may be placed on them. */
+  /** Machines that are to be released. No further tasks may be placed on them. */
   readonly toDrain: ReadonlySet<string>;
   /** Machines that the cloud no longer lists and that are not yet proven to be terminated. */
   readonly presumedTerminated: ReadonlySet<string>;
-  /** How many slots the block's waiting tasks need on machines of the same kind as this machine. */
+  /** Number of slots that the block's waiting tasks need on machines of the same kind as `machine`. */
   waitingSlots(block: number, machine: LeasedMachine): number;
 }
 
@@ -38,7 +39,10 @@
   term: LeaderTerm;
   store: { readonly failing: boolean };
   rentedMachines: RentedMachines;
-  /** How long quota shares are kept, unless waiting tasks exceed the quota share of their block. */
+  /**
+   * Time in ms for which quota shares are kept. Shares are reallocated earlier if waiting tasks exceed the
+   * quota share of their block.
+   */
   quotaSharePeriodMs: number;
   /** Identifies this incarnation of the controller process. */
   incarnation: string;
@@ -46,14 +50,14 @@
 
 const pollIntervalMs = 200;
 /**
- * How long changes of blocks that are not urgent are batched, in heartbeat intervals. Batches are longer if
- * the machines of a block are on pages, because each write of the block then also changes pages.
+ * Minimum time between two assignments of blocks that are not urgent, in heartbeat intervals. The time is
+ * longer if the machines of any block are on pages, because a write of such a block also changes pages.
  */
 const batchingHeartbeats = { inline: 1 / 2, paged: 1 };
 
 /**
- * Assigns blocks and dispatches jobs for one term. Each round starts only after the replica of the store has
- * reached the last commits of the allocator itself.
+ * Assigns blocks and dispatches jobs during one term of leadership. A round starts only after the replica of
+ * the store has received all commits of the previous rounds.
  */
 export class BlockAllocator {
   private blocksAssignedAt = -Infinity;
@@ -71,14 +75,14 @@
   }
 
   /**
-   * Runs until the term ends. Pauses while the store fails or the replica has not reached the allocator's
-   * last commits.
+   * Runs rounds until the term ends. Starts no round while the store is failing, or while the replica has not
+   * received all commits of the previous rounds.
    */
   async run(): Promise<void> {
     const { signal } = this.ports.term;
     while (!signal.aborted) {
       await sleep(pollIntervalMs, signal);
-      if (this.mayDecide()) await this.runRound();
+      if (this.canRunRound()) await this.runRound();
     }
   }
 
@@ -88,14 +92,14 @@
     if (this.isReplicaCurrent()) this.dispatchedRevision = await this.dispatcher.runRound();
   }
 
-  private mayDecide(): boolean {
+  private canRunRound(): boolean {
     const { term, store } = this.ports;
     return !term.signal.aborted && !store.failing && this.isReplicaCurrent();
   }
 
   /**
-   * Whether the replica has reached every commit before this term, and every commit of this allocator since
-   * the term began.
+   * Whether the replica has received every commit from before this term, and every commit of this allocator
+   * since the term began.
    */
   private isReplicaCurrent(): boolean {
     const { term, replica } = this.ports;
@@ -106,19 +110,20 @@
   private async assignBlocks(): Promise<void> {
     const { settings, registry, clock } = this.ports;
     if (await this.leases.supersedeUnknownCommits()) return;
-    // There must be no `await` between here and the commits: each commit is conditioned on the current
-    // version of the block, and its record must be built from that same version.
+    // Do not add an `await` between this line and the commits. Each commit is conditioned on the current
+    // version of its block, and the new block record must be built from that same version.
     const blocks = registry.blocks();
     const members = this.members.update();
-    // Changes that are not urgent are batched: each new version of a block makes the intent commits that the
-    // owner has in flight conflict.
+    // Changes that are not urgent are batched, because each new version of a block makes the intent commits
+    // of the owner that are in flight conflict. An intent is a task attempt that is committed to the ledger
+    // before its start is sent.
     const isUrgent = blocks.size < settings.controllers || this.hasDeadOwner(blocks);
     if (!isUrgent && clock() - this.blocksAssignedAt < this.batchingMs(blocks)) return;
     this.blocksAssignedAt = clock();
     const next = this.nextBlocks(blocks, members);
-    // Each block is a commit operation of its own, since several full records together would exceed the size
-    // limit of a transaction. Each operation is safe if another one fails: no machine and no part of a team's
-    // limit is assigned to a block while another block still has it.
+    // Each block is committed separately, because several records of maximum size would exceed the size limit
+    // of a transaction. If one commit fails, the other commits are still safe, because a machine or a part of
+    // a team's limit is assigned to a block only after it has been removed from every other block.
     await Promise.all(
       [...next].map(([block, record]) => this.leases.write(block, blocks.get(block), record)),
     );
--- a/src/blocks/block-assignment.test.ts
+++ b/src/blocks/block-assignment.test.ts
@@ -35,7 +35,7 @@
   assert.equal(assign({}).size, 0);
 });
 
-test('the block of a dead controller is leased to another with new fencing tokens, other blocks are not written', () => {
+test('the block of a controller that is not alive is leased to another controller with new fencing tokens, and other blocks are not written', () => {
   const next = assign({ liveMembers: members.slice(1) });
   assert.deepEqual([...next.keys()], [0]);
   assert.equal(next.get(0)?.owner, 'k1');
@@ -55,7 +55,7 @@
   assert.equal(assign({ blocks }).get(0)?.owner, 'k0');
 });
 
-test('a new machine goes to a block owned in its zone, unless only blocks of other zones have tasks waiting for it', () => {
+test('a new machine is added to a block whose owner is in its zone, unless tasks wait for such a machine only in blocks with owners in other zones', () => {
   assert.ok(
     assign({ unassignedMachines: [leasedMachine('m9', 'a', { fencingToken: 0 })] })
       .get(0)
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -1,5 +1,6 @@
 /**
- * Decides, without side effects, which controller owns each block and which machines belong to each block.
+ * Computes, without side effects, which controller owns each block and which machines belong to each block. A
+ * block is a set of machines with the tasks placed on them, leased to one controller.
  */
 import {
   type BlockRecord,
@@ -31,27 +32,30 @@
   unassignedMachines: LeasedMachine[];
   /** Machines that are proven to be terminated. */
   terminatedMachines: MachineIdSet;
-  /** Machines with tasks, as of the current versions of the blocks: these machines stay in their block. */
+  /**
+   * Machines that tasks use, as of the current versions of the blocks. These machines are not removed from
+   * their block.
+   */
   machinesWithTasks: MachineIdSet;
   /** Machines on which no further tasks may be placed. */
   drainingMachines: ReadonlySet<string>;
-  /** How many slots the block's waiting tasks need on machines of the same kind as this machine. */
+  /** Number of slots that the block's waiting tasks need on machines of the same kind as `machine`. */
   waitingSlots: (block: number, machine: LeasedMachine) => number;
-  /** The next quota shares of each block; a block without an entry keeps its current shares. */
+  /** The new quota shares of each block; a block without an entry keeps its current shares. */
   quotaShares: ReadonlyMap<number, QuotaShares>;
 }
 
 /**
- * The record of a block without an owner. Its owner is the empty string, which is not the label of any
- * controller.
+ * Returns the record of a block without an owner. The `owner` field is the empty string, which is not the
+ * label of any controller.
  */
 export function unownedBlock(): BlockRecord {
   return { owner: '', incarnation: '', quotaShares: {}, machines: [] };
 }
 
 /**
- * Returns the records that the leader has to commit now, by block. Blocks that do not change have no entry.
- * Does not modify the input.
+ * Returns the records that the leader has to commit now, by block. Blocks whose record does not change have
+ * no entry. Does not modify the input.
  */
 export function assignBlocks(input: AssignmentInput): Map<number, BlockRecord> {
   const blocks = copyBlocks(input);
@@ -65,8 +69,9 @@
 }
 
 /**
- * Leases the block to the owner by changing the record in place. The fencing token of each machine becomes
- * the revision of the commit that stores the lease, which is higher than every earlier fencing token.
+ * Leases the block to `owner` by changing `record` in place. The fencing token of each machine becomes the
+ * store revision of the commit that writes the record. That revision is higher than every earlier fencing
+ * token.
  */
 export function leaseBlock(record: BlockRecord, owner: Member): void {
   record.owner = owner.label;
@@ -87,9 +92,9 @@
 }
 
 /**
- * Leases each block whose owner is not alive to a live controller immediately. If a live controller owns no
- * block and is stable, leases it the block with the fewest machines of the controllers that own several
- * blocks.
+ * Leases each block whose owner is not alive to the live controller with the fewest blocks, even if that
+ * controller is not stable yet. After that, leases a block to each stable controller that owns no block. The
+ * block with the fewest machines is chosen, among the blocks of controllers that own several blocks.
  */
 function assignOwners(blocks: ReadonlyMap<number, BlockRecord>, input: AssignmentInput): void {
   const members = new Map(input.liveMembers.map((member) => [member.label, member]));
@@ -116,7 +121,7 @@
 }
 
 /**
- * Removes terminated machines that have no tasks left, and updates the draining flag of the remaining
+ * Removes terminated machines that no task uses any more, and updates the draining flag of the remaining
  * machines.
  */
 function updateMachines(record: BlockRecord, input: AssignmentInput): void {
@@ -179,7 +184,7 @@
   );
 }
 
-/** Compares only the fields that can change. */
+/** Compares the ids and the fields that can change. */
 function isSameMachine(a: LeasedMachine, b: LeasedMachine | undefined): boolean {
   return a.id === b?.id && a.fencingToken === b.fencingToken && a.draining === b.draining;
 }
--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -1,4 +1,7 @@
-/** Reads blocks, machines and live controllers from this controller's replica of the store. */
+/**
+ * Reads blocks, machines and live controllers from this controller's replica of the store. A block is a set
+ * of machines with the tasks placed on them, leased to one controller.
+ */
 import type { StoreReplica } from '../store/store-replica.js';
 import {
   type BlockRecord,
@@ -13,7 +16,7 @@
 /** A controller that is alive. */
 export interface Member {
   label: string;
-  /** Identifies the incarnation of the controller's process. */
+  /** Identifies the current incarnation of the controller process. */
   incarnation: string;
   zone: string;
 }
@@ -21,21 +24,21 @@
 /** A block as stored in the replica of the store. */
 export interface StoredBlock {
   record: BlockRecord;
-  /** Store revision of the last change of the record. */
+  /** Store revision of the latest change of the record. */
   version: number;
   /**
-   * Whether the record lists the machines itself, which is the format that earlier versions of the program
-   * write.
+   * Whether the machines are listed in the block record itself, which is the format that earlier versions of
+   * the program write. If false, the machines are listed on pages.
    */
   isInline: boolean;
   /**
-   * Store revision of each page of the block's machines, by page number. Pages are valid only if the record
-   * does not list the machines itself.
+   * Store revision of the latest change of each page that lists machines of the block, by page number. The
+   * pages are valid only if `isInline` is false.
    */
   pageVersions: ReadonlyMap<number, number>;
 }
 
-/** The machines of all blocks with the label of the block's owner, by machine id. */
+/** The machines of all blocks, each with the label of the controller that owns its block, by machine id. */
 type MachineOwners = Map<string, { machine: LeasedMachine; owner: string }>;
 
 type ParsedBlock = Omit<StoredBlock, 'pageVersions'> & { pageVersions: Map<number, number> };
@@ -44,12 +47,12 @@
 const alivePrefix = 'alive/';
 
 /**
- * Provides the block records, the live controllers and the owner of each machine. Parses a record or a page
- * only after it has changed.
+ * Provides the block records, the live controllers and the owner of each machine. Parses a block again only
+ * after its record has changed.
  */
 export class BlockRegistry {
   private readonly parsedBlocks = new Map<number, ParsedBlock>();
-  /** Cached map of machines, with the versions of the blocks from which it was built. */
+  /** The cached machine owners, with the versions of the blocks from which they were computed. */
   private machineOwners: { blockVersions: string; byId: MachineOwners } | undefined;
   private knownUpgraded = false;
 
@@ -60,8 +63,8 @@
   ) {}
 
   /**
-   * Whether every controller in the settings has run with the current record format. After that, no
-   * controller returns to an earlier format.
+   * Whether every controller in the settings has run with the current record format. Stays true after that,
+   * because no controller returns to an earlier format.
    */
   get isClusterUpgraded(): boolean {
     this.knownUpgraded ||=
@@ -71,8 +74,8 @@
   }
 
   /**
-   * The records of all blocks. The records are shared: a caller must copy a record before it changes the
-   * record.
+   * The records of all blocks, by block number. The records are cached and shared, so a caller must copy a
+   * record before changing it.
    */
   blocks(): Map<number, BlockRecord> {
     const blocks = new Map<number, BlockRecord>();
@@ -93,12 +96,15 @@
     return entry && this.parseStored(block, entry);
   }
 
-  /** Store revision of the last change of the block's record; 0 if the block has no record. */
+  /** Store revision of the latest change of the block's record; 0 if the block has no record. */
   blockVersion(block: number): number {
     return this.replica.version(blockKey(block));
   }
 
-  /** The controllers whose lease at the state service has not expired, as far as the replica has it. */
+  /**
+   * The controllers whose alive key is in the replica. The alive key of a controller is deleted when the
+   * lease of the controller at the state service expires.
+   */
   liveMembers(): Member[] {
     const members: Member[] = [];
     for (const [key, entry] of this.replica.entriesWithPrefix(alivePrefix)) {
@@ -108,7 +114,7 @@
     return members;
   }
 
-  /** Whether the controller with this label is alive. */
+  /** Whether the alive key of the controller with this label is in the replica. */
   isAlive(label: string): boolean {
     return this.replica.get(aliveKey(label)) !== undefined;
   }
@@ -127,18 +133,18 @@
   }
 
   /**
-   * Parses the block, or returns the cached result while the version of the record is unchanged. That version
-   * is enough to check: a valid page changes only together with the record, and pages that are being prepared
-   * are not valid yet.
+   * Parses the record and the pages of the block, or returns the cached block if the version of the record
+   * has not changed. The versions of the pages need not be compared, because a valid page changes only
+   * together with the record. Pages that are written before the block moves to pages are not valid yet.
    */
   private parseStored(block: number, entry: StoredValue): StoredBlock | undefined {
-    const known = this.parsedBlocks.get(block);
-    if (known?.version === entry.version && !known.isInline) return known;
+    const cached = this.parsedBlocks.get(block);
+    if (cached?.version === entry.version && !cached.isInline) return cached;
     const pages = this.pagesOf(block);
     const versions = new Map([...pages].map(([page, { version }]) => [page, version]));
-    if (known?.version === entry.version) {
-      known.pageVersions = versions;
-      return known;
+    if (cached?.version === entry.version) {
+      cached.pageVersions = versions;
+      return cached;
     }
     const record = parseBlock(entry.value, entry.version, pages);
     if (!record) return undefined;
@@ -153,8 +159,8 @@
   }
 
   /**
-   * The machines of all blocks, cached until the version of a block changes. Few changes of the replica
-   * concern blocks, so iterating over all machines on every change would be wasteful.
+   * Returns the machine owners, which are cached until the version of a block changes. Most changes of the
+   * replica do not concern blocks, so iterating over all machines after every change would be wasteful.
    */
   private ownersById(): MachineOwners {
     const blocks = this.blocks();
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * A store with a block whose record lists its machines, as earlier versions write it, and with format records
- * of controllers.
+ * A store with one block in the format of earlier versions, in which the block record lists the machines. The
+ * store also contains the format records of the controllers that have run with this version.
  */
 class WriterFixture {
   readonly store = new InMemoryStore();
@@ -64,7 +64,7 @@
   async read(): Promise<BlockRecord> {
     const record = (await this.registry()).blocks().get(0);
     assert.ok(record);
-    return { ...record, machines: record.machines.map((one) => ({ ...one })) };
+    return { ...record, machines: record.machines.map((leased) => ({ ...leased })) };
   }
 
   async write(next: BlockRecord): Promise<BlockWriteResult> {
@@ -88,17 +88,18 @@
     assert.equal((await fixture.read()).machines.length, 231);
   });
 
-  test('keeps that format while it is small', async () => {
+  test('keeps that format while its record is small', async () => {
     const fixture = new WriterFixture();
     await fixture.prepare(10);
     await fixture.write(recordOf(11));
     assert.deepEqual((await fixture.registry()).storedBlock(0)?.isInline, true);
   });
 
-  // Guards against a block that can never be written again: a record that lists many machines exceeds the new
-  // value limit of the state service.
+  // Guards against a block that can never be written again. The value limit of the state service is lowered,
+  // and a block record that lists many machines exceeds the new limit. Every later write of that record would
+  // be refused.
   for (const machines of [230, 700, 1000]) {
-    test(`of ${machines} machines moves to pages in several commits, and lists the same machines after each of them`, async () => {
+    test(`of ${machines} machines moves to pages in several commits, and lists the same machines after each commit`, async () => {
       const fixture = new WriterFixture();
       await fixture.prepare(machines);
       const before = await fixture.read();
@@ -116,7 +117,7 @@
   }
 });
 
-describe('a block on pages', () => {
+describe('a block whose machines are on pages', () => {
   async function paged(machines: number, next = nextLimits): Promise<WriterFixture> {
     const fixture = new WriterFixture(next);
     await fixture.prepare(10);
@@ -125,7 +126,7 @@
     return fixture;
   }
 
-  test('is leased to another owner with one write, and its fencing tokens are higher than all earlier ones', async () => {
+  test('is leased to another owner with one write, and its fencing tokens are higher than all earlier fencing tokens', async () => {
     const fixture = await paged(4000);
     const next = await fixture.read();
     leaseBlock(next, { label: 'keel-1', incarnation: 'other', zone: 'a' });
@@ -155,21 +156,22 @@
       false,
     );
     assert.deepEqual(
-      machines.filter((one) => one.draining).map(({ id }) => id),
+      machines.filter((leased) => leased.draining).map(({ id }) => id),
       [draining.id],
     );
     const added = machines.find(({ id }) => id === 'vm-005000');
     assert.ok(added && added.fencingToken > 1);
-    assert.ok(machines.filter((one) => one !== added).every(({ fencingToken }) => fencingToken === 1));
+    assert.ok(machines.filter((leased) => leased !== added).every(({ fencingToken }) => fencingToken === 1));
   });
 
-  // Guards against intents that are committed on a draining machine: if a commit of the write did not change
-  // the version of the block record, an intent that is based on the record before that commit would not
-  // conflict.
-  test('is written in several commits that each change its version if more pages change than a transaction holds', async () => {
+  // Guards against an intent that is committed on a draining machine. (An intent is a task attempt that is
+  // committed to the ledger before its start is sent.) The owner computes the intent from the block record,
+  // and then a commit marks the machine as draining. If that commit did not change the version of the block
+  // record, the commit of the intent would not conflict.
+  test('is written in several commits, each of which changes its version, if more pages change than fit into a transaction', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
-    for (const one of next.machines) one.draining = true;
+    for (const leased of next.machines) leased.draining = true;
     const versions = new Set<number>();
     fixture.store.onWrite = async () => void versions.add((await fixture.registry()).blockVersion(0));
     await fixture.write(next);
@@ -179,10 +181,10 @@
     assert.ok((await fixture.read()).machines.every(({ draining }) => draining));
   });
 
-  test('reports a conflict in the middle of a write in several commits, and keeps the pages written before it', async () => {
+  test('reports a conflict if the block changes between the commits of a write, and keeps the pages written before the conflict', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
-    for (const one of next.machines) one.draining = true;
+    for (const leased of next.machines) leased.draining = true;
     let writes = 0;
     fixture.store.onWrite = async () => {
       if (++writes === 2)
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes the record of a block, on whose version commits are conditioned, and the pages that list the
- * machines of a large block.
+ * Writes the record of a block, and the pages that list the machines of a large block. A block is a set of
+ * machines with the tasks placed on them, leased to one controller. Commits that concern the block are
+ * conditioned on the version of its record.
  */
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -26,9 +27,9 @@
 
 /** The result of a write of a block, which may consist of several commits. */
 export interface BlockWriteResult {
-  /** The outcome of the last commit that was attempted. */
+  /** The outcome of the final commit that was attempted. */
   outcome: CommitOutcome;
-  /** The version of the block's record that the last commit was conditioned on. */
+  /** The version of the block's record on which the final commit was conditioned. */
   version: number;
 }
 
@@ -39,7 +40,7 @@
   commits: Pick<CommitQueue, 'commit'>;
 }
 
-/** A write of a block, as it was requested. */
+/** A requested write of a block. */
 interface BlockWrite {
   block: number;
   next: BlockRecord;
@@ -58,32 +59,32 @@
 }
 
 /**
- * If a record with its machines takes more than this ratio of the size limit of a value, its machines are
- * written to pages.
+ * Maximum size of a block record that lists the machines, as a ratio of the size limit of a store value. If
+ * the record would be larger, the machines are written to pages.
  */
 const maxInlineRecordRatio = 1 / 2;
 
 /**
  * Writes blocks in one of two formats. Earlier versions of the program read only records that list all
  * machines of the block. The writer therefore writes such records until every controller has run with this
- * version, and afterwards while the record is small. The machines of larger blocks are on pages.
+ * version. After that, it lists the machines in the record only if the record is small, and otherwise writes
+ * them to pages.
  *
- * If more pages change than a transaction holds, the write takes several commits. Each commit is safe by
- * itself, because the entry of one machine does not depend on the entry of another. If the block is already
- * on pages, each commit also gives the record a new version, so that an intent that is based on an earlier
- * version conflicts.
+ * If more pages change than fit into a transaction, the block is written in several commits. Each commit is
+ * safe by itself, because the entries of different machines do not depend on each other. If the block is
+ * already on pages, each commit also gives the record a new version, so that an intent (a task attempt that
+ * is committed to the ledger before its start is sent) conflicts if it is based on an earlier version.
  *
- * Pages of a block are not valid while its record still lists the machines itself. When a block moves to
- * pages, the pages are written first, and become valid with the one commit that removes the machines from the
- * record.
+ * The pages of a block are not valid while its record still lists the machines. When a block moves to pages,
+ * the pages are written first. They become valid with the commit that removes the machines from the record.
  */
 export class BlockWriter {
   constructor(private readonly ports: BlockWriterPorts) {}
 
   /**
    * Writes the block on condition that its version in the store is still the version in the replica. Settles
-   * when the outcome of the last commit is known. A write in several commits ends at the first commit that is
-   * not applied. `guards`: additional conditions of every commit.
+   * when the outcome of the final commit is known. A write in several commits ends at the first commit that
+   * is not applied. `guards`: additional conditions of every commit.
    */
   async write(block: number, next: BlockRecord, guards: Condition[] = []): Promise<BlockWriteResult> {
     const { registry, commits } = this.ports;
@@ -98,8 +99,8 @@
   }
 
   /**
-   * Whether the machines of the block must be written to pages. A block that is on pages stays on pages: the
-   * controller that wrote the pages had checked that all controllers can read them.
+   * Whether the machines of the block must be written to pages. A block that is on pages stays on pages,
+   * because the controller that wrote the pages had checked that all controllers can read them.
    */
   private needsPages(block: number, next: BlockRecord): boolean {
     const { registry, settings } = this.ports;
@@ -115,22 +116,22 @@
     const pages = assignPages(next.machines, machinePageBytes(settings));
     const changes = changedPages(stored, pages);
     const pageVersions = new Map(stored?.pageVersions);
-    // One operation of each transaction is reserved for the record.
+    // One operation of each transaction is reserved for the block record.
     const pagesPerCommit = settings.state.txnOps - 1;
     let record = next;
     let { version } = start;
     for (let written = 0; ; written += pagesPerCommit) {
       const step = changes.slice(written, written + pagesPerCommit);
       const isLast = written + pagesPerCommit >= changes.length;
-      // While the record lists the machines itself, only the last commit may write the record. That commit
-      // makes all pages valid, so it is conditioned on the versions of all of them.
+      // If the stored record lists the machines, only the final commit may write the record. That commit
+      // makes all pages valid, so it is conditioned on the versions of all pages.
       const writesRecord = isLast || !wasInline;
-      const countedPages = isLast && wasInline ? pages.keys() : step.map(({ page }) => page);
+      const conditionedPages = isLast && wasInline ? pages.keys() : step.map(({ page }) => page);
       const outcome = await this.commitPages(block, {
         conditions: [
           ...guards,
           { key: blockKey(block), version },
-          ...pageConditions(block, pageVersions, countedPages),
+          ...pageConditions(block, pageVersions, conditionedPages),
         ],
         changes: step,
         record: writesRecord ? record : undefined,
--- a/src/blocks/booted-machines.ts
+++ b/src/blocks/booted-machines.ts
@@ -4,18 +4,18 @@
 
 /** The dependencies of `BootedMachines`. */
 export interface BootedMachinesPorts {
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /** The machines of all blocks, by machine id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** A machine usually boots within the boot time of its machine type multiplied by this factor. */
+/** A machine is assumed to have booted after the boot time of its machine type multiplied by this factor. */
 const bootTimeFactor = 1.5;
 /**
- * Limit for the number of ids in memory, as a multiple of the number of leased machines. When the limit is
- * exceeded, the ids of machines that are no longer leased are dropped.
+ * Limit for the number of machine ids in memory, as a multiple of the number of leased machines. When the
+ * limit is exceeded, the ids of machines that are no longer leased are dropped.
  */
 const reportedIdsPerMachine = 2;
 const minReportedIdsLimit = 1000;
@@ -31,8 +31,8 @@
   constructor(private readonly ports: BootedMachinesPorts) {}
 
   /**
-   * Records that the machines have sent a heartbeat to some controller. The number of ids in memory is
-   * bounded.
+   * Records that the machines have sent a heartbeat to any controller. If too many ids are in memory, drops
+   * the ids of machines that are no longer leased.
    */
   markBooted(ids: Iterable<string>): void {
     for (const id of ids) this.reportedIds.add(id);
@@ -42,7 +42,9 @@
     for (const id of this.reportedIds) if (!leased.has(id)) this.reportedIds.delete(id);
   }
 
-  /** Whether a task that is placed on the machine is expected to start immediately. */
+  /**
+   * Whether the machine is assumed to have booted, so that a task that is placed on it starts immediately.
+   */
   isBooted(machine: LeasedMachine): boolean {
     if (this.reportedIds.has(machine.id)) return true;
     const bootMs = (this.ports.machineTypes().get(machine.type)?.bootS ?? 0) * 1000;
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -1,10 +1,13 @@
-/** Estimates from the replica of the store how many more tasks of a kind each block can take. */
+/**
+ * Estimates, from the replica of the store, how many more tasks of one kind fit on the machines of each
+ * block. Tasks are of one kind if they have the same requirements.
+ */
 import { fits, type JobSpec, type MachineType, type Resources, taskRequirementsKey } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import type { BlockRegistry } from './block-registry.js';
 
-/** How many tasks of one kind a block can take. */
+/** The slots of a block for tasks of one kind. A slot is space for one task. */
 export interface BlockSlots {
   block: number;
   /**
@@ -20,8 +23,8 @@
 export interface CapacityInput {
   blocks: ReadonlyMap<number, BlockRecord>;
   /**
-   * Whether the controller with this label is alive. Only blocks of live controllers have slots, unless no
-   * controller that owns a block is alive.
+   * Whether the controller with this label is alive. The estimate includes only blocks whose owners are
+   * alive, or all blocks if no owner is alive.
    */
   isAlive: (label: string) => boolean;
   machineTypes: ReadonlyMap<string, MachineType>;
@@ -29,8 +32,8 @@
   /** Whether tasks can start on the machine. */
   isBooted: (machine: LeasedMachine) => boolean;
   /**
-   * How many tasks beyond its free slots may be dispatched to a block, as a ratio of its size. With such
-   * tasks at hand, the block does not have to wait for the leader whenever a task ends.
+   * Number of tasks that may be dispatched to a block beyond its free slots, as a ratio of the block's size.
+   * When a task of the block ends, its owner can start one of these tasks without waiting for the leader.
    */
   lookahead: number;
 }
@@ -43,24 +46,29 @@
   isBooted: (machine: LeasedMachine) => boolean;
 }
 
-/** How many tasks of one kind a block can take, before the tasks that wait in the block are subtracted. */
+/** The slots of a block, before the tasks that wait in the block are subtracted from `freeSlots`. */
 interface MeasuredSlots extends BlockSlots {
   /** Whether tasks of this kind may run on spot machines. */
   spot: boolean;
 }
 
-/** Limit for the tasks that are dispatched to a block beyond its free slots, as a ratio of its size. */
+/**
+ * Maximum number of tasks that are dispatched to a block beyond its free slots, as a ratio of the block's
+ * size.
+ */
 const maxLookaheadRatio = 1;
 /**
- * Minimum number of CPUs per task when waiting CPUs are converted to a number of tasks: a task may request
- * fewer or none.
+ * Lower bound for the CPUs per task when the CPUs of waiting tasks are converted to a number of tasks. A task
+ * may request fewer CPUs than this, or none.
  */
 const minCpusPerTask = 1e-3;
-/** Upper bound of the slots on one machine, for tasks that request almost no resources. */
+/**
+ * Maximum number of slots on one machine. The limit takes effect for tasks that request almost no resources.
+ */
 const maxSlotsPerMachine = 1e6;
 /**
- * Tolerance for rounding errors: amounts are decimal fractions added up in any order, so sums may differ in
- * their last bits.
+ * Tolerance for rounding errors. Resource amounts are decimal fractions that are added in any order, so sums
+ * of the same amounts may differ in their last bits.
  */
 const roundingTolerance = 1e-6;
 
@@ -83,7 +91,10 @@
  */
 export class CapacityEstimate {
   private readonly usedByMachine: ReadonlyMap<string, Resources>;
-  /** Cached slots by kind of task: iterating over all machines for each of many jobs would take too long. */
+  /**
+   * Cached slots by kind of task. Without the cache, iterating over all machines for each of many jobs would
+   * take too long.
+   */
   private readonly slotsByTaskKind = new Map<string, MeasuredSlots[]>();
   /** CPUs of the tasks that wait in a block, by block and by whether the tasks may run on spot machines. */
   private readonly waitingCpus = new Map<string, number>();
@@ -97,7 +108,7 @@
     }
   }
 
-  /** The blocks that may take tasks of the job, in descending order of free slots. */
+  /** The slots of each block for tasks of the job, in descending order of free slots. */
   slotsByBlock(spec: JobSpec): BlockSlots[] {
     const kind = taskRequirementsKey(spec);
     let measured = this.slotsByTaskKind.get(kind);
@@ -116,10 +127,11 @@
   }
 
   /**
-   * Raises the lookahead in proportion to the backlog, up to the sizes of the blocks. Each dispatch costs a
-   * change of the store, and while more tasks wait than all blocks have slots for, a larger lookahead leaves
-   * no block without work. `backlog`: jobs with the number of their undispatched tasks. Affects the kinds of
-   * task in the backlog and those for which slots have been requested before.
+   * Raises the lookahead in proportion to the backlog, up to the size of each block. Each dispatch is a
+   * change of the store, so it is cheaper to dispatch more tasks with one change. If more tasks wait than all
+   * blocks have slots for, the larger lookahead leaves no block without tasks. `backlog`: jobs with the
+   * number of their undispatched tasks. Applies to the kinds of tasks in the backlog and to all kinds for
+   * which slots were requested before this call.
    */
   extendLookahead(backlog: Iterable<{ spec: JobSpec; tasks: number }>): void {
     const backlogRatios = new Map<boolean, number>();
@@ -144,8 +156,8 @@
 
   private candidateBlocks(): [number, BlockRecord][] {
     const blocks = [...this.input.blocks];
-    const served = blocks.filter(([, record]) => this.input.isAlive(record.owner));
-    return served.length > 0 ? served : blocks;
+    const blocksOfLiveOwners = blocks.filter(([, record]) => this.input.isAlive(record.owner));
+    return blocksOfLiveOwners.length > 0 ? blocksOfLiveOwners : blocks;
   }
 
   private measureBlock(spec: JobSpec, block: number, record: BlockRecord): MeasuredSlots {
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -1,5 +1,6 @@
 /**
- * Commits to the job records, on behalf of the leader, which tasks of a job are dispatched to which blocks.
+ * Writes to the job records, on behalf of the leader, which tasks of a job are dispatched to which blocks. A
+ * block is a set of machines with the tasks placed on them, leased to one controller.
  */
 import type { Log } from '../base/log.js';
 import type { JobSpec } from '../model/types.js';
@@ -19,15 +20,16 @@
 }
 
 /**
- * How many job records are written in one round, as a ratio of the changes that the store accepts per second
- * or per transaction, whichever is lower.
+ * Maximum number of job records that are written in one round, as a ratio of the changes that the store
+ * accepts per second or per transaction, whichever is lower.
  */
 const maxWritesRatio = 0.35;
 const minWritesPerRound = 2;
 
 /**
- * Writes the task ranges of jobs. A write is applied only if this controller still leads and the job's record
- * still has the version from which the ranges were computed.
+ * Writes the task ranges of jobs. A task range dispatches consecutive tasks of a job to one block. A write is
+ * applied only if this controller still leads and the version of the job record is still the version from
+ * which the ranges were computed.
  */
 export class DispatchWriter {
   private lastAppliedRevision = 0;
@@ -35,27 +37,30 @@
   constructor(private readonly ports: DispatchWriterPorts) {}
 
   /**
-   * Highest store revision of the commits of this writer; 0 before the first. The replica must reach this
-   * revision before the next decision.
+   * Highest store revision among the applied commits of this writer; 0 if no commit has been applied. The
+   * next round must not start before the replica of the store has received this revision.
    */
   get committedRevision(): number {
     return this.lastAppliedRevision;
   }
 
-  /** How many job records one round of dispatching, or one round of recalls, may write. */
+  /** Maximum number of job records that one round of dispatching, or one round of recalls, may write. */
   get maxWritesPerRound(): number {
     const { state } = this.ports.settings;
     return Math.max(minWritesPerRound, Math.min(state.txnOps, state.writeRps) * maxWritesRatio);
   }
 
-  /** How many task ranges fit into the job's record within the size limit of a store value. */
+  /**
+   * Maximum number of task ranges in the job's record, so that the record stays within the size limit of a
+   * store value.
+   */
   maxTaskRanges(spec: JobSpec): number {
     return maxTaskRanges(spec, this.ports.settings.state.valueBytes);
   }
 
   /**
-   * Settles when the outcome of the commit is known. A commit that was not applied is not retried here: the
-   * next round decides.
+   * Writes the task ranges to the record of the job. Settles when the outcome of the commit is known. A
+   * commit that was not applied is not retried, because the next round computes the task ranges again.
    */
   async write(job: IndexedJob, taskRanges: TaskRange[]): Promise<void> {
     const { commits, log, term } = this.ports;
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -1,4 +1,7 @@
-/** Dispatches the tasks of jobs to blocks, on behalf of the leader. */
+/**
+ * Dispatches the tasks of jobs to blocks, on behalf of the leader. A block is a set of machines with the
+ * tasks placed on them, leased to one controller.
+ */
 import type { Clock } from '../base/clock.js';
 import { nextEventLoopIteration } from '../base/event-loop.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
@@ -16,36 +19,38 @@
 /** The dependencies of the dispatcher. */
 export interface DispatcherPorts extends DispatchWriterPorts, CapacityPorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   settings: Settings;
   commits: CommitQueue;
   replica: Pick<StoreReplica, 'revision'>;
   jobIndex: JobIndex;
   order: QueueOrder;
-  /** How many tasks beyond its free slots may be dispatched to a block, as a ratio of its size. */
+  /**
+   * Number of tasks that may be dispatched to a block beyond its free slots, as a ratio of the block's size.
+   */
   lookahead: number;
 }
 
 /**
- * Interval between rounds that include jobs with undispatched tasks from earlier rounds, in heartbeat
+ * Minimum time between two rounds that include jobs with undispatched tasks from earlier rounds, in heartbeat
  * intervals.
  */
 const redispatchAfterHeartbeats = 0.5;
 /**
- * Dispatching pauses while more commits than this are queued, as a ratio of the operations that a transaction
- * holds.
+ * Dispatching pauses while more commits than this are queued, as a ratio of the maximum number of operations
+ * in a transaction.
  */
 const maxQueuedCommitsRatio = 1 / 2;
 
 /**
- * Dispatches tasks that are in no block yet, and recalls tasks that wait in one block while another has free
- * slots.
+ * Dispatches undispatched tasks to blocks, and recalls tasks that wait in a full block if another block has
+ * free slots.
  */
 export class Dispatcher {
   private allDispatchedAt = -Infinity;
-  /** Ids of the jobs that had undispatched tasks at the start of the last round. */
-  private leftOverJobs: ReadonlySet<string> = new Set();
+  /** Ids of the jobs that had undispatched tasks at the start of the previous round. */
+  private previouslyUndispatchedJobs: ReadonlySet<string> = new Set();
   private readonly writer: DispatchWriter;
   private readonly rebalancer: Rebalancer;
 
@@ -55,8 +60,9 @@
   }
 
   /**
-   * Runs one round. Settles when the outcomes of its commits are known. Returns the highest revision of all
-   * commits so far, or 0 if there was none. The replica must reach that revision before the next round.
+   * Runs one round of dispatching and recalls. Settles when the outcomes of all commits of the round are
+   * known. Returns the highest store revision among all commits applied so far, or 0 if no commit has been
+   * applied. The next round must not start before the replica of the store has received that revision.
    */
   async runRound(): Promise<number> {
     await this.dispatchJobs();
@@ -65,13 +71,14 @@
     return this.writer.committedRevision;
   }
 
-  /** Dispatches tasks that are in no block yet, in queue order of their jobs. */
+  /** Dispatches undispatched tasks, in the queue order of their jobs. */
   private async dispatchJobs(): Promise<void> {
     const { jobIndex, settings, order, wallClock, commits } = this.ports;
     const undispatched = [...jobIndex.jobs.values()].filter((job) => undispatchedTasks(job) > 0);
     const due = this.dueForDispatch(undispatched);
-    // Behind a long queue of commits, a dispatch would be based on outdated data by the time it is sent, and
-    // it would delay the commits with which this controller's own blocks start tasks.
+    // Nothing is dispatched while many commits are queued. A dispatch would be based on outdated data by the
+    // time its commit is sent, and the commit would delay the commits with which this controller's own blocks
+    // start tasks.
     if (due.length === 0 || commits.writableLength > settings.state.txnOps * maxQueuedCommitsRatio) return;
     const capacity = estimateCapacity(this.ports, this.ports.lookahead);
     capacity.extendLookahead(undispatched.map((job) => ({ spec: job.spec, tasks: undispatchedTasks(job) })));
@@ -85,8 +92,9 @@
   }
 
   /**
-   * The next task ranges of the job; undefined if the ranges do not change. Tasks that a block has started in
-   * spite of a recall are returned to that block before any other tasks of the job are dispatched.
+   * Returns the new task ranges of the job, or undefined if the ranges do not change. If a block has started
+   * tasks that were recalled from it, these tasks are returned to that block before any other tasks of the
+   * job are dispatched.
    */
   private nextRanges(job: IndexedJob, capacity: CapacityEstimate): IndexedJob['taskRanges'] | undefined {
     const { spec, taskRanges, id } = job;
@@ -97,17 +105,18 @@
   }
 
   /**
-   * The jobs to dispatch in this round. A new job is always included. A job that already had undispatched
-   * tasks in the last round waits for free slots, which appear one task at a time. Dispatching each of these
-   * tasks separately would take most of the changes that the store accepts. It is not necessary, since blocks
-   * already have waiting tasks beyond their free slots (see `lookahead`).
+   * Returns the jobs to dispatch in this round. A new job is always included. A job that already had
+   * undispatched tasks in the previous round is not included in every round, because free slots appear one at
+   * a time, and a separate dispatch for each slot would use most of the changes that the store accepts. More
+   * frequent dispatches are not necessary, because tasks beyond the free slots already wait in the blocks
+   * (see `lookahead`).
    */
   private dueForDispatch(undispatched: IndexedJob[]): IndexedJob[] {
     const { clock, settings } = this.ports;
-    const leftOver = this.leftOverJobs;
-    this.leftOverJobs = new Set(undispatched.map((job) => job.id));
+    const previouslyUndispatched = this.previouslyUndispatchedJobs;
+    this.previouslyUndispatchedJobs = new Set(undispatched.map((job) => job.id));
     if (clock() - this.allDispatchedAt < settings.heartbeatIntervalMs * redispatchAfterHeartbeats) {
-      return undispatched.filter((job) => !leftOver.has(job.id));
+      return undispatched.filter((job) => !previouslyUndispatched.has(job.id));
     }
     this.allDispatchedAt = clock();
     return undispatched;
--- a/src/blocks/initial-dispatcher.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -1,4 +1,7 @@
-/** Chooses the block to which a new job is dispatched when it is submitted. */
+/**
+ * Chooses the block to which a new job is dispatched when the job is submitted. A block is a set of machines
+ * with the tasks placed on them, leased to one controller.
+ */
 import type { Clock } from '../base/clock.js';
 import type { JobSpec } from '../model/types.js';
 import type { JobIndex } from '../placement/job-index.js';
@@ -14,24 +17,25 @@
   bootedMachines: Pick<BootedMachines, 'isBooted'>;
   /** The blocks that this controller owns. */
   ownBlocks: () => ReadonlySet<number>;
-  /** Label of the current leader; undefined if there is none. */
+  /** Label of the current leader; undefined if there is no leader. */
   leader: () => string | undefined;
 }
 
 /**
- * How long a capacity estimate is reused: iterating over all machines for every submission would take too
- * much time.
+ * Time for which a capacity estimate is reused. Iterating over all machines for every submission would take
+ * too much time.
  */
 const capacityMaxAgeMs = 300;
 /**
- * A new job is dispatched only to slots that are free now: only the leader dispatches tasks beyond the free
- * slots.
+ * A new job is dispatched only to slots that are free now, because only the leader dispatches tasks beyond
+ * the free slots.
  */
 const noLookahead = 0;
 
 /**
- * Dispatches all tasks of a new job to one block with enough free slots. If no block has enough, the job is
- * left to the leader to dispatch.
+ * Dispatches all tasks of a new job to one block with enough free slots. If no block has enough free slots,
+ * the leader dispatches the job later. If there is no leader, the tasks are divided among all blocks by the
+ * sizes of the blocks.
  */
 export class InitialDispatcher {
   private capacity: CapacityEstimate | undefined;
@@ -40,23 +44,23 @@
   constructor(private readonly ports: InitialDispatcherPorts) {}
 
   /**
-   * The task ranges for the record of a new job. Empty if the leader has to dispatch the job, or if the
-   * dependencies of the job are not done.
+   * Returns the task ranges for the record of a new job. Returns an empty list if the leader has to dispatch
+   * the job, or if the dependencies of the job are not done.
    */
   initialRanges(spec: JobSpec): TaskRange[] {
     const { jobIndex, leader, ownBlocks } = this.ports;
     if (!jobIndex.isReadyAfter(spec.dependencies ?? [])) return [];
     const capacity = this.currentCapacity();
-    // Prefer a block of this controller: it can start the job without waiting for the watch of another
-    // controller.
+    // Prefer a block that this controller owns. This controller can start the job immediately, whereas
+    // another controller would first have to receive the job through its watch of the store.
     const own = ownBlocks();
-    const whole = dispatchToOneBlock(capacity, spec, (block) => own.has(block));
-    if (whole) {
-      capacity.reserve(spec, whole.block, whole.count);
-      return [whole];
+    const taskRange = dispatchToOneBlock(capacity, spec, (block) => own.has(block));
+    if (taskRange) {
+      capacity.reserve(spec, taskRange.block, taskRange.count);
+      return [taskRange];
     }
-    // Without a leader no controller would dispatch the job later, so dispatch it even if there are not
-    // enough free slots.
+    // If there is no leader, no controller will dispatch the job later, so dispatch the job now even if there
+    // are not enough free slots.
     return leader() === undefined ? dispatchBySize(capacity, spec) : [];
   }
 
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -39,7 +39,8 @@
   assert.equal(dispatchToOneBlock(estimate(), spec('req-1', 9)), undefined);
 });
 
-// Guards against a job that waits for a machine to boot while another block has free slots.
+// Guards against dispatching a job to a block whose machines are still booting. The job would wait there
+// although another block has free slots.
 test('machines that are still booting have no free slots, and a preferred block with enough free slots is chosen', () => {
   const capacity = estimate((id) => id === 'm1');
   assert.deepEqual(dispatchToOneBlock(capacity, spec('req-1', 4)), { block: 0, first: 0, count: 4 });
@@ -50,7 +51,7 @@
   );
 });
 
-test('a job that is too large for one block fills the free slots of all, and its tasks reserve those slots', () => {
+test('a job that is too large for one block fills the free slots of all blocks, and its tasks reserve those slots', () => {
   const capacity = estimate();
   assert.deepEqual(dispatchToFreeSlots(capacity, spec('req-1', 11), []), [
     { block: 1, first: 0, count: 8 },
@@ -66,9 +67,9 @@
   ]);
 });
 
-// Guards against starvation of large jobs: they need free slots on many machines, while small jobs fit on any
-// machine.
-test('a large job starts within four minutes and is dispatched completely while small jobs would fill all slots', () => {
+// Guards against starvation of large jobs. A large job needs free slots on many machines, but a small job
+// fits on any machine. If small jobs always took the free slots first, the large job would never start.
+test('a large job starts within four minutes and is dispatched completely, although enough small jobs arrive to fill all slots', () => {
   const large = { spec: spec('req-1', 60, { acceptedAt: 0 }), taskRanges: [] as TaskRange[] };
   const order = new QueueOrder([]);
   const jobs = [large];
@@ -85,7 +86,8 @@
   let startedAtS = Infinity;
   let nowS = 0;
   for (; dispatched(large) < 60 && nowS < 900; nowS += 10) {
-    // In each round all tasks of the last round have ended, and enough small jobs arrive to fill all slots.
+    // In each round all tasks of the previous round have ended, and enough small jobs arrive to fill all
+    // slots.
     for (let i = 0; i < 3; i++) {
       jobs.push({ spec: spec(`req-${100 + nowS + i}`, 4, { acceptedAt: nowS * 1000 }), taskRanges: [] });
     }
@@ -100,9 +102,9 @@
   assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
 });
 
-// Guards against dispatching one task at a time: with 25 changes per second, a third of the changes were
-// dispatches of tasks that had no free slot.
-test('a larger backlog means more tasks beyond the free slots of a block, up to the size of the block', () => {
+// Guards against a separate commit for each dispatched task. With a limit of 25 changes per second, a third
+// of the changes were dispatches of tasks that had no free slot.
+test('if the backlog is larger, more tasks are dispatched beyond the free slots of a block, up to the size of the block', () => {
   const large = spec('req-1', 500);
   const dispatchedTasks = (backlog: number): number => {
     const capacity = estimate();
@@ -119,9 +121,9 @@
   assert.equal(largeBacklog, noBacklog * 2);
 });
 
-// Guards against a job record that exceeds the value limit of the store: every later write of it would be
-// refused.
-test('a job gets no more ranges than its record holds; beyond that, tasks go to a block that has tasks of the job', () => {
+// Guards against a job record that contains so many task ranges that it exceeds the value limit of the store.
+// The store would refuse every later write of that record.
+test('a job gets no more ranges than its record can hold; further tasks are dispatched to a block that already has tasks of the job', () => {
   const taskRanges = [{ block: 0, first: 2, count: 2 }];
   const dispatch = (maxRanges: number): TaskRange[] | undefined =>
     dispatchToFreeSlots(estimate(), spec('req-1', 14), taskRanges, maxRanges);
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -5,9 +5,9 @@
 import { mergeTaskRanges, undispatchedRanges, wholeJob } from './task-ranges.js';
 
 /**
- * One range with all tasks of the job, in a block with enough free slots for all of them: a preferred block
- * if there is one, else the block with the most free slots. Undefined if no block has enough. Reserves no
- * slots.
+ * Returns one range that dispatches all tasks of the job to a block with enough free slots, or undefined if
+ * no block has enough free slots. Chooses a preferred block if possible, otherwise the block with the most
+ * free slots. Does not reserve the slots.
  */
 export function dispatchToOneBlock(
   capacity: CapacityEstimate,
@@ -20,8 +20,8 @@
 }
 
 /**
- * Divides all tasks of the job among all blocks in proportion to their sizes, regardless of free slots.
- * Reserves no slots.
+ * Divides all tasks of the job among all blocks in proportion to their sizes, regardless of free slots. Does
+ * not reserve slots.
  */
 export function dispatchBySize(capacity: CapacityEstimate, spec: JobSpec): TaskRange[] {
   const blocks = capacity.slotsByBlock(spec);
@@ -44,9 +44,9 @@
 }
 
 /**
- * Dispatches further tasks of the job to free slots, and reserves these slots. Returns the job's earlier and
- * new ranges, or undefined if there is no free slot for any further task. `maxRanges`: how many ranges the
- * job's record can hold.
+ * Dispatches further tasks of the job to free slots, and reserves these slots. Returns the existing and the
+ * new ranges of the job, or undefined if there is no free slot for any further task. `maxRanges`: maximum
+ * number of ranges that the job's record can hold.
  */
 export function dispatchToFreeSlots(
   capacity: CapacityEstimate,
@@ -60,8 +60,8 @@
 }
 
 /**
- * Dispatches all tasks to the block with the most free slots, even if only one of the tasks has a free slot
- * there.
+ * Dispatches all tasks of a zone-constrained job to the block with the most free slots, even if there is a
+ * free slot for only one of the tasks.
  */
 function dispatchZoneConstrained(
   capacity: CapacityEstimate,
@@ -95,9 +95,10 @@
 }
 
 /**
- * Merges as many of the added ranges into the existing ranges as the record can hold. If the record can hold
- * none of them, the first gap is dispatched to a block with a neighbouring range, even if that block has no
- * free slots: otherwise the job would stay undispatched forever.
+ * Merges the added ranges into the existing ranges, up to the number of ranges that the job's record can
+ * hold. If the record can hold none of the added ranges, the first undispatched tasks are dispatched to the
+ * block of a neighbouring range, even if that block has no free slots. Otherwise these tasks would stay
+ * undispatched forever.
  */
 function limitTaskRanges(
   spec: JobSpec,
--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -11,7 +11,7 @@
 const { label } = testSettings();
 const record = ownedBlock(label, leasedMachine('m1'));
 
-/** A `LeaseRenewals` whose block writes the test answers by calling `answer`. */
+/** Creates a `LeaseRenewals` whose block writes settle with the result that the test passes to `answer`. */
 function createFixture(): {
   renewals: LeaseRenewals;
   written: BlockRecord[];
@@ -57,7 +57,7 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, 9]);
 });
 
-test('a renewal that throws is no longer in flight', async () => {
+test('a renewal whose write fails with an error is no longer in flight', async () => {
   const { renewals, answer } = createFixture();
   const renewal = renewals.renew(0, record, 'new-incarnation');
   answer(new Error('the queue of commits has ended'));
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -1,6 +1,6 @@
 /**
- * Renews block leases on behalf of their owner, after a restart of its process or for a new layout of the
- * ledger.
+ * Renews the leases of this controller's blocks after a restart of the process, or to change the layout of a
+ * block's ledger. A block is a set of machines with the tasks placed on them, leased to one controller.
  */
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -20,20 +20,21 @@
 /**
  * Why a lease is renewed.
  *
- * `new-incarnation`: the block is leased to an earlier incarnation of this controller. The earlier
- * incarnation had the latest heartbeats in memory, and transactions that it sent may still be in flight.
+ * `new-incarnation`: the block is leased to an earlier incarnation of this controller. The latest heartbeats
+ * were kept only in the memory of the earlier incarnation, and transactions that the earlier incarnation sent
+ * may still be in flight.
  *
  * `new-layout`: the ledger of the block is to be written in another layout, and nothing may be committed in
  * the old layout after the renewal.
  *
- * In both cases the renewal gives the machines new fencing tokens and the block a new version, which
- * invalidates earlier fencing tokens and makes transactions that are still in flight conflict.
+ * In both cases the machines get new fencing tokens, which invalidate the earlier fencing tokens. The block
+ * gets a new version, so transactions that are still in flight conflict.
  */
 export type RenewalReason = 'new-incarnation' | 'new-layout';
 
 /**
- * Renews leases, with at most one renewal in flight, and records the revision of the last renewal of each
- * block.
+ * Renews the leases of blocks, with at most one renewal in flight. Records the store revision of the latest
+ * applied renewal of each block.
  */
 export class LeaseRenewals {
   private isInFlight = false;
@@ -43,15 +44,16 @@
   constructor(private readonly ports: LeaseRenewalsPorts) {}
 
   /**
-   * Whether a renewal of any block is in flight. Callers must not start another renewal before it has ended.
+   * Whether the renewal of any lease is in flight. Callers must not start another renewal before that renewal
+   * has settled.
    */
   get isRenewing(): boolean {
     return this.isInFlight;
   }
 
   /**
-   * Store revision of the last applied renewal of the block's lease by this process; undefined if there was
-   * none.
+   * Store revision of the latest applied renewal of the block's lease by this process; undefined if this
+   * process has not renewed the lease.
    */
   renewalRevision(block: number): number | undefined {
     return this.renewalRevisions.get(block);
@@ -63,9 +65,9 @@
   }
 
   /**
-   * Renews the lease of the block. Does not modify `record`. Settles when the outcome of the commit is known;
-   * the new record then arrives through the replica of the store. The caller has to repeat a renewal that was
-   * not applied.
+   * Renews the lease of the block. Does not modify `record`: the caller receives the new record through the
+   * replica of the store. Settles when the outcome of the commit is known. The caller must retry a renewal
+   * that was not applied.
    */
   async renew(block: number, record: BlockRecord, reason: RenewalReason): Promise<void> {
     const { settings, incarnation, log, writer } = this.ports;
@@ -80,7 +82,7 @@
       }
       log.info(
         { event: 'lease-renewed', block, outcome: outcome.kind },
-        'renewal of a block lease by its owner finished; if not applied, the owner repeats the renewal',
+        'renewal of a block lease by its owner finished; if not applied, the owner retries the renewal',
       );
     } finally {
       this.isInFlight = false;
--- a/src/blocks/lease-writer.test.ts
+++ b/src/blocks/lease-writer.test.ts
@@ -19,7 +19,7 @@
   writes: Write[];
 }
 
-/** A lease writer whose commits end with the given outcomes, one after the other. */
+/** Creates a lease writer whose commits have the given outcomes, in this order. */
 function createFixture(outcomes: CommitOutcome[]): {
   leases: LeaseWriter;
   commits: Commit[];
@@ -66,14 +66,15 @@
   assert.equal(await leases.supersedeUnknownCommits(), false);
 });
 
-// Guards against a machine that is in two blocks: a commit of unknown outcome that adds the machine to one
-// block is executed late, after the leader has added the machine to another block.
-test('after a write of unknown outcome, the unchanged block record is written on condition of the same version', async () => {
+// Guards against a machine that is in two blocks. The leader sends a commit that adds the machine to one
+// block, and the outcome of that commit is unknown. The leader then adds the machine to another block. If the
+// first commit is applied after that, both blocks list the machine.
+test('after a write with an unknown outcome, the unchanged block record is written on condition of the same version', async () => {
   const { leases, commits, stored } = createFixture([{ kind: 'unknown' }, { kind: 'unknown' }]);
   await leases.write(0, current, next);
   assert.equal(await leases.supersedeUnknownCommits(), true);
-  const [lost, superseding] = commits;
-  assert.deepEqual(superseding?.conditions, lost?.conditions);
+  const [unknownCommit, superseding] = commits;
+  assert.deepEqual(superseding?.conditions, unknownCommit?.conditions);
   const [write] = superseding?.writes ?? [];
   assert.ok(write && 'put' in write);
   const { owner, machines } = parseBlock(write.value, 0) ?? { owner: undefined, machines: [] };
@@ -82,8 +83,8 @@
     machines.map(({ id }) => id),
     ['m1'],
   );
-  // Once the block has another version, whichever commit changed the version, the lost commit can no longer
-  // be executed.
+  // After any commit has changed the version of the block, the commit with the unknown outcome can no longer
+  // be applied.
   stored.version = 12;
   assert.equal(await leases.supersedeUnknownCommits(), false);
   assert.equal(commits.length, 2);
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -1,4 +1,7 @@
-/** Commits block records on behalf of the leader, and resolves commits whose outcome is unknown. */
+/**
+ * Commits block records on behalf of the leader, and supersedes commits whose outcome is unknown. A block is
+ * a set of machines with the tasks placed on them, leased to one controller. Its record stores the lease.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -35,8 +38,8 @@
 export class LeaseWriter {
   private lastAppliedRevision = 0;
   /**
-   * By block with a commit whose outcome is unknown: the version of the block on which that commit was
-   * conditioned.
+   * The blocks with a commit whose outcome is unknown, each with the version of the block on which that
+   * commit was conditioned.
    */
   private readonly unknownCommitVersions = new Map<number, number>();
   private readonly writer: BlockWriter;
@@ -46,19 +49,19 @@
   }
 
   /**
-   * Highest store revision of the commits of this writer; 0 before the first. The replica must reach this
-   * revision before the next decision.
+   * Highest store revision among the applied commits of this writer; 0 if no commit has been applied. The
+   * next round must not start before the replica of the store has received this revision.
    */
   get committedRevision(): number {
     return this.lastAppliedRevision;
   }
 
   /**
-   * Supersedes commits whose outcome is unknown. Such a commit may still be executed, so machines and quota
-   * shares that it assigns to one block must not be assigned to another block meanwhile. This method
-   * therefore writes the unchanged record of each such block on condition of the same version; after that,
-   * the late commit conflicts. Returns whether there were such blocks. If so, the caller must not write
-   * anything else in this round.
+   * Supersedes commits whose outcome is unknown. The state service may still apply such a commit, so the
+   * machines and quota shares that the commit assigns to a block must not be assigned to another block. This
+   * method therefore writes the unchanged record of the block on condition of the same version. After this
+   * write has been applied, the earlier commit conflicts. Returns whether there were commits to supersede. If
+   * so, the caller must not write anything else in this round.
    */
   async supersedeUnknownCommits(): Promise<boolean> {
     const { registry } = this.ports;
@@ -76,14 +79,14 @@
   }
 
   /**
-   * Writes the record `next` of the block. Settles when the outcome of the commit is known, or, if the
-   * outcome is unknown, after a pause. A commit that was not applied is not retried here: the next round
-   * decides. `current`: the record on which `next` is based; undefined if the block has no record.
+   * Writes `next` as the record of the block. Settles when the commit has settled, after an additional pause
+   * if the outcome is unknown. A commit that was not applied is not retried, because the next round computes
+   * the record again. `current`: the record on which `next` is based; undefined if the block has no record.
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
-    const isLeader = { key: leaderKey, version: term.fencingToken };
-    const { outcome, version } = await this.writer.write(block, next, [isLeader]);
+    const leaderCondition = { key: leaderKey, version: term.fencingToken };
+    const { outcome, version } = await this.writer.write(block, next, [leaderCondition]);
     switch (outcome.kind) {
       case 'applied':
         this.lastAppliedRevision = Math.max(this.lastAppliedRevision, outcome.revision);
@@ -96,14 +99,14 @@
       case 'malformed':
         log.error(
           { event: 'block-refused', block, machines: next.machines.length },
-          'state service refused the block record as malformed; the leader tries again in a later round',
+          'state service refused the block record as malformed; the leader retries in a later round',
         );
         return;
       case 'conflict':
       case 'refused':
         log.debug(
           { event: 'lease-failed', block, outcome, at: clock() },
-          'block record not written; the leader decides again in the next round',
+          'block record not written; the leader computes the record again in the next round',
         );
     }
   }
--- a/src/blocks/live-members.test.ts
+++ b/src/blocks/live-members.test.ts
@@ -8,7 +8,10 @@
 const settings = testSettings();
 const other: Member = { label: 'other', incarnation: 'b', zone: 'z' };
 
-/** A `LiveMembers` whose clock and registry the test controls. */
+/**
+ * Creates a `LiveMembers` whose clock and registry the test controls. `at` sets the time and the live
+ * members, calls `update`, and returns the labels of the resulting members.
+ */
 function createFixture(): { members: LiveMembers; at: (ms: number, alive: Member[]) => string[] } {
   let now = 0;
   let alive: Member[] = [];
@@ -22,7 +25,7 @@
   return { members, at };
 }
 
-test('the leader counts as alive whether or not the replica has its key', () => {
+test('the leader is listed as alive exactly once, whether or not its alive key is in the replica', () => {
   const { at } = createFixture();
   assert.deepEqual(at(0, [other]), ['other', settings.label]);
   const own = { label: settings.label, incarnation: 'a', zone: settings.zone };
--- a/src/blocks/live-members.ts
+++ b/src/blocks/live-members.ts
@@ -1,4 +1,4 @@
-/** Tracks, for the leader, which controllers are alive and since when. */
+/** Tracks, for the leader, which controllers are alive and how long each has been alive. */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import type { BlockRegistry, Member } from './block-registry.js';
@@ -25,8 +25,8 @@
   update(): Member[] {
     const { registry, settings, clock, incarnation } = this.ports;
     const members = registry.liveMembers();
-    // If the leader's own key had expired in the store, the leader would lose its leadership. So if the key
-    // is missing here, the replica only lags behind.
+    // If the leader's own alive key had expired in the store, the leader would lose its leadership. If the
+    // key is missing in the replica, the replica therefore only lags behind the store.
     if (!members.some((member) => member.label === settings.label))
       members.push({ label: settings.label, incarnation, zone: settings.zone });
     const labels = new Set(members.map((member) => member.label));
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Whether the member had been alive long enough at the last update for a block to be leased to it without
-   * the risk that the block has to be leased to another controller immediately afterwards.
+   * Whether the member has been alive without interruption for more than a heartbeat interval, according to
+   * the latest update. A block can then be leased to the member without the risk that the block must be
+   * leased to another controller immediately afterwards.
    */
   isStable(label: string): boolean {
     const { clock, settings } = this.ports;
--- a/src/blocks/machine-pages.ts
+++ b/src/blocks/machine-pages.ts
@@ -1,5 +1,7 @@
 /**
  * Distributes the machines of a large block over pages, and creates the conditions and writes of these pages.
+ * A block is a set of machines that is leased to one controller, and a page is a store value that lists some
+ * of these machines.
  */
 import { groupBy } from '../base/group-by.js';
 import type { Settings } from '../settings/settings.js';
@@ -21,14 +23,14 @@
   machines: LeasedMachine[];
 }
 
-/** Maximum number of digits of a fencing token or of a time of day. */
-const numberDigits = 16;
-/** How many numbers a page stores for each machine, in addition to its id. */
+/** Maximum number of digits of a fencing token or of a timestamp. */
+const maxNumberDigits = 16;
+/** Number of numeric values that a page stores for each machine, in addition to the id of the machine. */
 const numbersPerMachine = 2;
 
 /**
- * Maximum size of the machines of one page, in bytes: the size limit of a value, or less, so that a
- * transaction with the maximum number of operations stays within its own size limit.
+ * Maximum size of the machines on one page, in bytes. This is the size limit of a store value, or less if a
+ * transaction with the maximum number of operations would otherwise exceed the size limit of a transaction.
  */
 export function machinePageBytes({ state }: Pick<Settings, 'state'>): number {
   return Math.min(state.valueBytes, Math.floor(maxTransactionBytes / state.txnOps));
@@ -36,8 +38,8 @@
 
 /**
  * Assigns each machine to a page, and returns the machines by page number. A machine that already has a page
- * stays on it, so that a change of few machines changes few pages. A new machine goes to the first page that
- * does not exceed `pageBytes` with it.
+ * stays on it, so that a change of few machines changes few pages. A new machine is assigned to the first
+ * page on which it fits within `pageBytes`.
  */
 export function assignPages(
   machines: Iterable<LeasedMachine>,
@@ -58,8 +60,9 @@
 }
 
 /**
- * The pages that differ from the stored pages. A page with new fencing tokens only is not written: the record
- * of the block raises the fencing tokens of all its machines.
+ * Returns the pages that differ from the stored pages. A page on which only fencing tokens differ is not
+ * included, because the block record contains a fencing token that raises the fencing tokens of all machines
+ * of the block.
  */
 export function changedPages(
   stored: StoredBlock | undefined,
@@ -77,8 +80,8 @@
 }
 
 /**
- * Conditions that the pages still have the given versions. `versions`: by page; a page without an entry must
- * not exist.
+ * Returns the conditions that the pages still have the given versions. `versions`: store revisions by page
+ * number; a page without an entry must not exist.
  */
 export function pageConditions(
   block: number,
@@ -88,7 +91,7 @@
   return [...pages].map((page) => ({ key: machinesKey(block, page), version: versions.get(page) ?? 0 }));
 }
 
-/** The write that stores the change of the page. */
+/** Returns the write that stores the change of the page. */
 export function pageWrite(block: number, { page, machines }: PageChange): Write {
   const key = machinesKey(block, page);
   return machines.length > 0 ? { put: key, value: machineGroups(machines) } : { drop: key };
@@ -107,11 +110,11 @@
 }
 
 /**
- * Bytes that the machine adds to the page. Machines of one kind share one stored copy of the names of their
- * type and zone.
+ * Number of bytes that the machine adds to the page. The names of the machine type and zone are stored only
+ * once for all machines of one kind.
  */
 function addedBytes(page: Page, machine: LeasedMachine): number {
-  const entryBytes = machine.id.length + numberDigits * numbersPerMachine;
+  const entryBytes = machine.id.length + maxNumberDigits * numbersPerMachine;
   if (page.kinds.has(machineGroupKey(machine))) return entryBytes;
   const [group] = machineGroups([{ ...machine, fencingToken: 0 }]);
   return entryBytes + jsonSizeBytes(group);
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -1,4 +1,7 @@
-/** Manages one block that is leased to this controller, from the start of the lease to its end. */
+/**
+ * Manages one block from the start to the end of its lease to this controller. A block is a set of machines
+ * with the tasks placed on them.
+ */
 import { setMaxListeners } from 'node:events';
 
 import type { Clock } from '../base/clock.js';
@@ -20,7 +23,10 @@
   blockState: BlockState;
   /** Fires when the lease of the block ends. */
   signal: AbortSignal;
-  /** The monitor calls this after it has proven machines to be terminated and their tasks wait again. */
+  /**
+   * Called by the health monitor after machines have been proven to be terminated and their tasks are waiting
+   * again.
+   */
   onTasksRequeued: () => void;
 }
 
@@ -33,7 +39,7 @@
 /** The dependencies of an owned block. */
 export interface OwnedBlockPorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   log: Log;
   settings: Settings;
@@ -69,8 +75,8 @@
   ) {
     const { settings, log, clock, wallClock, replica, order, jobIndex } = ports;
     const { signal } = this.abortController;
-    // Each commit that waits for its retry adds a listener to the signal, so their number must not be
-    // limited.
+    // Each commit that waits for a retry adds a listener to the signal, so the number of listeners must not
+    // be limited.
     setMaxListeners(0, signal);
     const blockState = new BlockState({
       block,
@@ -96,8 +102,8 @@
   }
 
   /**
-   * Stops the scheduler and the health monitor. Afterwards no task of the block is placed and no machine of
-   * it is released.
+   * Stops the scheduler and the health monitor. After that, no task of the block is placed and no machine of
+   * the block is released by this controller.
    */
   stop(): void {
     this.abortController.abort();
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -1,6 +1,6 @@
 /**
- * Starts and stops the blocks that are leased to this controller, as their leases change in the replica of
- * the store.
+ * Starts a block when it is leased to this controller, and stops the block when the lease ends. The leases
+ * are read from the replica of the store. A block is a set of machines with the tasks placed on them.
  */
 import { logUnexpectedFailure } from '../base/unexpected-failures.js';
 import type { BlockState } from '../placement/block-state.js';
@@ -40,8 +40,8 @@
 
   constructor(private readonly ports: OwnedBlocksPorts) {
     this.renewals = new LeaseRenewals({ ...ports, writer: new BlockWriter(ports) });
-    // A controller that stops receives no more heartbeats. Its health monitors must not release the machines
-    // for that reason, so they are stopped when the signal fires.
+    // A controller that is stopping receives no more heartbeats. The health monitors are therefore stopped
+    // when the signal fires, so that they do not release machines because of missing heartbeats.
     ports.signal.addEventListener('abort', () => this.stopAll(), { once: true });
   }
 
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Finds a machine of this controller's blocks by its id. Undefined if no owned block has the machine with a
-   * fencing token.
+   * Finds a machine by its id in the blocks that this controller owns. Returns undefined if no owned block
+   * contains the machine, or if the machine does not have a fencing token.
    */
   findMachine(id: string): OwnedMachine | undefined {
     for (const { blockState, scheduler } of this.owned.values()) {
@@ -64,8 +64,8 @@
 
   /**
    * Must be called after every batch of changes of the replica. Starts blocks whose lease to this controller
-   * has begun, stops blocks whose lease to this controller has ended, starts necessary renewals of leases,
-   * and applies the changes to the states of the owned blocks.
+   * has begun, and stops blocks whose lease to this controller has ended. Starts lease renewals that are
+   * necessary, and applies the changes to the states of the owned blocks.
    */
   applyChanges(changes: Change[]): void {
     const { registry, settings, signal } = this.ports;
@@ -82,11 +82,10 @@
   }
 
   /**
-   * Whether the block must be stopped. This is so if its lease to this incarnation has ended, or if its
-   * ledger layout is outdated and the replica has reached a renewal of the lease for the new layout. The
-   * renewal gives the machines new fencing tokens and the block a new version, which makes commits in flight
-   * conflict. After that, the block is stopped and started again in the same way as after a restart of the
-   * process.
+   * Whether the block must be stopped because its lease to this incarnation has ended, or because its ledger
+   * layout is outdated and the replica has received the renewal of the lease for the new layout. After such a
+   * renewal the machines have new fencing tokens and the block has a new version, so commits in flight
+   * conflict. The block is then stopped and started again, in the same way as after a restart of the process.
    */
   private mustStop(owned: OwnedBlock, record: BlockRecord | undefined, layout: LedgerLayout): boolean {
     const { settings, incarnation, registry } = this.ports;
@@ -100,8 +99,8 @@
   }
 
   /**
-   * Applies the record of a block that is leased to this controller: starts a renewal of the lease if one is
-   * necessary, and starts or updates the block if it can be used under the current lease.
+   * Handles the record of a block that is leased to this controller. Starts a renewal of the lease if
+   * necessary. Starts or updates the block if the block can be used under the current lease.
    */
   private applyLease(block: number, record: BlockRecord, layout: LedgerLayout): void {
     const { renewals } = this;
@@ -109,12 +108,13 @@
     const isRenewed = reason === 'new-layout' && renewals.layoutRenewalRevision(block) !== undefined;
     if (reason !== undefined && !isRenewed && !renewals.isRenewing) this.renewLease(block, record, reason);
     if (reason === 'new-incarnation') return;
-    // A block in the old layout must not take over the version of the renewal: its commits would no longer
-    // conflict, and nothing may be committed in the old layout after the renewal.
+    // A block in the old layout must not use the version that the renewal creates. With that version, the
+    // commits of the block would no longer conflict, but nothing may be committed in the old layout after the
+    // renewal.
     if (reason === 'new-layout' && renewals.isRenewing) return;
     const version = this.ports.registry.blockVersion(block);
-    // The replica has not reached the last renewal yet: the record still has the fencing tokens from before
-    // the renewal.
+    // If the replica has not received the latest renewal yet, the record still contains the fencing tokens
+    // from before the renewal.
     if (version < (renewals.renewalRevision(block) ?? 0)) return;
     const { blockState, scheduler } = this.owned.get(block) ?? this.startBlock(block, layout);
     if (blockState.version === version) return;
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Starts a renewal without waiting for it. If the renewal rejects, the error is unexpected: it is logged
-   * and thrown again, and ends the process as an unhandled rejection.
+   * Starts a renewal of the lease without waiting for the outcome. If the renewal rejects, the error is
+   * unexpected. The error is logged and thrown again, and ends the process as an unhandled rejection.
    */
   private renewLease(block: number, record: BlockRecord, reason: RenewalReason): void {
     this.renewals.renew(block, record, reason).catch((error: unknown) => {
--- a/src/blocks/quota-share-allocator.test.ts
+++ b/src/blocks/quota-share-allocator.test.ts
@@ -13,8 +13,8 @@
 const unlimited = { cpus: 0, cpusMax: 0, accelerators: 0, acceleratorsMax: 0 };
 
 /**
- * An allocator for the team `red` and two blocks. `shares` returns the next CPU share of the team in each
- * block, while `waitingTasks` tasks of 2 CPUs each wait in the first block.
+ * Creates an allocator for the team `red` and two blocks. `shares` returns the new CPU share of the team in
+ * each block if `waiting` tasks of 2 CPUs each wait in the first block.
  */
 function createFixture(cpusMax: number): {
   shares: (nowMs: number, blocks: Map<number, BlockRecord>, waiting: number) => (number | undefined)[];
@@ -76,7 +76,7 @@
   assert.deepEqual(shares(0, new Map(), 0), [6, 6]);
   assert.deepEqual(shares(quotaSharePeriodMs - 1, blocksWith(4, 4), 1), [4, 4]);
   assert.deepEqual(shares(quotaSharePeriodMs, blocksWith(4, 4), 1), [7, 5]);
-  // A share of one CPU does not admit the waiting task of two CPUs. The share of the other block is cut
-  // first, so that the share of this block can grow later.
+  // The share of the first block is one CPU, which is too small for the waiting task of two CPUs. The share
+  // of the second block is cut first, so that the share of the first block can grow in a later round.
   assert.deepEqual(shares(quotaSharePeriodMs + 1, blocksWith(1, 11), 1), [1, 5]);
 });
--- a/src/blocks/quota-share-allocator.ts
+++ b/src/blocks/quota-share-allocator.ts
@@ -1,4 +1,7 @@
-/** Decides when the leader reallocates the teams' limits among the blocks, and computes the demand for it. */
+/**
+ * Determines when the leader reallocates the resource limits of teams among the blocks, and computes the
+ * demand of each team in each block. A quota share is the part of a team's limit that one block may use.
+ */
 import type { Clock } from '../base/clock.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { taskResourcesOf } from '../placement/ledger-index.js';
@@ -10,24 +13,28 @@
 /** The dependencies of the quota share allocator. */
 export interface QuotaShareAllocatorPorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   settings: Pick<Settings, 'teams' | 'controllers'>;
   jobIndex: Pick<JobIndex, 'activeTasks' | 'inQueueOrder' | 'waitingByBlock'>;
   order: QueueOrder;
-  /** How long quota shares are kept, unless waiting tasks exceed the quota share of their block. */
+  /**
+   * Time in ms for which quota shares are kept. Shares are reallocated earlier if waiting tasks exceed the
+   * quota share of their block.
+   */
   quotaSharePeriodMs: number;
 }
 
 /**
- * Allocates quota shares, and keeps them for a period or until the waiting tasks of a block exceed its share.
+ * Allocates quota shares. The shares are kept for `quotaSharePeriodMs`, or until waiting tasks exceed the
+ * quota share of their block.
  */
 export class QuotaShareAllocator {
   private allocatedAt = -Infinity;
 
   constructor(private readonly ports: QuotaShareAllocatorPorts) {}
 
-  /** The quota shares to write now, by block. Empty if no team has a limit. */
+  /** Returns the quota shares to write now, by block. Returns an empty map if no team has a limit. */
   nextShares(blocks: ReadonlyMap<number, BlockRecord>): Map<number, QuotaShares> {
     const { settings, clock, quotaSharePeriodMs } = this.ports;
     const limitedTeams = [...settings.teams.values()].filter(isLimited);
@@ -48,8 +55,8 @@
   }
 
   /**
-   * Computes from the replica of the store what each team's tasks use, and what its waiting tasks need, in
-   * each block.
+   * Computes the demand of each team in each block from the replica of the store: the resources that the
+   * team's tasks use, and the resources that its waiting tasks need.
    */
   private teamDemand(): (block: number, team: string) => TeamDemand {
     const { jobIndex, order, wallClock } = this.ports;
--- a/src/blocks/quota-shares.test.ts
+++ b/src/blocks/quota-shares.test.ts
@@ -27,8 +27,8 @@
   // The limit is 32 CPUs. The first block has a share of 24, so the second block can get only 8 now. The
   // share of the first block is cut to the 20 CPUs that its tasks use.
   assert.deepEqual([share(0), share(1)], [20, 8]);
-  // After the smaller share of the first block has been committed, the second block can get the CPUs that
-  // this frees.
+  // After the smaller share of the first block has been committed, the four CPUs by which that share was cut
+  // can be added to the share of the second block.
   currentShares.set(0, { red: [20, 0] });
   currentShares.set(1, { red: [8, 0] });
   const later = allocateQuotaShares(input);
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -1,4 +1,7 @@
-/** Divides the limits of teams among the blocks. */
+/**
+ * Divides the resource limits of teams among the blocks. A quota share is the part of a team's limit that one
+ * block may use.
+ */
 import type { Resources } from '../model/types.js';
 import { withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
@@ -24,8 +27,8 @@
   /** The current shares of each block. There is an entry for every block that may get a share. */
   currentShares: ReadonlyMap<number, QuotaShares>;
   /**
-   * The demand of a team in a block. Must include everything up to the current versions of the blocks:
-   * otherwise it would not be safe to increase a share.
+   * Returns the demand of a team in a block. The demand must include all commits up to the current versions
+   * of the blocks, because otherwise it would not be safe to increase a share.
    */
   demand: (block: number, team: string) => TeamDemand;
 }
@@ -38,10 +41,10 @@
   next: QuotaAmount;
 }
 
-/** Smaller differences between amounts are treated as rounding errors. */
+/** Differences between amounts that are smaller than this are treated as rounding errors. */
 const roundingTolerance = 1e-6;
 
-/** Whether the team has a limit of its own, which is then divided into shares. */
+/** Whether the team has a limit for CPUs or accelerators, which must be divided into quota shares. */
 export function isLimited(team: Team): boolean {
   return team.cpusMax > 0 || team.acceleratorsMax > 0;
 }
@@ -63,10 +66,11 @@
 /**
  * Computes the next shares of each block, by team.
  *
- * A block must not start tasks beyond its share, but its share may be cut below what its tasks use at the
- * moment. A block may therefore use the larger of its share and its current use, and the sum of these amounts
- * over all blocks must stay within the limit. A share grows only by the part of the limit that this sum
- * leaves. If that is not enough, the shares of other blocks are cut first, in an earlier commit.
+ * A block must not start tasks beyond its share, but its share may be cut below the amount that its tasks
+ * currently use. The amount that a block may use is therefore the larger of its share and its current use.
+ * The sum of these amounts over all blocks must stay within the limit, and a share grows only by the
+ * remaining part of the limit. If that part is too small, the shares of other blocks are cut first, in an
+ * earlier commit.
  */
 export function allocateQuotaShares(input: QuotaShareInput): Map<number, QuotaShares> {
   const shares = new Map<number, QuotaShares>([...input.currentShares.keys()].map((block) => [block, {}]));
@@ -102,7 +106,8 @@
     const current = share.current[resource];
     const wanted = share.wanted[resource];
     const growth = Math.min(Math.max(0, wanted - current), Math.max(0, available));
-    // Cut a share only if another block wants more than it has. Otherwise the share is kept for future tasks.
+    // Cut this share only if another block wants more than its own current share. Otherwise keep this share
+    // for future tasks.
     const isWantedElsewhere = shares.some(
       (other) => other !== share && other.wanted[resource] > other.current[resource] + roundingTolerance,
     );
@@ -113,8 +118,9 @@
 }
 
 /**
- * Computes the share that each block wants: the resources that its tasks use, plus the needs of its waiting
- * tasks as far as the limit admits them, plus an equal part of the remainder of the limit.
+ * Computes the wanted share of each block. The wanted share is the sum of the resources that the tasks of the
+ * block use, the resources that its waiting tasks need as far as the limit admits these tasks, and an equal
+ * part of the remaining limit.
  */
 function computeWantedShares(shares: BlockShare[], team: Team): void {
   const total: QuotaAmount = [0, 0];
@@ -134,7 +140,7 @@
 
 /**
  * Adds up to `count` waiting tasks to the wanted share of a block and to the total of all blocks, one task at
- * a time, until the total has reached the team's limit.
+ * a time. Stops before a task that would exceed the team's limit.
  */
 function addWaiting(
   wanted: QuotaAmount,
--- a/src/blocks/rebalancer.test.ts
+++ b/src/blocks/rebalancer.test.ts
@@ -24,8 +24,9 @@
 const alive = { boot: 'b', zone: 'a' };
 
 /**
- * Two blocks with four slots each, and one job with `tasks` tasks that all wait in the first block. `run`
- * runs a round at the given time, and returns the job's task ranges if the round has written them.
+ * Creates two blocks with four slots each, and one job with `tasks` tasks that all wait in the first block.
+ * `run` runs one round of recalls at `nowMs`. It returns the task ranges that the round has written for the
+ * job, or undefined if the round has written nothing.
  */
 async function createFixture(
   tasks: number,
@@ -73,16 +74,16 @@
   return { run };
 }
 
-test('tasks without a slot are recalled after waiting four heartbeat intervals while another block has free slots', async () => {
+test('tasks without a slot in their block are recalled if another block has had free slots for four heartbeat intervals', async () => {
   const { run } = await createFixture(6);
   assert.equal(await run(0), undefined);
   assert.equal(await run(interval * 4 - 1), undefined);
-  // At most one round runs in a heartbeat interval, so this call does nothing.
+  // This call does nothing, because the previous round was less than a heartbeat interval ago.
   assert.equal(await run(interval * 4), undefined);
   assert.deepEqual(await run(interval * 5 - 1), [{ block: 0, first: 0, count: 4 }]);
 });
 
-test('tasks with a slot in their block are not recalled, and no more tasks than other blocks have free slots for', async () => {
+test('tasks with a slot in their block are not recalled, and no more tasks are recalled than fit into the free slots of other blocks', async () => {
   const fitting = await createFixture(4);
   assert.equal(await fitting.run(0), undefined);
   assert.equal(await fitting.run(interval * 4), undefined);
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,6 +1,7 @@
 /**
- * Recalls, on behalf of the leader, tasks that wait in a full block while other blocks have free slots for
- * them.
+ * Recalls, on behalf of the leader, tasks that wait in a full block although other blocks have free slots for
+ * them. A recalled task is removed from its block, so that it can be dispatched to another block. A block is
+ * a set of machines with the tasks placed on them, leased to one controller.
  */
 import type { Clock } from '../base/clock.js';
 import { isZoneConstrained } from '../model/types.js';
@@ -22,7 +23,7 @@
 /** The dependencies of the rebalancer. */
 export interface RebalancerPorts extends CapacityPorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'teams'>;
   jobIndex: JobIndex;
@@ -34,31 +35,35 @@
 interface RecallRound {
   now: number;
   capacity: CapacityEstimate;
-  /** Times since when tasks have been stuck, by block and job. Kept for the next round. */
+  /**
+   * Monotonic time in ms since which tasks of a job have been stuck in a block, by block and job. The next
+   * round continues with these times.
+   */
   stuckSince: Map<string, number>;
   recalls: Promise<void>[];
 }
 
 /**
- * Tasks are recalled after they have waited for this many heartbeat intervals in a block without free slots
- * while another block has free slots. Most tasks that have waited for less time than this still start in
- * their block.
+ * A task is stuck if it waits in a block without a free slot for it, although another block has one. Tasks
+ * are recalled after they have been stuck for this number of heartbeat intervals. Most tasks that have been
+ * stuck for a shorter time still start in their block.
  */
 const recallAfterHeartbeats = 4;
 /**
- * Limit for the task ranges of a job after a recall, as a ratio of the ranges that its record can hold. The
- * rest is left for the ranges that are added when the recalled tasks are dispatched again.
+ * Maximum number of task ranges of a job after a recall, as a ratio of the number of ranges that the job's
+ * record can hold. The remaining number is reserved for the ranges that are added when the recalled tasks are
+ * dispatched again.
  */
 const maxRangesAfterRecallRatio = 1 / 2;
 /**
- * The estimate counts only slots that are free now: tasks that were dispatched to a block beyond its free
- * slots are the tasks to recall.
+ * The capacity estimate includes only slots that are free now, because the tasks to recall are the tasks that
+ * were dispatched to a block beyond its free slots.
  */
 const noLookahead = 0;
 
 /**
- * Recalls stuck tasks. The dispatcher dispatches them again after the replica has reached the job record
- * without them.
+ * Recalls stuck tasks. The dispatcher dispatches these tasks again after the replica has received the job
+ * record from which they have been removed.
  */
 export class Rebalancer {
   private rebalancedAt = -Infinity;
@@ -67,9 +72,9 @@
   constructor(private readonly ports: RebalancerPorts) {}
 
   /**
-   * Recalls tasks that have been stuck for `recallAfterHeartbeats` and that their team's limit still admits,
-   * in queue order of their jobs. Does nothing if the last round was less than a heartbeat interval ago.
-   * Settles when the outcomes of the commits are known.
+   * Recalls tasks that have been stuck for `recallAfterHeartbeats`, in the queue order of their jobs. Skips
+   * jobs whose tasks the limit of their team does not admit. Does nothing if the previous round was less than
+   * a heartbeat interval ago. Settles when the outcomes of the commits are known.
    */
   async run(): Promise<void> {
     const { jobIndex, clock, settings, order, wallClock } = this.ports;
@@ -95,7 +100,7 @@
 
   /**
    * Recalls stuck tasks of the job from at most one block. Tasks in another block can be recalled only after
-   * the replica has reached the changed record of the job.
+   * the replica has received the changed record of the job.
    */
   private recallStuckTasks(job: IndexedJob, round: RecallRound): void {
     const { jobIndex, settings, writer } = this.ports;
@@ -119,8 +124,8 @@
   }
 
   /**
-   * The task ranges of the job after a recall; undefined if nothing can be recalled. A zone-constrained job
-   * stays in one block, so either all of its tasks are recalled or none.
+   * Returns the task ranges of the job after a recall, or undefined if no task can be recalled. The tasks of
+   * a zone-constrained job stay together in one block, so either all of them are recalled or none of them.
    */
   private rangesAfterRecall(job: IndexedJob, block: number, tasks: number): TaskRange[] | undefined {
     const { jobIndex, writer } = this.ports;
@@ -137,8 +142,8 @@
 }
 
 /**
- * Reserves the slots that the recalled tasks will take in other blocks, so that other jobs' tasks are not
- * recalled for them.
+ * Reserves free slots in other blocks for the recalled tasks, so that tasks of other jobs are not recalled
+ * for the same slots.
  */
 function reserveElsewhere(
   job: IndexedJob,
@@ -151,14 +156,19 @@
 }
 
 /**
- * How many of a job's tasks that wait in the block have no slot there but have a free slot in another block.
+ * Returns the number of tasks that wait in the block without a slot there, and for which other blocks have
+ * free slots.
  */
 function countMovableTasks(slots: BlockSlots[], block: number, waiting: number): number {
   const own = slots.find((other) => other.block === block);
-  // A block whose owner is not alive is missing in `slots`: none of its waiting tasks has a slot there.
+  // `slots` does not include a block whose owner is not alive, so none of the tasks that wait there have a
+  // slot.
   const withoutSlot = own ? clamp(-own.freeSlots, waiting) : waiting;
-  const elsewhere = slots.reduce((sum, other) => sum + (other === own ? 0 : Math.max(0, other.freeSlots)), 0);
-  return Math.min(withoutSlot, elsewhere);
+  const freeSlotsElsewhere = slots.reduce(
+    (sum, other) => sum + (other === own ? 0 : Math.max(0, other.freeSlots)),
+    0,
+  );
+  return Math.min(withoutSlot, freeSlotsElsewhere);
 }
 
 function clamp(value: number, max: number): number {
--- a/src/blocks/task-ranges.ts
+++ b/src/blocks/task-ranges.ts
@@ -1,4 +1,7 @@
-/** Operations on the task ranges with which a job's record dispatches tasks to blocks. */
+/**
+ * Operations on the task ranges in the record of a job. A task range dispatches consecutive tasks of the job
+ * to one block, which is a set of machines that is leased to one controller.
+ */
 import type { JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
 
@@ -6,8 +9,8 @@
 export type UndispatchedRange = Omit<TaskRange, 'block'>;
 
 /**
- * The tasks of a job that none of its ranges covers, in the order of their indexes. `tasks`: the number of
- * tasks of the job.
+ * Returns the tasks of a job that are not in any of its task ranges, in the order of their indexes. `tasks`:
+ * the number of tasks of the job.
  */
 export function undispatchedRanges(taskRanges: TaskRange[], tasks: number): UndispatchedRange[] {
   const gaps: UndispatchedRange[] = [];
@@ -20,7 +23,7 @@
   return gaps;
 }
 
-/** The number of tasks of a job that none of its ranges covers. */
+/** Returns the number of tasks of a job that are not in any of its task ranges. */
 export function countUndispatchedTasks(taskRanges: TaskRange[], tasks: number): number {
   return undispatchedRanges(taskRanges, tasks).reduce((sum, gap) => sum + gap.count, 0);
 }
@@ -44,7 +47,7 @@
   return merged;
 }
 
-/** A range with all tasks of the job in one block. */
+/** Returns a range that dispatches all tasks of the job to one block. */
 export function wholeJob(spec: Pick<JobSpec, 'tasks'>, block: number): TaskRange {
   return { block, first: 0, count: spec.tasks };
 }
--- a/src/blocks/task-recall.test.ts
+++ b/src/blocks/task-recall.test.ts
@@ -26,8 +26,9 @@
   done,
 });
 
-// Guards against tasks that wait forever in a full block while another block has free slots for them.
-test('waiting tasks are recalled from the ends of the ranges of a block, but no task that is active or done', () => {
+// Guards against tasks that are not recalled from a full block. They would wait there forever, although
+// another block has free slots for them.
+test('waiting tasks are recalled from the ends of the ranges of a block, and tasks that are active or done are not recalled', () => {
   const taskRanges = [
     { block: 0, first: 0, count: 6 },
     { block: 1, first: 6, count: 4 },
@@ -59,9 +60,10 @@
   );
 });
 
-// Guards against a task that is started by two blocks: the intent of the first block was committed just
-// before the recall, and the leader's replica had not reached that commit yet.
-test('a recalled task that is in the ledger of a block is returned to that block before others are dispatched', () => {
+// Guards against a task that is started by two blocks. The first block commits an intent to start the task.
+// The leader, whose replica has not received that commit yet, recalls the task. If the leader then dispatched
+// the task to a second block, both blocks would start it.
+test('a recalled task that a block has already started is returned to that block before other tasks are dispatched', () => {
   const taskRanges = [{ block: 1, first: 0, count: 2 }];
   const job = (
     change: Partial<JobSpec> = {},
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -1,6 +1,7 @@
 /**
- * Recalls tasks that a block has not started, and returns recalled tasks to a block that had already started
- * them.
+ * Recalls dispatched tasks from a block that has not started them, and returns recalled tasks to a block that
+ * had already started them. A block is a set of machines with the tasks placed on them, leased to one
+ * controller.
  */
 import { expandRanges } from '../base/ranges.js';
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
@@ -21,10 +22,10 @@
 }
 
 /**
- * Returns the job's ranges without the recalled tasks. The last waiting tasks of the block are recalled, so
- * that the number of ranges stays small. Undefined if no task of the block waits, or if too many ranges would
- * remain. `entries`: the job's entries in the ledgers of all blocks. Tasks that are active or done in the
- * block's entries are not recalled.
+ * Returns the job's task ranges without the recalled tasks, or undefined if no task can be recalled or if
+ * more than `maxRanges` ranges would remain. Waiting tasks are recalled from the ends of the ranges, so that
+ * the number of ranges stays small. `entries`: the job's entries in the ledgers of all blocks. Tasks that are
+ * active or done in an entry of the block are not recalled.
  */
 export function recallTasks(
   taskRanges: TaskRange[],
@@ -47,14 +48,14 @@
 }
 
 /**
- * Returns the job's ranges, extended by the tasks that no range covers although the ledger of a block lists
- * them as active or done. Undefined if there are no such tasks.
+ * Finds tasks that are in none of the job's task ranges, although the ledger of a block lists them as active
+ * or done. Returns the job's task ranges extended by these tasks, or undefined if there are no such tasks.
  *
- * The intents of these tasks were committed before the job's record was written by the recall, but the
- * replica of the leader that recalled the tasks had not reached the intents yet. The tasks must not be
- * dispatched to another block. Intents are conditioned on the version of the job's record, so an intent that
- * is committed after the record conflicts. The ledgers as of the revision of the record therefore list all
- * such tasks.
+ * Such a task was recalled after a block had committed an intent for it, but before the leader's replica had
+ * received that commit. (An intent is a task attempt that is committed to the ledger before its start is
+ * sent.) The task must not be dispatched to another block. Intents are conditioned on the version of the job
+ * record, so an intent that is sent after the recall has changed the record conflicts. The ledgers, as of the
+ * revision of that record, therefore list all such tasks.
  */
 export function restoreStartedTasks(
   { taskRanges, spec }: { taskRanges: TaskRange[]; spec: Pick<JobSpec, 'tasks' | 'colocated' | 'spread'> },
@@ -75,7 +76,7 @@
   return mergeTaskRanges([...taskRanges, ...restored]);
 }
 
-/** Indexes of the job's tasks that are active on a machine of the block or done in the block. */
+/** Returns the indexes of the job's tasks that are active on a machine of the block or done in the block. */
 function startedTasks(block: number, entries: Iterable<LedgerTasks>): Set<number> {
   const started = new Set<number>();
   for (const entry of entries) {
