--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -168,7 +168,7 @@
   // committed to the ledger before its start is sent.) The owner computes the intent from the block record,
   // and then a commit marks the machine as draining. If that commit did not change the version of the block
   // record, the commit of the intent would not conflict.
-  test('is written in several commits, each of which changes its version, if more pages change than fit into a transaction', async () => {
+  test('is written in several commits, each of which changes the version of the block, if more pages change than fit into a transaction', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
     for (const leased of next.machines) leased.draining = true;
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -72,8 +72,9 @@
  *
  * If more pages change than fit into a transaction, the block is written in several commits. Each commit is
  * safe by itself, because the entries of different machines do not depend on each other. If the block is
- * already on pages, each commit also gives the record a new version, so that an intent (a task attempt that
- * is committed to the ledger before its start is sent) conflicts if it is based on an earlier version.
+ * already on pages, each commit also gives the record a new version, so that intents that are based on an
+ * earlier version conflict. An intent is a task attempt that is committed to the ledger before its start is
+ * sent.
  *
  * The pages of a block are not valid while its record still lists the machines. When a block moves to pages,
  * the pages are written first. They become valid with the commit that removes the machines from the record.
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -87,7 +87,7 @@
 
 /**
  * The free slots of the blocks at the time of the estimate, minus the slots that the caller has reserved
- * since then.
+ * since the estimate.
  */
 export class CapacityEstimate {
   private readonly usedByMachine: ReadonlyMap<string, Resources>;
@@ -182,8 +182,8 @@
 
 /**
  * The machines on which tasks of the job may be placed. If the tasks may run on spot machines and the block
- * has suitable spot machines, only those are eligible, so that ordinary machines remain available to other
- * jobs.
+ * has suitable spot machines, only the spot machines are eligible, so that ordinary machines remain available
+ * to other jobs.
  */
 function eligibleMachines(spec: JobSpec, machines: LeasedMachine[]): LeasedMachine[] {
   const eligible = machines.filter((machine) => !machine.draining && isEligible(spec, machine));
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -38,7 +38,7 @@
 
   /**
    * Highest store revision among the applied commits of this writer; 0 if no commit has been applied. The
-   * next round must not start before the replica of the store has received this revision.
+   * replica of the store must have received this revision before further task ranges are computed.
    */
   get committedRevision(): number {
     return this.lastAppliedRevision;
@@ -51,8 +51,7 @@
   }
 
   /**
-   * Maximum number of task ranges in the job's record, so that the record stays within the size limit of a
-   * store value.
+   * Maximum number of task ranges with which the job's record stays within the size limit of a store value.
    */
   maxTaskRanges(spec: JobSpec): number {
     return maxTaskRanges(spec, this.ports.settings.state.valueBytes);
--- a/src/blocks/initial-dispatcher.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -34,8 +34,8 @@
 
 /**
  * Dispatches all tasks of a new job to one block with enough free slots. If no block has enough free slots,
- * the leader dispatches the job later. If there is no leader, the tasks are divided among all blocks by the
- * sizes of the blocks.
+ * the leader dispatches the job later. If there is no leader, the tasks are divided among all blocks in
+ * proportion to the sizes of the blocks.
  */
 export class InitialDispatcher {
   private capacity: CapacityEstimate | undefined;
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -33,8 +33,8 @@
 export type RenewalReason = 'new-incarnation' | 'new-layout';
 
 /**
- * Renews the leases of blocks, with at most one renewal in flight. Records the store revision of the latest
- * applied renewal of each block.
+ * Renews the leases of blocks. At most one renewal may be in flight at a time. Records the store revision of
+ * the latest applied renewal of each block.
  */
 export class LeaseRenewals {
   private isInFlight = false;
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Renews the lease of the block. Does not modify `record`: the caller receives the new record through the
+   * Renews the lease of the block. Does not modify `record`. The caller receives the new record through the
    * replica of the store. Settles when the outcome of the commit is known. The caller must retry a renewal
    * that was not applied.
    */
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -50,7 +50,8 @@
 
   /**
    * Highest store revision among the applied commits of this writer; 0 if no commit has been applied. The
-   * next round must not start before the replica of the store has received this revision.
+   * replica of the store must have received this revision before the leader assigns blocks or dispatches jobs
+   * again.
    */
   get committedRevision(): number {
     return this.lastAppliedRevision;
@@ -79,9 +80,10 @@
   }
 
   /**
-   * Writes `next` as the record of the block. Settles when the commit has settled, after an additional pause
-   * if the outcome is unknown. A commit that was not applied is not retried, because the next round computes
-   * the record again. `current`: the record on which `next` is based; undefined if the block has no record.
+   * Writes `next` as the record of the block. Settles when the commit has ended. If the outcome of the commit
+   * is unknown, settles after an additional pause. A commit that was not applied is not retried, because the
+   * next round computes the record again. `current`: the record on which `next` is based; undefined if the
+   * block has no record.
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
--- a/src/blocks/live-members.ts
+++ b/src/blocks/live-members.ts
@@ -25,8 +25,9 @@
   update(): Member[] {
     const { registry, settings, clock, incarnation } = this.ports;
     const members = registry.liveMembers();
-    // If the leader's own alive key had expired in the store, the leader would lose its leadership. If the
-    // key is missing in the replica, the replica therefore only lags behind the store.
+    // A leader whose alive key has expired in the store loses its leadership. If the leader's alive key is
+    // missing in the replica, the replica therefore lags behind the store, and the leader still counts as
+    // alive.
     if (!members.some((member) => member.label === settings.label))
       members.push({ label: settings.label, incarnation, zone: settings.zone });
     const labels = new Set(members.map((member) => member.label));
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -30,7 +30,7 @@
   onTasksRequeued: () => void;
 }
 
-/** Checks the machines of one block and releases failed ones. */
+/** Checks the machines of one block and releases the machines that have failed. */
 export interface BlockHealthMonitor {
   /** Runs the checks. Settles when the signal of the block fires. */
   run(): Promise<void>;
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -7,7 +7,7 @@
 import type { Team } from '../settings/settings.js';
 import type { QuotaShares } from '../wire/block-records.js';
 
-/** Amounts of the resources for which teams have limits. */
+/** Amounts of the resources for which teams can have limits. */
 export type QuotaAmount = [cpus: number, accelerators: number];
 
 /** The indexes of a `QuotaAmount`. CPUs and accelerators are divided independently of each other. */
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -1,7 +1,7 @@
 /**
  * Recalls, on behalf of the leader, tasks that wait in a full block although other blocks have free slots for
- * them. A recalled task is removed from its block, so that it can be dispatched to another block. A block is
- * a set of machines with the tasks placed on them, leased to one controller.
+ * them. A recalled task is removed from the task ranges of its block, so that the task can be dispatched to
+ * another block. A block is a set of machines with the tasks placed on them, leased to one controller.
  */
 import type { Clock } from '../base/clock.js';
 import { isZoneConstrained } from '../model/types.js';
@@ -44,9 +44,9 @@
 }
 
 /**
- * A task is stuck if it waits in a block without a free slot for it, although another block has one. Tasks
- * are recalled after they have been stuck for this number of heartbeat intervals. Most tasks that have been
- * stuck for a shorter time still start in their block.
+ * A task is stuck if it waits in a block without a free slot for it although another block has a free slot
+ * for it. Tasks are recalled after they have been stuck for this number of heartbeat intervals. Most tasks
+ * that have been stuck for a shorter time still start in their block.
  */
 const recallAfterHeartbeats = 4;
 /**
--- a/src/blocks/task-ranges.ts
+++ b/src/blocks/task-ranges.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Merges adjacent ranges of the same block. The block of the first range stays first, because that block
- * commits the outcome of the job.
+ * Merges adjacent ranges of the same block. The block of the first range stays first in the result, because
+ * that block commits the outcome of the job.
  */
 export function mergeTaskRanges(taskRanges: TaskRange[]): TaskRange[] {
   const merged: TaskRange[] = [];
