--- a/src/controller/block-ownership.ts
+++ b/src/controller/block-ownership.ts
@@ -1,6 +1,6 @@
 /**
- * Composes the modules that schedule the blocks leased to this controller and monitor the health of their
- * machines.
+ * Composes the modules that schedule the blocks leased to this controller and monitor the health of the
+ * machines in them. A block is a set of machines with the work placed on them.
  */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
@@ -15,13 +15,13 @@
 import type { MachineTypeCatalog } from './machine-type-catalog.js';
 import type { StateAccess } from './state-access.js';
 
-/** Dependencies of the owned blocks on the rest of the controller. */
+/** The parts of the controller that the owned blocks use. */
 export interface BlockOwnershipPorts {
   clock: Clock;
   log: Log;
   settings: Settings;
   operator: OperatorSettings;
-  /** Identifies this run of the controller process; every restart has a new one. */
+  /** Identifies this run of the controller process; a new value is chosen at every start. */
   incarnation: string;
   /** When the signal fires, the routines of all owned blocks stop. */
   signal: AbortSignal;
@@ -32,7 +32,9 @@
   membership: Pick<Membership, 'resign'>;
 }
 
-/** Creates the object that manages this controller's owned blocks, with their scheduling and health monitors. */
+/**
+ * Creates the object that manages this controller's owned blocks, with their scheduling and health monitors.
+ */
 export function createOwnedBlocks(ports: BlockOwnershipPorts): OwnedBlocks {
   const { state, settings } = ports;
   return new OwnedBlocks({
@@ -64,9 +66,9 @@
     cloud: ports.cloud,
     machineTypes: () => ports.machineTypes.types,
     isStoreReachable: () => state.replicaFreshness.isStoreReachable(),
-    // If no worker reaches this controller, only another controller can keep the tasks of the workers
-    // running. The leader leases the blocks of this controller to others as soon as this controller's lease
-    // has ended.
+    // If this controller receives no heartbeats at all, another controller has to take over its blocks to
+    // keep their tasks running. Resigning ends this controller's lease in the store, and the leader then
+    // leases the blocks to other controllers.
     onNoHeartbeats: () => ports.membership.resign(settings.cancelDeadlineMs),
   });
 }
--- a/src/controller/commit-queues.test.ts
+++ b/src/controller/commit-queues.test.ts
@@ -5,7 +5,7 @@
 import { testSettings } from '../testing/settings.js';
 import { createCommitQueues, queueLengths } from './commit-queues.js';
 
-test('each kind of work has its own queue, with the traffic class by which its commits are rate-limited', async () => {
+test('each kind of work has its own commit queue, with a traffic class and a capacity', async () => {
   const sentTrafficClasses: TrafficClass[] = [];
   let respond: () => void = () => undefined;
   const responded = new Promise<void>((resolve) => (respond = resolve));
--- a/src/controller/commit-queues.ts
+++ b/src/controller/commit-queues.ts
@@ -1,4 +1,4 @@
-/** The queues in which commits of this controller wait until they are sent to the store. */
+/** Creates the queues in which commits of this controller wait until they are sent to the store. */
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import { CommitQueue } from '../store/commit-queue.js';
@@ -8,18 +8,21 @@
  * One queue for each kind of work, so that commits of one kind do not wait behind a burst of another kind.
  */
 export interface CommitQueues {
-  /** Commits of ledgers, of the blocks that this controller owns, and of its membership. */
+  /**
+   * Commits to the ledgers and records of the blocks that this controller owns, and commits of its own
+   * membership records. A ledger records the tasks of one block and their states.
+   */
   duty: CommitQueue;
   /**
-   * Commits that only the leader makes. All blocks wait for these commits, so they do not queue behind the
-   * ledger pages of a single block.
+   * Commits that only the leader makes. All blocks depend on the leader's commits. These commits therefore do
+   * not queue behind the ledger commits of a single block.
    */
   leader: CommitQueue;
-  /** Submissions and cancellations by users. */
+  /** Commits of submissions and cancellations by users. */
   intake: CommitQueue;
   /**
-   * Transactions without writes: each confirms a job status by comparison before the status is returned to a
-   * user.
+   * Transactions without writes. Before a job status is returned to a user, such a transaction confirms it by
+   * comparing versions of records in the store.
    */
   confirm: CommitQueue;
 }
@@ -27,7 +30,9 @@
 /** Capacity of each queue, as a multiple of the maximum number of operations in one transaction. */
 const capacityTransactions = { duty: 4, leader: 4, intake: 4, confirm: 8 };
 
-/** Creates the queues of one controller. When the signal fires, the queues refuse all waiting commits. */
+/**
+ * Creates the commit queues of one controller. When the signal fires, the queues refuse all waiting commits.
+ */
 export function createCommitQueues(
   store: Pick<StoreClient, 'commit'>,
   settings: Settings,
@@ -43,7 +48,7 @@
   };
 }
 
-/** Number of operations that wait in each queue. */
+/** Returns the number of operations that wait in each commit queue. */
 export function queueLengths(
   queues: Record<keyof CommitQueues, Pick<CommitQueue, 'writableLength'>>,
 ): Record<keyof CommitQueues, number> {
--- a/src/controller/controller.test.ts
+++ b/src/controller/controller.test.ts
@@ -3,8 +3,8 @@
 
 import { Cluster, submission } from '../testing/cluster.js';
 
-// The whole service against stand-ins of the store, the cloud and the workers: responses to users, and the
-// guarantees that must hold when parts of the service fail.
+// Runs three controllers against stand-ins of the store, the cloud and the workers. Checks the responses to
+// users, and the guarantees that must hold when parts of the service fail.
 describe('three controllers', () => {
   const cluster = new Cluster({ port: 21_000, taskMs: 600 });
   before(() => cluster.start());
@@ -13,7 +13,7 @@
   test('a job is accepted, runs to completion and has status done on every controller', async () => {
     const accepted = await cluster.user(0, 'POST', '/v2/runs', submission('req-000001', 5));
     assert.deepEqual([accepted.status, accepted.body], [201, { id: 'req-000001', status: 'pending' }]);
-    // Other controllers return the job at once. The content of a repeated submission is ignored.
+    // Another controller returns the job immediately. The content of a repeated submission is ignored.
     const repeated = await cluster.user(1, 'POST', '/v2/runs', submission('req-000001', 9));
     assert.equal(repeated.status, 200);
     assert.notEqual(await cluster.status(2, 'req-000001'), '404');
@@ -71,7 +71,7 @@
     assert.equal((await cluster.user(0, 'GET', '/up')).status, 200);
   });
 
-  test('a job of 100,000 tasks is accepted, and its stored values stay within the size limit of a value', async () => {
+  test('a job of 100,000 tasks is accepted and runs without exceeding the size limit of a stored value', async () => {
     const job = submission('req-000004', 100_000, { owner: 'blue', cpus: 8 });
     assert.equal((await cluster.user(0, 'POST', '/v2/runs', job)).status, 201);
     await cluster.waitUntil(
@@ -81,7 +81,7 @@
     assert.equal((await cluster.user(1, 'POST', '/v2/runs/req-000004/cancel', {})).status, 200);
   });
 
-  test('no job is lost when responses of the store to commits are lost', async () => {
+  test('no job is lost when the store applies commits but its responses are lost', async () => {
     cluster.store.answersToDrop = 3;
     await cluster.waitUntil('the job is accepted', async () => {
       const answer = await cluster.user(0, 'POST', '/v2/runs', submission('req-000005', 3));
@@ -93,7 +93,7 @@
     );
   });
 
-  test('while the store is down, submissions are refused with 503 at once; jobs continue after the outage', async () => {
+  test('during an outage of the store, submissions are refused immediately with 503; jobs complete after the outage', async () => {
     await cluster.user(0, 'POST', '/v2/runs', submission('req-000006', 3));
     cluster.store.hasOutage = true;
     await cluster.waitUntil('a submission is refused with 503 within 500 ms', async () => {
@@ -108,7 +108,7 @@
     );
   });
 
-  test('no job is lost when the leader stops: its block is leased anew', async () => {
+  test('no job is lost when the leader stops, because its block is leased to another controller', async () => {
     const leader = await cluster.waitForLeader();
     const leaderNode = ['keel-0', 'keel-1', 'keel-2'].indexOf(leader);
     const otherNode = (leaderNode + 1) % 3;
@@ -127,9 +127,9 @@
     );
   });
 
-  // Guards against two failures after all controllers restart during an outage of the store: jobs whose
-  // status requests are never answered once the outage is over, and two incarnations of one controller that
-  // both lead.
+  // All controllers restart during an outage of the store, and then the outage ends. Guards against two wrong
+  // results: status requests for accepted jobs are never answered, or two incarnations of one controller both
+  // lead.
   test('after all controllers restart during an outage, each returns every accepted job, and all jobs complete', async () => {
     const ids = [0, 1, 2].map((i) => `req-00001${i}`);
     for (const [i, id] of ids.entries()) await cluster.user(i, 'POST', '/v2/runs', submission(id, 4));
@@ -137,7 +137,8 @@
     cluster.store.hasOutage = true;
     for (const label of ['keel-0', 'keel-1', 'keel-2']) {
       cluster.stopController(label);
-      // The restart takes a fraction of a second: the key of the previous incarnation is still in the store.
+      // Because the restart takes a fraction of a second, the alive key of the previous incarnation is still
+      // in the store when the new incarnation starts.
       await new Promise((resolve) => setTimeout(resolve, 150));
       cluster.startController(label);
     }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -34,10 +34,10 @@
 
 const machineTypesRetryMs = 1000;
 /**
- * Objectives that leave less than this number of heartbeat intervals to start a job are ignored in the queue
- * order, where the job has a longer one. Otherwise new jobs would always start before jobs that have already
- * waited for a moment, and during a burst of submissions nearly all jobs would wait until the end of the
- * burst.
+ * If an objective of a job leaves less than this number of heartbeat intervals to start the job, and another
+ * objective leaves more, the queue order ignores the shorter objective. If the shorter objective counted, new
+ * jobs would always start before jobs that have already waited for a moment. During a burst of submissions,
+ * nearly all jobs would then wait until the end of the burst.
  */
 const minObjectiveHeartbeats = 4;
 
@@ -65,14 +65,15 @@
   private readonly httpService: HttpService;
   private readonly storeContactMonitor: StoreContactMonitor;
 
-  /** `signal`: when it fires, the controller stops. */
+  /** When `signal` fires, the controller stops. */
   constructor(
     private readonly settings: Settings,
     private readonly operator: OperatorSettings,
     private readonly log: Log,
     private readonly signal: AbortSignal,
   ) {
-    // Every request in flight adds a listener to the signal, so Node.js must not warn about their number.
+    // Every request in flight adds a listener to the signal. Without this call, Node.js would warn of a
+    // listener leak.
     setMaxListeners(0, signal);
     const { clock } = this;
     this.leaseTtlMs = controllerLeaseTtlMs(settings, operator);
@@ -94,7 +95,10 @@
     this.listenToReplica();
   }
 
-  /** Runs all modules until the signal fires. A module that fails is logged and restarted. */
+  /**
+   * Runs all modules until the signal fires. If a module throws, the error is logged and the module
+   * restarted.
+   */
   async run(): Promise<void> {
     const { settings, log, incarnation } = this;
     log.info({ event: 'start', incarnation, zone: settings.zone }, 'controller is starting');
--- a/src/controller/housekeeping.test.ts
+++ b/src/controller/housekeeping.test.ts
@@ -3,7 +3,7 @@
 
 import { Housekeeping } from './housekeeping.js';
 
-test('a run retries lease renewals, records own machine events, sets the store role and logs the usage', () => {
+test('housekeeping retries block lease renewals, records machine events, sets the store role and logs the usage', () => {
   const calls: unknown[][] = [];
   const housekeeping = new Housekeeping({
     label: 'k0',
--- a/src/controller/housekeeping.ts
+++ b/src/controller/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * Periodic updates that are due even if nothing has changed; they run after each check of the contact with
- * the store.
+ * Periodic updates that are due even if nothing has changed in the store. They run after each check of the
+ * contact with the store.
  */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
@@ -11,7 +11,7 @@
 import { storeRole } from './store-role.js';
 import type { UsageLog } from './usage-log.js';
 
-/** The modules that are updated, and the modules that the updates read. */
+/** The modules that the periodic updates read or modify. */
 export interface HousekeepingPorts {
   label: string;
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
@@ -28,10 +28,10 @@
 export class Housekeeping {
   constructor(private readonly ports: HousekeepingPorts) {}
 
-  /** Runs all updates once. This method sends no request itself. */
+  /** Runs each update once. Sends no request itself. */
   runOnce(): void {
     const { ownedBlocks, registry, store, label, isLeading, usageLog } = this.ports;
-    // An empty batch of changes retries the renewals of block leases that have failed.
+    // Applying an empty batch of changes retries renewals of block leases that have failed.
     ownedBlocks.applyChanges([]);
     this.recordOwnMachineEvents();
     store.setRole(storeRole(registry, label, isLeading()));
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Passes the machine events of this controller's own blocks to its own modules; the peers receive them in
-   * the status.
+   * Passes the machine events of this controller's own blocks to its own modules. Peers receive these events
+   * in the status that this controller sends to them.
    */
   private recordOwnMachineEvents(): void {
     const { machineEvents, bootedMachines, leaderDuties } = this.ports;
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -14,7 +14,7 @@
 import { HeartbeatHandler } from '../workers/heartbeat-handler.js';
 
 /**
- * The modules that handle the requests, and the conditions under which heartbeats are answered and tasks
+ * The modules that handle the requests, and the conditions under which heartbeats are answered and tasks are
  * started.
  */
 export interface HttpServicePorts {
@@ -33,18 +33,18 @@
 /** Maximum number of accepted connections, as a fraction of the maximum number of sockets of the process. */
 const requestSocketsRatio = 0.8;
 /**
- * One turn of the event loop serves heartbeats for at most this fraction of a heartbeat interval, then other
- * sockets are served.
+ * In one iteration of the event loop, heartbeats are served for at most this fraction of a heartbeat
+ * interval. After that, other sockets are served.
  */
 const turnBudgetHeartbeats = 1 / 80;
 /**
- * A connection without a request for this many worker leases is closed. Workers and users send several
- * requests within one worker lease.
+ * A connection that receives no request for this many worker lease periods is closed. Workers and users send
+ * several requests within one period.
  */
 const idleTimeoutLeases = 2;
 /**
- * The response to a heartbeat waits for the commits of the tasks that it starts, for at most this fraction of
- * a heartbeat interval.
+ * A heartbeat response that starts tasks waits until their start is committed, but at most this fraction of a
+ * heartbeat interval.
  */
 const maxCommitWaitHeartbeats = 1 / 4;
 
--- a/src/controller/leader-duties.test.ts
+++ b/src/controller/leader-duties.test.ts
@@ -4,8 +4,8 @@
 import { Term } from '../leadership/term.js';
 import { LeaderDuties, type LeaderDutiesPorts } from './leader-duties.js';
 
-// Guards against a new leader that acts on a replica which does not yet contain all commits of earlier
-// leaders.
+// A controller wins the election while its replica of the store still lacks commits of the previous leader.
+// If its duties started immediately, they would act on outdated records.
 test('no duty starts before the replica has reached the revision of the commit that won the election', async () => {
   let blocksRead = 0;
   const ports = {
--- a/src/controller/leader-duties.ts
+++ b/src/controller/leader-duties.ts
@@ -1,4 +1,7 @@
-/** The leader's duties: scaling the fleet of machines, and assigning machines and jobs to blocks. */
+/**
+ * The leader's duties: scaling the fleet of machines, and assigning machines and jobs to blocks. A block is a
+ * set of machines with the work placed on them, leased to one controller.
+ */
 import { type Clock, sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { runRoutine } from '../base/routine.js';
@@ -17,15 +20,15 @@
 import type { CommitQueue } from '../store/commit-queue.js';
 import type { StoreReplica } from '../store/store-replica.js';
 
-/** Dependencies of the leader's duties on the rest of the controller. */
+/** The parts of the controller that the leader's duties use. */
 export interface LeaderDutiesPorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   log: Log;
   settings: Settings;
   operator: OperatorSettings;
-  /** Identifies this run of the controller process; every restart has a new one. */
+  /** Identifies this run of the controller process; a new value is chosen at every start. */
   incarnation: string;
   store: StoreClient;
   replica: StoreReplica;
@@ -37,21 +40,24 @@
   order: QueueOrder;
   bootedMachines: Pick<BootedMachines, 'isBooted'>;
   machineTypes: () => ReadonlyMap<string, MachineType>;
-  /** Whether the store has served this controller within the time to live of the controller's lease. */
+  /**
+   * Whether the store has served this controller within the time to live of the controller's lease in the
+   * store.
+   */
   isStoreReachable: () => boolean;
 }
 
 const replicaPollMs = 20;
 
-/** Runs the duties during each term of this controller; between terms there are none. */
+/** Runs the leader's duties during each term of this controller. No duty runs between terms. */
 export class LeaderDuties {
   private autoscaler: Autoscaler | undefined;
 
   constructor(private readonly ports: LeaderDutiesPorts) {}
 
   /**
-   * Runs the duties until the term ends. The duties start once the replica contains all commits of earlier
-   * leaders: it must have reached the revision of the commit that won the election.
+   * Runs the duties until the term ends. The duties start after the replica of the store has reached the
+   * revision of the commit that won the election. The replica then contains all commits of earlier leaders.
    */
   async run(term: Term): Promise<void> {
     const { log, replica } = this.ports;
@@ -72,7 +78,7 @@
     }
   }
 
-  /** Marks machines that are proven to be terminated. Has no effect while this controller does not lead. */
+  /** Marks machines that are known to be terminated. Has no effect unless this controller leads. */
   markTerminated(machines: Iterable<string>): void {
     this.autoscaler?.inventory.markTerminated(machines);
   }
@@ -123,7 +129,7 @@
   }
 }
 
-/** The autoscaler's inventory of rented machines, in the form that the block allocator expects. */
+/** Returns the autoscaler's inventory of rented machines in the form that the block allocator expects. */
 function rentedMachinesOf(autoscaler: Autoscaler): RentedMachines {
   const { unassigned, terminated, toDrain, presumedTerminated } = autoscaler.inventory;
   return {
--- a/src/controller/machine-events.test.ts
+++ b/src/controller/machine-events.test.ts
@@ -3,7 +3,7 @@
 
 import { MachineEvents } from './machine-events.js';
 
-test('returns the machine events of all own blocks within the last 20 seconds', () => {
+test('machine events of all own blocks are listed for 20 seconds', () => {
   const requestedTimes: number[] = [];
   const blockState = (
     machine: string,
--- a/src/controller/machine-events.ts
+++ b/src/controller/machine-events.ts
@@ -6,26 +6,27 @@
 import type { BlockState } from '../placement/block-state.js';
 
 /**
- * For this long, in ms, a machine is listed after its event, so that later statuses to a peer repeat the
- * event if a status was lost or overtaken by a later one.
+ * Time in ms for which a machine is listed after its boot or termination. During this time, every status sent
+ * to a peer repeats the event, so that the peer receives it even if some statuses are lost or arrive out of
+ * order.
  */
 const eventRetentionMs = 20_000;
 
 /** Collects the machine events of all blocks that this controller owns. */
 export class MachineEvents {
-  /** `blockStates`: returns the states of the blocks that this controller owns at the time of the call. */
+  /** `blockStates` returns the states of the blocks that this controller owns at the time of the call. */
   constructor(
     private readonly clock: Clock,
     private readonly blockStates: () => Pick<BlockState, 'machinesTerminatedSince' | 'machinesUpSince'>[],
   ) {}
 
-  /** Machines that have recently been proven to be terminated. */
+  /** Returns the ids of machines that were recently found to be terminated. */
   terminated(): string[] {
     const since = this.clock() - eventRetentionMs;
     return this.blockStates().flatMap((blockState) => blockState.machinesTerminatedSince(since));
   }
 
-  /** Machines whose first heartbeat has been received recently. */
+  /** Returns the ids of machines whose first heartbeat was received recently. */
   booted(): string[] {
     const since = this.clock() - eventRetentionMs;
     return this.blockStates().flatMap((blockState) => blockState.machinesUpSince(since));
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -11,14 +11,14 @@
 
   constructor(private readonly cloud: Pick<CloudClient, 'machineTypes'>) {}
 
-  /** All machine types by name; empty until the first response of the cloud. */
+  /** All machine types by name; empty until the cloud has responded for the first time. */
   get types(): ReadonlyMap<string, MachineType> {
     return this.byName;
   }
 
   /**
-   * Refreshes the machine types until the signal fires. Throws the error of a request to the cloud that
-   * fails.
+   * Refreshes the machine types until the signal fires. If a request to the cloud fails, rejects with the
+   * error of this request.
    */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
--- a/src/controller/peer-status-handler.test.ts
+++ b/src/controller/peer-status-handler.test.ts
@@ -21,7 +21,7 @@
   cancelled: [['req-000001', 35]],
 };
 
-/** Applies the status during a term with this fencing token and records the resulting calls. */
+/** Applies `status` during a term with this fencing token and records the resulting calls. */
 function apply(fencingToken: number): { calls: unknown[]; term: Term } {
   const calls: unknown[] = [];
   const term = new Term(fencingToken, 0);
@@ -44,7 +44,7 @@
   ]);
 });
 
-test('a status of a peer that leads with a higher fencing token ends the own term', () => {
+test('the term ends when a peer sends a status with a higher fencing token', () => {
   assert.deepEqual(apply(6).term.endReason, { kind: 'superseded', by: 'k1' });
   assert.equal(apply(7).term.endReason, undefined);
 });
--- a/src/controller/peer-status-handler.ts
+++ b/src/controller/peer-status-handler.ts
@@ -1,4 +1,4 @@
-/** Handling of the statuses that peers send. */
+/** Applies the statuses that peers (the other controllers) send. */
 import type { BootedMachines } from '../blocks/booted-machines.js';
 import type { Term } from '../leadership/term.js';
 import type { StoreReplica } from '../store/store-replica.js';
@@ -7,7 +7,7 @@
 import type { PeerStatus } from '../wire/peer-status.js';
 import type { LeaderDuties } from './leader-duties.js';
 
-/** The modules that receive the contents of a status. */
+/** The modules to which the contents of a status are passed. */
 export interface PeerStatusHandlerPorts {
   bootedMachines: Pick<BootedMachines, 'markBooted'>;
   leaderDuties: Pick<LeaderDuties, 'markTerminated'>;
@@ -21,8 +21,8 @@
   constructor(private readonly ports: PeerStatusHandlerPorts) {}
 
   /**
-   * Records the machine events and cancellations that the peer lists. If the peer leads with a higher fencing
-   * token than this controller, the term of this controller ends.
+   * Records the machine events and cancellations listed in the status. If this controller leads and the
+   * status contains a higher fencing token than its own, the term of this controller ends.
    */
   apply(status: PeerStatus): void {
     const { bootedMachines, leaderDuties, replica } = this.ports;
--- a/src/controller/random-source.test.ts
+++ b/src/controller/random-source.test.ts
@@ -3,7 +3,7 @@
 
 import { seededRandom } from './random-source.js';
 
-test('numbers are in [0, 1), the same for the same incarnation and different for another one', () => {
+test('random numbers are in [0, 1), equal for equal incarnations and different for different incarnations', () => {
   const numbers = (uuid: string): number[] => {
     const random = seededRandom(uuid);
     return [random(), random(), random()];
--- a/src/controller/random-source.ts
+++ b/src/controller/random-source.ts
@@ -1,4 +1,4 @@
-/** Random numbers that differ between incarnations and are reproducible for one incarnation. */
+/** Generates random numbers that differ between incarnations and are reproducible for one incarnation. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
--- a/src/controller/replica-change-handler.ts
+++ b/src/controller/replica-change-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Passes the changes of the replica, in a fixed order, to the modules whose state is derived from the
- * replica.
+ * Passes the changes of the replica of the store, in a fixed order, to the modules whose state is derived
+ * from the replica.
  */
 import type { OwnedBlocks } from '../blocks/owned-blocks.js';
 import type { Cancellations } from '../intake/cancellations.js';
@@ -18,15 +18,15 @@
   ownedBlocks: Pick<OwnedBlocks, 'applyChanges'>;
 }
 
-/** Applies each batch of changes of the replica to the modules derived from it. */
+/** Applies each batch of changes of the replica to the modules whose state is derived from the replica. */
 export class ReplicaChangeHandler {
   private isIndexLoaded = false;
 
   constructor(private readonly ports: ReplicaChangeHandlerPorts) {}
 
   /**
-   * Applies a batch of changes: to the cancellations first, then to the job index, then to the owned blocks,
-   * which read the job index.
+   * Applies a batch of changes to the cancellations first, then to the job index, and finally to the owned
+   * blocks. The owned blocks read the job index, so the index must be updated before them.
    */
   apply(changes: Change[]): void {
     this.recordCancellations(changes);
@@ -43,8 +43,8 @@
   }
 
   /**
-   * The first batch is the initial load of the replica: the job index then loads the whole replica instead of
-   * the batch.
+   * Updates the job index. The first batch results from the initial load of the replica, so the job index
+   * then loads the whole replica instead of the batch.
    */
   private indexJobs(changes: Change[]): void {
     const { jobIndex, replica } = this.ports;
--- a/src/controller/replica-freshness.test.ts
+++ b/src/controller/replica-freshness.test.ts
@@ -5,13 +5,13 @@
 
 interface FreshnessInputs {
   now: number;
-  /** When the store last served this controller, in ms of the steady clock. */
+  /** Monotonic time in ms at which the store last served this controller. */
   contactAt?: number;
   failing?: boolean;
 }
 
 /**
- * Knowledge of the store through a replica at revision 40 that contains all changes before 10,000 ms; a
+ * Creates the freshness of a replica at revision 40, which contains all changes made before 10,000 ms. The
  * heartbeat interval is 2500 ms.
  */
 function createFreshness({ now, contactAt = now, failing = false }: FreshnessInputs): ReplicaFreshness {
@@ -28,7 +28,7 @@
   });
 }
 
-test('the time up to which changes are known follows from the revision of the replica', () => {
+test('the time up to which all changes are known is derived from the revision of the replica', () => {
   assert.equal(createFreshness({ now: 20_000 }).changesKnownUntil, 10_000);
 });
 
@@ -38,7 +38,7 @@
   assert.equal(createFreshness({ now: 14_999, failing: true }).mayStartTasks(), false);
 });
 
-test('cancellations are known while the replica is younger than a quarter of the cancellation deadline', () => {
+test('cancellations count as known while the replica is less than a quarter of the cancellation deadline old', () => {
   assert.equal(createFreshness({ now: 18_499, failing: true }).knowsCancellations(), true);
   assert.equal(createFreshness({ now: 18_500 }).knowsCancellations(), false);
 });
--- a/src/controller/replica-freshness.ts
+++ b/src/controller/replica-freshness.ts
@@ -1,13 +1,10 @@
-/**
- * How far the replica of the store may be out of date, and which actions are allowed at that age of the
- * replica.
- */
+/** Computes how old the replica of the store is, and which actions are allowed at this age. */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
 import type { StoreReplica } from '../store/store-replica.js';
 
-/** The facts from which the age of the replica is computed. */
+/** The inputs from which the age of the replica is computed. */
 export interface ReplicaFreshnessPorts {
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'knownUntil' | 'contactAgeMs'>;
@@ -27,21 +24,21 @@
 const maxCancellationAgeRatio = 1 / 4;
 
 /**
- * Computes the age of the replica from the clock. The replica lags behind the store, and without contact to
- * the store its age keeps growing.
+ * Computes the age of the replica, which is the time since it was known to contain all changes of the store.
+ * The replica lags behind the store. Without contact to the store, its age keeps growing.
  */
 export class ReplicaFreshness {
   constructor(private readonly ports: ReplicaFreshnessPorts) {}
 
-  /** The replica contains every change of the store before this time, in ms of the steady clock. */
+  /** Monotonic time in ms. The replica contains every change that was made to the store before this time. */
   get changesKnownUntil(): number {
     const { store, replica } = this.ports;
     return store.knownUntil(replica.revision);
   }
 
   /**
-   * Whether the store has served this controller within the time to live of its lease. If so, the controller
-   * may still hold the lease and the blocks that are leased to it.
+   * Whether the store has served this controller within the time to live of the controller's lease in the
+   * store. If so, this lease may still be valid, and the controller may still own its blocks.
    */
   isStoreReachable(): boolean {
     const { store, clock, leaseTtlMs } = this.ports;
@@ -49,8 +46,8 @@
   }
 
   /**
-   * Whether tasks may start: with an older replica, their job may have ended already. Called with every
-   * heartbeat.
+   * Whether tasks may start. If the replica is too old, the job of a task may already have ended without this
+   * controller knowing. Called for every heartbeat.
    */
   mayStartTasks(): boolean {
     const { store, settings } = this.ports;
@@ -58,14 +55,15 @@
   }
 
   /**
-   * Whether the replica contains every cancellation that was confirmed so long ago that the dependent jobs
-   * must be cancelled by now.
+   * Whether the replica contains every cancellation that was confirmed more than a quarter of the
+   * cancellation deadline ago. For later cancellations, the deadline by which dependent jobs must be
+   * cancelled has not passed.
    */
   knowsCancellations(): boolean {
     return this.ageMs < this.ports.settings.cancelDeadlineMs * maxCancellationAgeRatio;
   }
 
-  /** Time since the replica is known to have contained all changes of the store. */
+  /** Time in ms since the replica was last known to contain all changes of the store. */
   private get ageMs(): number {
     return this.ports.clock() - this.changesKnownUntil;
   }
--- a/src/controller/service-health.test.ts
+++ b/src/controller/service-health.test.ts
@@ -8,13 +8,16 @@
   hasMachineTypes?: boolean;
   contactAgeMs?: number;
   /**
-   * Time since the last contact with the store, as each peer reports; undefined: no status of the peer was
-   * received.
+   * Time in ms since the last contact with the store, as reported by each peer. Undefined if no status of the
+   * peer was received.
    */
   peerContactAgesMs?: (number | undefined)[];
 }
 
-/** Health with a lease of 6 s: a controller without contact counts as cut off from the store after 2 s. */
+/**
+ * Returns the health of a controller whose lease in the store lasts 6 s. After 2 s without contact, a
+ * controller counts as cut off from the store.
+ */
 function isServing({
   ready = true,
   hasMachineTypes = true,
@@ -37,7 +40,7 @@
   return health.isServing();
 }
 
-test('users are served once the replica is loaded and the machine types are known', () => {
+test('users are served after the replica is loaded and the machine types are known', () => {
   assert.equal(isServing({}), true);
   assert.equal(isServing({ ready: false }), false);
   assert.equal(isServing({ hasMachineTypes: false }), false);
--- a/src/controller/service-health.ts
+++ b/src/controller/service-health.ts
@@ -1,10 +1,10 @@
-/** Decides the response to the health check of load balancers: whether this controller serves users. */
+/** Determines whether this controller serves users, for the health checks of load balancers. */
 import type { Clock } from '../base/clock.js';
 import type { LastPeerStatus } from '../peers/peer-links.js';
 import type { StoreClient } from '../store/client.js';
 import type { StoreReplica } from '../store/store-replica.js';
 
-/** The facts on which the health depends. */
+/** The inputs of the health check. */
 export interface ServiceHealthPorts {
   clock: Clock;
   store: Pick<StoreClient, 'contactAgeMs'>;
@@ -20,8 +20,8 @@
 }
 
 /**
- * A controller that has had no contact with the store for this fraction of the time to live of its lease
- * counts as cut off from the store.
+ * A controller counts as cut off from the store if it has had no contact for this fraction of the time to
+ * live of its lease in the store.
  */
 const maxContactAgeRatio = 1 / 3;
 
@@ -30,9 +30,9 @@
   constructor(private readonly ports: ServiceHealthPorts) {}
 
   /**
-   * Whether this controller serves users: true once the replica and the machine types are loaded, unless this
-   * controller is cut off from the store while a peer is not. If all controllers are cut off, no peer could
-   * serve users better, and becoming unhealthy together would close the connections of the users.
+   * Whether this controller serves users. False until the replica and the machine types are loaded, and false
+   * if this controller is cut off from the store but a peer is not. If all controllers are cut off, no peer
+   * could serve users better. If all became unhealthy together, the users' connections would be closed.
    */
   isServing(): boolean {
     const { clock, store, replica, hasMachineTypes, peers, lastPeerStatus, leaseTtlMs } = this.ports;
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -14,11 +14,11 @@
 import { ReplicaFreshness } from './replica-freshness.js';
 import { storeProbeIntervalMs } from './store-contact-monitor.js';
 
-/** What the access to the store is created from. */
+/** The settings and inputs of the access to the store. */
 export interface StateAccessOptions {
   clock: Clock;
   settings: Settings;
-  /** When the signal fires, requests to the store and commit queues stop. */
+  /** When the signal fires, requests to the store are aborted and the commit queues stop. */
   signal: AbortSignal;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
--- a/src/controller/store-contact-monitor.test.ts
+++ b/src/controller/store-contact-monitor.test.ts
@@ -3,7 +3,7 @@
 
 import { StoreContactMonitor } from './store-contact-monitor.js';
 
-/** A monitor that checks the store at the times that the test sets; a heartbeat interval is 1000 ms. */
+/** A monitor that checks the store at the times set by the test. The heartbeat interval is 1000 ms. */
 class MonitorUnderTest {
   probes = 0;
   watchRestarts = 0;
@@ -44,7 +44,7 @@
     return monitor;
   }
 
-  /** Sets the clock to this time, in ms, and resolves after the next check. */
+  /** Sets the clock to `now`, in ms, and resolves after the next check of the store. */
   async checkAt(now: number): Promise<void> {
     this.now = now;
     await new Promise<void>((resolve) => (this.onNextCheck = resolve));
@@ -71,7 +71,7 @@
   await monitor.end();
 });
 
-test('a watch that lags behind the revisions in other responses is restarted, with a minimum time between restarts', async () => {
+test('a watch that lags too far behind other responses is restarted, but not again within the maximum lag', async () => {
   const monitor = await MonitorUnderTest.start();
   const checkWith = async (now: number, knownUntil: number): Promise<number> => {
     monitor.store.lastRevisionSeenAt = now;
--- a/src/controller/store-contact-monitor.ts
+++ b/src/controller/store-contact-monitor.ts
@@ -1,5 +1,6 @@
 /**
- * Probes the store regularly, so that a loss of contact is detected and the age of the replica stays known.
+ * Checks the contact with the store regularly, so that a loss of contact is detected and the age of the
+ * replica stays known.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import type { StoreClient } from '../store/client.js';
@@ -11,7 +12,7 @@
   clock: Clock;
   store: Pick<StoreClient, 'failing' | 'lastRevisionSeenAt' | 'commit' | 'restartWatch'>;
   replica: Pick<StoreReplica, 'ready' | 'version'>;
-  /** The replica contains every change of the store before this time, in ms of the steady clock. */
+  /** Monotonic time in ms. The replica contains every change that was made to the store before this time. */
   changesKnownUntil: () => number;
   heartbeatIntervalMs: number;
   /** Called after each check of the contact with the store. */
@@ -20,23 +21,26 @@
 
 /** Time between two checks of the contact with the store. */
 export const storeProbeIntervalMs = 400;
-/** The store is probed if no response has shown its revision for more than this number of probe intervals. */
+/**
+ * The store is probed if no response has contained the revision of the store for more than this number of
+ * probe intervals.
+ */
 const maxRevisionAgeProbes = 2;
 /**
- * A watch is considered lost if it has delivered no change for more than this number of heartbeat intervals
- * while other responses show newer revisions. A slow watch lags behind less than that.
+ * The watch for changes of the store is considered lost if it lags behind the revisions in other responses by
+ * more than this number of heartbeat intervals. A watch that is merely slow lags behind less.
  */
 const maxWatchLagHeartbeats = 1.5;
 
 /**
- * Probes the store if no other response has recently shown its revision, and restarts a watch that is lost.
+ * Probes the store if no other response has recently contained the revision of the store, and restarts the
+ * watch for changes if it is lost.
  */
 export class StoreContactMonitor {
   constructor(private readonly ports: StoreContactMonitorPorts) {}
 
   /**
-   * Runs until the signal fires. Throws on a malformed response of the store, and any error that `onChecked`
-   * throws.
+   * Runs until the signal fires. Rejects if the store sends a malformed response or if `onChecked` throws.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, onChecked } = this.ports;
@@ -53,8 +57,8 @@
   }
 
   /**
-   * The probe is a transaction that only compares the version of one key. It is cheap, and its response shows
-   * the store's revision whether or not anything has changed.
+   * Probes the store with a transaction that only compares the version of the leader key. This is cheap, and
+   * the response contains the revision of the store even if nothing has changed.
    */
   private async probeIfRevisionStale(): Promise<void> {
     const { clock, store, replica } = this.ports;
@@ -64,8 +68,8 @@
   }
 
   /**
-   * Whether other requests are answered while the watch delivers no changes: the watch is lost, or its
-   * request still waits as it did during an outage.
+   * Whether the store answers other requests but the watch delivers no changes. This happens if the watch is
+   * lost, or if its request was sent during an outage and is still waiting.
    */
   private isWatchLost(watchRestartedAt: number): boolean {
     const { clock, store, replica, changesKnownUntil, heartbeatIntervalMs } = this.ports;
--- a/src/controller/store-role.test.ts
+++ b/src/controller/store-role.test.ts
@@ -18,12 +18,12 @@
   };
 }
 
-test('the share is the fraction of all machines that are in own blocks', () => {
+test('the machine share of a controller is the fraction of all machines that are in its blocks', () => {
   const role = storeRole(registry(['k0', 'k1'], { k0: 1, k1: 3 }), 'k0', true);
   assert.deepEqual(role, { isLeader: true, aliveControllers: 2, machineShare: 0.25 });
 });
 
-test('without machines the share is even among live controllers, and 1 if none is known to be alive', () => {
+test('without machines, the share is equal for all live controllers, and 1 if no controller is known to be alive', () => {
   assert.deepEqual(storeRole(registry(['k0', 'k1'], { k0: 0 }), 'k0', false), {
     isLeader: false,
     aliveControllers: 2,
--- a/src/controller/store-role.ts
+++ b/src/controller/store-role.ts
@@ -1,14 +1,17 @@
-/** Computes the share of this controller in the limits that the store sets for all controllers together. */
+/**
+ * Computes the role of this controller, from which its share of the store's limits is derived. The limits
+ * apply to all controllers together.
+ */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { StoreClient } from '../store/client.js';
 
-/** The facts from which the share is derived; see `StoreClient.setRole`. */
+/** The facts from which a controller's share of the limits is derived; see `StoreClient.setRole`. */
 export type StoreRole = Parameters<StoreClient['setRole']>[0];
 
 /**
- * Returns the role of the controller with this label: whether it leads, how many live controllers share the
- * limits, and which fraction of all machines is in the blocks that it owns. If there are no machines, the
- * fraction is the same for all live controllers.
+ * Returns the role of the controller with this label: whether the controller leads, how many live controllers
+ * share the limits, and which fraction of all machines is in the blocks of this controller. If there are no
+ * machines, the fraction is the same for all live controllers.
  */
 export function storeRole(
   registry: Pick<BlockRegistry, 'liveMembers' | 'blocks'>,
--- a/src/controller/usage-log.ts
+++ b/src/controller/usage-log.ts
@@ -1,4 +1,7 @@
-/** Periodic log lines for operators: what uses up the limits of the store, heap memory, and queue lengths. */
+/**
+ * Logs what uses up the limits of the store, the heap memory and the queue lengths, periodically for
+ * operators.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { StoreClient } from '../store/client.js';
@@ -8,9 +11,9 @@
   clock: Clock;
   log: Log;
   store: Pick<StoreClient, 'takeChangeCounts'>;
-  /** Number of operations that wait in each queue. */
+  /** Number of operations that wait in each commit queue. */
   queueLengths: () => Record<string, number>;
-  /** Number of jobs that have not ended and do not wait for other jobs. */
+  /** Number of jobs that have not ended and do not wait for the end of other jobs. */
   openJobs: () => number;
   /** Time between two log lines with the same event. */
   periodMs: number;
@@ -18,13 +21,13 @@
 
 const bytesPerMb = 2 ** 20;
 
-/** Logs the usage once per period. */
+/** Logs the store changes, the heap memory and the queue lengths once per period. */
 export class UsageLog {
   private loggedAt = -Infinity;
 
   constructor(private readonly ports: UsageLogPorts) {}
 
-  /** Logs the usage if at least one period has passed since it was last logged. */
+  /** Logs the usage if at least one period has passed since the previous log. */
   logIfDue(): void {
     const { clock, log, store, queueLengths, openJobs, periodMs } = this.ports;
     const now = clock();
@@ -32,12 +35,12 @@
     this.loggedAt = now;
     log.info(
       { event: 'store', ...store.takeChangeCounts() },
-      'writes to the state service since the previous such line',
+      'writes to the store since the previous log line with this event',
     );
     const heapMb = Math.round(process.memoryUsage().heapUsed / bytesPerMb);
     log.info(
       { event: 'load', heapMb, queued: queueLengths(), open: openJobs() },
-      'heap memory, queue lengths and open jobs',
+      'heap memory in use, lengths of the commit queues, and number of open jobs',
     );
   }
 }
--- a/src/controller/user-service.ts
+++ b/src/controller/user-service.ts
@@ -15,7 +15,7 @@
 import { ServiceHealth } from './service-health.js';
 import type { StateAccess } from './state-access.js';
 
-/** Dependencies of the user service on the rest of the controller. */
+/** The parts of the controller that the user service uses. */
 export interface UserServicePorts {
   clock: Clock;
   settings: Settings;
@@ -30,7 +30,7 @@
   leaseTtlMs: number;
 }
 
-/** Creates the handlers of the users' requests. */
+/** Creates the handlers of user requests. */
 export function createIntake(ports: UserServicePorts): Intake {
   const { state } = ports;
   const initialDispatcher = createInitialDispatcher(ports);
