--- a/src/controller/commit-queues.ts
+++ b/src/controller/commit-queues.ts
@@ -5,7 +5,8 @@
 import type { TrafficClass } from '../store/request-pacing.js';
 
 /**
- * One queue for each kind of work, so that commits of one kind do not wait behind a burst of another kind.
+ * One commit queue for each kind of work, so that commits of one kind do not wait behind a burst of another
+ * kind.
  */
 export interface CommitQueues {
   /**
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -42,8 +42,8 @@
 const minObjectiveHeartbeats = 4;
 
 /**
- * Composes one controller. The constructor call of each module lists all dependencies of that module; modules
- * are connected nowhere else.
+ * Composes one controller. Modules are connected only here: the constructor call of each module lists all its
+ * dependencies.
  */
 export class Controller {
   private readonly clock = monotonicClock;
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -24,7 +24,10 @@
   intake: Pick<Intake, 'routes' | 'health'>;
   ownedBlocks: Pick<OwnedBlocks, 'findMachine'>;
   registry: Pick<BlockRegistry, 'ownerOfMachine'>;
-  /** Label of the leader according to the replica of the store; undefined if there is none. */
+  /**
+   * Returns the label of the leader according to the replica of the store, or undefined if there is no
+   * leader.
+   */
   leader: () => string | undefined;
   mayStartTasks: () => boolean;
   mayAnswerHeartbeats: () => boolean;
--- a/src/controller/machine-events.ts
+++ b/src/controller/machine-events.ts
@@ -1,6 +1,6 @@
 /**
- * Machines of this controller's blocks that have booted or been terminated recently, for the leader and the
- * peers.
+ * Lists the machines of this controller's blocks that have recently booted or been terminated. The list is
+ * passed to the leader's duties and sent to the peers.
  */
 import type { Clock } from '../base/clock.js';
 import type { BlockState } from '../placement/block-state.js';
--- a/src/controller/peer-status-handler.ts
+++ b/src/controller/peer-status-handler.ts
@@ -11,7 +11,7 @@
 export interface PeerStatusHandlerPorts {
   bootedMachines: Pick<BootedMachines, 'markBooted'>;
   leaderDuties: Pick<LeaderDuties, 'markTerminated'>;
-  /** The term of this controller; undefined while it does not lead. */
+  /** Returns the term of this controller, or undefined if this controller does not lead. */
   term: () => Pick<Term, 'fencingToken' | 'end'> | undefined;
   replica: Pick<StoreReplica, 'recordOutcome'>;
 }
--- a/src/controller/service-health.ts
+++ b/src/controller/service-health.ts
@@ -13,7 +13,7 @@
   hasMachineTypes: () => boolean;
   /** Labels of the other controllers. */
   peers: readonly string[];
-  /** The last status of the peer with this label; undefined if none was received. */
+  /** Returns the latest status of the peer with this label, or undefined if no status was received. */
   lastPeerStatus: (label: string) => LastPeerStatus | undefined;
   /** Time to live of a controller's lease in the store. */
   leaseTtlMs: number;
--- a/src/ladder/autoscaler.test.ts
+++ b/src/ladder/autoscaler.test.ts
@@ -14,12 +14,12 @@
 import { jobKey } from '../wire/keys.js';
 import { Autoscaler, type AutoscalerPorts } from './autoscaler.js';
 
-/** In ms. Longer than the evaluation interval that follows from the test's settings, which is 1.25 s. */
+/** Time step in ms. Longer than the evaluation interval, which is 1.25 s with the settings of the tests. */
 const evaluationMs = 1300;
 
 /**
- * Runs an autoscaler in a term that began at time 0. In block 1, a job waits with four tasks of two slots
- * each. Timers are mocked, the test sets the clock, and the machine list lags by 4 s.
+ * Runs an autoscaler in a term that began at time 0. A job with four tasks of two slots each waits in block
+ * 1. Timers are mocked, the test sets the clock, and the cloud's machine list lags by 4 s.
  */
 class AutoscalerHarness {
   readonly rented: string[] = [];
@@ -44,9 +44,7 @@
     this.runPromise = this.autoscaler.run();
   }
 
-  /**
-   * Sets the clock, then fires the timers and runs the event loop often enough for an evaluation to complete.
-   */
+  /** Sets the clock to `now`, fires the timers and runs the event loop until an evaluation has completed. */
   async evaluateAt(now: number): Promise<void> {
     this.now = now;
     for (let step = 0; step < 4; step++) {
@@ -92,7 +90,7 @@
   }
 }
 
-test('a pool is scaled out for waiting tasks, and their slots are counted for the block that they wait in', async (t) => {
+test('a pool is scaled out for waiting tasks, and the slots of these tasks are counted for their block', async (t) => {
   const harness = new AutoscalerHarness(t, { isFirstTerm: true });
   await harness.evaluateAt(1);
   assert.deepEqual(harness.rented, ['m0']);
@@ -102,9 +100,9 @@
   await harness.end();
 });
 
-// Guards against renting machines twice: machines that the previous leader rented may not be on the list yet,
-// so the new leader would rent them again.
-test('a leader that is not the first one rents nothing until the machine list lag has passed', async (t) => {
+// The previous leader rents machines and then stops. The machine list that the new leader receives first may
+// not include these machines yet. If the new leader relied on this list, it would rent the machines twice.
+test('a leader that succeeds another leader rents nothing until the machine list lag has passed', async (t) => {
   const harness = new AutoscalerHarness(t, { isFirstTerm: false });
   await harness.evaluateAt(4000);
   assert.deepEqual(harness.rented, []);
@@ -113,7 +111,8 @@
   await harness.end();
 });
 
-// Guards against rentals by a leader that cannot reach the store and whose term may therefore be over.
+// If the leader cannot reach the store, its term may already have ended. Guards against rentals by such a
+// leader.
 test('nothing is rented while the store does not answer', async (t) => {
   const harness = new AutoscalerHarness(t, { isFirstTerm: true });
   harness.isStoreReachable = false;
@@ -125,7 +124,7 @@
   await harness.end();
 });
 
-test('a machine that is surplus for a boot time is drained, and released once its record is marked draining', async (t) => {
+test('a machine that is surplus for a boot time is drained, and released after its record is marked draining', async (t) => {
   const harness = new AutoscalerHarness(t, { isFirstTerm: true });
   harness.leased.set('m9', leasedMachine('m9'));
   harness.jobIndex.applyChanges([{ key: jobKey('req-1'), value: undefined, version: 2, deleted: true }]);
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -1,5 +1,7 @@
 /**
- * The leader's autoscaler: combines machine inventory, demand, ladders, scale-out and scale-in into one loop.
+ * The leader's autoscaler: evaluates the machines and the demand of each pool periodically, and scales the
+ * pool out or in. A pool contains the machines of one type and kind (spot or ordinary). Its ladder sets, for
+ * each machine number m, the demand at which machine m of the pool is rented.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import { nextEventLoopIteration } from '../base/event-loop.js';
@@ -41,28 +43,28 @@
   commits: Pick<CommitQueue, 'commit'>;
   term: Pick<Term, 'signal' | 'fencingToken' | 'startedAt'>;
   /**
-   * No leader has been elected before, so there are no earlier rentals that are missing from the machine
-   * list.
+   * True if no leader has been elected before. The machine list then cannot lack machines that an earlier
+   * leader rented.
    */
   isFirstTerm: boolean;
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /** Whether the store has answered recently. If it has not, the term may already be over. */
   isStoreReachable: () => boolean;
-  /** The machines of all blocks as recorded in the store, by id. */
+  /** Returns the machines of all blocks as recorded in the store, by id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
-/** Evaluations per heartbeat interval. The slots that the ladder counts change when heartbeats arrive. */
+/** Evaluations per heartbeat interval. The demand mainly changes when heartbeats arrive. */
 const evaluationsPerHeartbeat = 2;
 const minEvaluationIntervalMs = 1000;
 /** Minimum time between two requests for the machine list, in evaluation intervals. */
 const evaluationsPerList = 2;
-/** How many times per evaluation interval drained machines are checked for release. */
+/** Checks for drained machines that can be released, per evaluation interval. */
 const releaseChecksPerEvaluation = 2;
 
-/** Scales each pool out and in by the thresholds of its ladder until the term ends. */
+/** Scales each pool out and in according to the thresholds of its ladder, until the term ends. */
 export class Autoscaler {
-  /** The machines that this leader has rented, found in the machine list or read from the store. */
+  /** All machines that this leader has rented, found in the machine list or read from the store. */
   readonly inventory: MachineInventory;
   private pools = new Map<string, Pool>();
   private readonly ladders: PoolLadders;
@@ -102,7 +104,8 @@
   }
 
   /**
-   * Slots of the tasks that wait in the block and count for the machine's pool, as of the last evaluation.
+   * Returns the number of slots of the tasks that wait in the block and count for the pool of the machine, as
+   * of the latest evaluation.
    */
   waitingSlots(block: number, machine: LeasedMachine): number {
     const pool = this.pools.get(poolKey(machine.type, machine.spot));
@@ -118,8 +121,9 @@
   }
 
   /**
-   * Whether the machine list includes everything that the previous leader rented. Rented machines appear on
-   * the list only after the list lag; a leader that rents earlier would rent them twice.
+   * Whether the machine list includes all machines that the previous leader rented. Rented machines may
+   * appear on the list only after the list lag. If this leader rented earlier, it could rent these machines
+   * twice.
    */
   private isListComplete(): boolean {
     const { term, clock, settings, isFirstTerm } = this.ports;
@@ -128,8 +132,8 @@
   }
 
   /**
-   * Evaluates all pools once. Yields to the event loop between the longer steps, so that requests are served
-   * meanwhile.
+   * Evaluates all pools once. Yields to the event loop between long steps so that requests are served during
+   * an evaluation.
    */
   private async evaluate(): Promise<void> {
     const { clock, jobIndex } = this.ports;
--- a/src/ladder/capacity-refusals.test.ts
+++ b/src/ladder/capacity-refusals.test.ts
@@ -3,7 +3,7 @@
 
 import { CapacityRefusals } from './capacity-refusals.js';
 
-test('the back-off grows with consecutive refusals, and a granted rental clears it', () => {
+test('the back-off grows with consecutive refusals, and is cleared after a granted rental', () => {
   const refusals = new CapacityRefusals(1000);
   refusals.recordRefusal('c8', 'a', true, 0);
   assert.deepEqual(
--- a/src/ladder/capacity-refusals.ts
+++ b/src/ladder/capacity-refusals.ts
@@ -1,18 +1,18 @@
-/** Back-off after the cloud has refused capacity in a zone. */
+/** Back-off after the cloud has refused to rent machines in a zone. */
 
 const maxBackoffSteps = 4;
 
 interface Refusal {
-  /** Monotonic time in ms. No request is sent before it. */
+  /** Monotonic time in ms before which no further rental request is sent. */
   retryAt: number;
   /** Number of consecutive refusals, capped at `maxBackoffSteps`. */
   consecutiveRefusals: number;
 }
 
 /**
- * Records refused rentals by machine type, zone and kind (spot or ordinary). Each consecutive refusal
- * lengthens the back-off before the next request by `backoffMs`, up to `maxBackoffSteps` times `backoffMs`.
- * Times are monotonic, in ms.
+ * Records refused rentals by machine type, zone and kind (spot or ordinary). With each consecutive refusal,
+ * the back-off before the next request grows by `backoffMs`, up to `maxBackoffSteps` times `backoffMs`. Times
+ * are monotonic, in ms.
  */
 export class CapacityRefusals {
   private readonly refusals = new Map<string, Refusal>();
@@ -30,13 +30,13 @@
   }
 
   /**
-   * Removes the recorded refusals of this type, zone and kind. Called when the cloud has granted machines.
+   * Removes the recorded refusals of this type, zone and kind. Called after the cloud has granted machines.
    */
   clear(type: string, zone: string, spot: boolean): void {
     this.refusals.delete(refusalKey(type, zone, spot));
   }
 
-  /** Whether the back-off after a refusal is still running. */
+  /** Whether the back-off after a refusal of this type, zone and kind is still running. */
   isRefused(type: string, zone: string, spot: boolean, now: number): boolean {
     const refusal = this.refusals.get(refusalKey(type, zone, spot));
     return refusal !== undefined && refusal.retryAt > now;
--- a/src/ladder/demand.test.ts
+++ b/src/ladder/demand.test.ts
@@ -23,7 +23,7 @@
   exhausted?: string[];
 }
 
-/** Counts the demand and returns the pools of one machine type; a machine has eight slots. */
+/** Counts the demand and returns the pools of one machine type. Each machine provides eight slots. */
 function countedPools({ jobs, entries = [], machines = [], exhausted = [] }: DemandCase): Map<string, Pool> {
   const jobIndex = new JobIndex(() => 0);
   const isRefused = (spot: boolean): boolean => exhausted.includes(spot ? 'c8/spot' : 'c8/ordinary');
@@ -55,7 +55,7 @@
   return [pool?.countedSlots, [...(pool?.waitingSlotsByBlock ?? [])], pool?.undispatchedSlots];
 }
 
-test('tasks count while they run on machines, wait in a block, or are not dispatched to a block yet', () => {
+test('running tasks, tasks that wait in a block, and tasks not yet dispatched to a block are all counted', () => {
   const pools = countedPools({
     jobs: [{ spec: jobSpec('req-1', { tasks: 5 }), taskRanges: [{ block: 0, first: 0, count: 3 }] }],
     entries: [
@@ -73,12 +73,12 @@
     ],
     machines: [leasedMachine('m1')],
   });
-  // Each task takes two slots: one task runs, two tasks wait in block 0, and two tasks are not dispatched.
+  // Each task occupies two slots. One task runs, two tasks wait in block 0, and two tasks are not dispatched.
   assert.deepEqual(slotCounts(pools.get('c8/ordinary')), [10, [[0, 4]], 4]);
   assert.deepEqual(slotCounts(pools.get('c8/spot')), [0, [], 0]);
 });
 
-test("waiting tasks that exceed their team's limit do not count", () => {
+test('waiting tasks that exceed the limit of their team are not counted', () => {
   // The limit of team `red` is 32 cores, enough for sixteen tasks.
   const pools = countedPools({
     jobs: [{ spec: jobSpec('req-1', { tasks: 10 }) }, { spec: jobSpec('req-2', { tasks: 10 }) }],
@@ -86,20 +86,20 @@
   assert.deepEqual(slotCounts(pools.get('c8/ordinary')), [32, [], 32]);
 });
 
-test('tasks that an exhausted pool has no room for count for the next pool, or for the last one if no pool has room', () => {
+test('tasks that exceed the free slots of an exhausted pool count for the next pool, or for the last pool if all are full', () => {
   const spec = jobSpec('req-1', { tasks: 10, spot: true });
   const machines = [leasedMachine('m1', { spot: true })];
   const withSpotCapacity = countedPools({ jobs: [{ spec }], machines });
   assert.deepEqual(slotCounts(withSpotCapacity.get('c8/spot')), [20, [], 20]);
   const spotExhausted = countedPools({ jobs: [{ spec }], machines, exhausted: ['c8/spot'] });
-  // Tasks that may use spot machines count only for spot pools while one of these pools has machines.
+  // Tasks that may use spot machines count only for spot pools, as long as a spot pool contains machines.
   assert.deepEqual(slotCounts(spotExhausted.get('c8/spot')), [20, [], 20]);
   const bothExhausted = countedPools({ jobs: [{ spec }], exhausted: ['c8/spot', 'c8/ordinary'] });
   assert.deepEqual(slotCounts(bothExhausted.get('c8/spot')), [0, [], 0]);
   assert.deepEqual(slotCounts(bothExhausted.get('c8/ordinary')), [20, [], 20]);
 });
 
-test('pools are eligible if their type, zones and kind suit the job and its tasks fit, the cheapest first', () => {
+test('pools are eligible if their type, zones and kind match the job and the tasks fit, the cheapest pool first', () => {
   const types = [
     machineType(),
     machineType({ name: 'c16', cpus: 16, price: 7, zones: ['b'] }),
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,4 +1,4 @@
-/** Demand counting: how many slots of running and waiting tasks count for each pool. */
+/** Demand counting: computes how many slots of running and waiting tasks count for each pool. */
 import { type JobSpec, type Resources, taskRequirementsKey, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import { taskResourcesOf } from '../placement/ledger-index.js';
@@ -13,10 +13,10 @@
 export interface DemandInputs {
   jobIndex: JobIndex;
   order: QueueOrder;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   now: number;
   machines: ReadonlyMap<string, LeasedMachine>;
-  /** New pools whose slot counts are all zero. */
+  /** The pools to fill in. Their slot counts must all be zero. */
   pools: ReadonlyMap<string, Pool>;
   teams: ReadonlyMap<string, Team>;
   /** The share of a machine that one slot represents. */
@@ -24,9 +24,10 @@
 }
 
 /**
- * Fills in the counted slots of each pool: the tasks on its machines, and the waiting tasks that their team's
- * limit admits. Waiting tasks count for the cheapest eligible pool. If the cloud refuses more machines for
- * that pool, the tasks that exceed its free slots count for the next cheapest pool.
+ * Fills in the slot counts of each pool. Counts the tasks on the machines of the pool, and the waiting tasks
+ * that are within the limit of their team. Waiting tasks count for the cheapest eligible pool. If the cloud
+ * refuses more machines for that pool, the tasks that exceed the pool's free slots count for the next
+ * cheapest pool.
  */
 export function countDemand(inputs: DemandInputs): void {
   const usage = new TeamUsage();
@@ -45,7 +46,7 @@
 
 function countWaitingTasks(inputs: DemandInputs, usage: TeamUsage): void {
   const { jobIndex, pools, slotShare } = inputs;
-  // Eligible pools are cached by task kind, because there are far fewer task kinds than jobs.
+  // Eligible pools are cached by the requirements of a task, because many jobs have the same requirements.
   const poolsByKind = new Map<string, Pool[]>();
   const poolsFor = (spec: JobSpec): Pool[] => {
     const kind = taskRequirementsKey(spec);
@@ -67,8 +68,8 @@
 }
 
 /**
- * The jobs to count. They are sorted only if a team has a limit: the order then decides which tasks are
- * admitted.
+ * Returns the jobs to count. The jobs are sorted only if a team has a limit, because the order then
+ * determines which tasks are within the limit.
  */
 function jobsToCount({ jobIndex, order, now, teams }: DemandInputs): Iterable<IndexedJob> {
   const anyLimit = [...teams.values()].some((team) => team.cpusMax > 0 || team.acceleratorsMax > 0);
@@ -82,7 +83,7 @@
   block: number | undefined;
 }
 
-/** Counts waiting tasks for the eligible pools, in their order. */
+/** Counts waiting tasks for the eligible pools, in the order of the array. */
 function distributeOverPools(
   { need, tasks, block }: WaitingTasks,
   eligible: Pool[],
@@ -92,8 +93,8 @@
   for (const pool of eligible) {
     if (remaining <= 0) break;
     const slotsPerTask = slotsOf(need, pool.type, slotShare);
-    // Tasks that no pool has room for count for the last pool, so that its ladder does not scale in while
-    // they wait.
+    // If all eligible pools are full, the remaining tasks count for the last pool, so that this pool is not
+    // scaled in while the tasks wait.
     const counted =
       pool === eligible.at(-1)
         ? remaining
@@ -103,7 +104,7 @@
   }
 }
 
-/** The free slots of the pool's machines; Infinity unless the cloud refuses more machines for the pool. */
+/** Returns the free slots of the pool's machines, or Infinity if the cloud does not refuse more machines. */
 function freeSlots(pool: Pool, slotShare: number): number {
   if (!pool.exhausted) return Infinity;
   return Math.max(0, pool.machines.length * slotsPerMachine(slotShare) - pool.countedSlots);
@@ -115,7 +116,7 @@
   else pool.waitingSlotsByBlock.set(block, (pool.waitingSlotsByBlock.get(block) ?? 0) + slots);
 }
 
-/** How many of the job's waiting tasks the team's limit admits, given what the team already uses. */
+/** Returns how many waiting tasks of the job fit in what is left of the team's limit. */
 function admittedTasks(job: IndexedJob, { teams, jobIndex }: DemandInputs, usage: TeamUsage): number {
   const { spec } = job;
   const team = teams.get(spec.team);
--- a/src/ladder/drained-machine-releaser.test.ts
+++ b/src/ladder/drained-machine-releaser.test.ts
@@ -8,7 +8,9 @@
 import { DrainedMachineReleaser } from './drained-machine-releaser.js';
 import { MachineInventory } from './machine-inventory.js';
 
-/** Runs a releaser for `checks` release checks and returns the batches that it asked the cloud to release. */
+/**
+ * Runs a releaser for `checks` release checks and returns the batches of machines in its release requests.
+ */
 async function runReleaser(
   inventory: MachineInventory,
   { checks, succeeds = true, reachable = true }: { checks: number; succeeds?: boolean; reachable?: boolean },
@@ -53,7 +55,7 @@
   return inventory;
 }
 
-test('drained machines are released at most a hundred at a time and then recorded as terminated', async () => {
+test('drained machines are released in batches of at most 100 and then recorded as terminated', async () => {
   const ids = Array.from({ length: 130 }, (_, i) => `m${i}`);
   const inventory = inventoryOf(...ids);
   const batches = await runReleaser(inventory, { checks: 3 });
@@ -69,7 +71,8 @@
   assert.equal(inventory.terminated.has('m1'), false);
 });
 
-// Guards against releases by a leader that cannot reach the store and whose term may therefore be over.
+// If the leader cannot reach the store, its term may already have ended. Guards against releases by such a
+// leader.
 test('nothing is released while the store does not answer', async () => {
   const inventory = inventoryOf('m1');
   assert.deepEqual(await runReleaser(inventory, { checks: 3, reachable: false }), []);
--- a/src/ladder/drained-machine-releaser.ts
+++ b/src/ladder/drained-machine-releaser.ts
@@ -1,4 +1,4 @@
-/** Release of drained machines by the leader. */
+/** Releases drained machines to the cloud. Runs on the leader. */
 import { sleep } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type CloudClient, maxMachinesPerRelease } from '../cloud/client.js';
@@ -17,8 +17,8 @@
 }
 
 /**
- * Releases draining machines once they have no tasks. A successful release also proves that nothing runs on
- * them any more.
+ * Releases draining machines on which no tasks are left. A successful release also proves that nothing runs
+ * on the machines any more.
  */
 export class DrainedMachineReleaser {
   constructor(
--- a/src/ladder/failure-observer.test.ts
+++ b/src/ladder/failure-observer.test.ts
@@ -13,7 +13,8 @@
 const graceMs = 1000;
 
 /**
- * A job with four tasks in block 0 that was first seen at time 0, and an observer that takes samples of it.
+ * A job with four tasks in block 0 that was first seen at time 0, and a failure observer that samples the
+ * job.
  */
 class ObservedJob {
   private readonly observer = new FailureObserver(graceMs);
@@ -41,7 +42,7 @@
   }
 }
 
-test('tasks that still wait when the grace period of their job ends are counted as failed, and only once', () => {
+test('tasks that still wait at the end of the grace period of their job are counted as failed once', () => {
   const ordinary = pool({ machines: [leasedMachine('m1')] });
   const job = new ObservedJob([ordinary]);
   job.setLedgerEntry({ active: [[0, 1, 'm1']], waiting: [], done: [] });
@@ -51,7 +52,7 @@
   assert.deepEqual(job.observe(graceMs + 1), []);
 });
 
-test('a task that loses its machine later is counted as failed, but not as another arrival', () => {
+test('a task that is displaced from its machine later is counted as failed, but not as another arrival', () => {
   const ordinary = pool();
   const job = new ObservedJob([ordinary]);
   job.setLedgerEntry({ active: [[0, 1, 'm1']], waiting: [], done: [1, 3] });
@@ -70,7 +71,7 @@
   assert.deepEqual(job.observe(graceMs), [{ pool: exhaustedPool, sample }]);
 });
 
-test('a job without waiting tasks is sampled for the pool that runs its tasks', () => {
+test('the sample of a job without waiting tasks is assigned to the pool that runs its tasks', () => {
   const cheaperPool = pool({ key: 'c8/cheaper' });
   const usedPool = pool();
   const job = new ObservedJob([cheaperPool, usedPool]);
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -1,4 +1,6 @@
-/** Samples of task failures, from which the thresholds are tuned. */
+/**
+ * Samples task failures. From these samples, the ladder thresholds at which machines are rented are tuned.
+ */
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import { eligiblePools, type Pool, poolKey } from './pools.js';
@@ -20,19 +22,21 @@
 }
 
 /**
- * Derives from the job index which tasks had to wait on arrival and which were displaced, that is, lost their
- * machine. The arrival of each job is counted once; after that, only newly displaced tasks of the job are
- * counted. If the cloud refuses machines for every eligible pool, waiting tasks are not counted as failed: a
- * lower threshold would not have helped them.
+ * Counts, from the job index, the tasks that had to wait on arrival and the tasks that were displaced, which
+ * means that they were on a machine and wait again. The arrival of each job is counted once. After that, only
+ * newly displaced tasks of the job are counted. If the cloud refuses machines for every eligible pool,
+ * waiting tasks are not counted as failed, because a lower threshold would not have provided machines.
  */
 export class FailureObserver {
-  /** Displaced tasks at the last observation, by job id. Contains the jobs whose arrival has been counted. */
+  /** Displaced tasks at the previous observation, by job id. Contains only jobs whose arrival was counted. */
   private readonly displacedTasksByJob = new Map<string, number>();
 
-  /** `graceMs`: time from when a job is first seen ready until its waiting tasks count as failed. */
+  /**
+   * `graceMs` is the time in ms from when a job is first seen ready until its waiting tasks count as failed.
+   */
   constructor(private readonly graceMs: number) {}
 
-  /** Returns the samples of arrivals and displacements since the last observation. */
+  /** Returns samples of the arrivals and displacements since the previous observation. */
   observe(state: ObservedClusterState): PoolSample[] {
     const samples: PoolSample[] = [];
     for (const job of state.jobIndex.jobs.values()) {
@@ -71,7 +75,7 @@
   }
 }
 
-/** The number of the job's tasks that were on a machine and wait again. */
+/** Returns the number of tasks of the job that were on a machine and wait again. */
 function countDisplacedTasks(job: IndexedJob, jobIndex: JobIndex): number {
   let displaced = 0;
   for (const entry of jobIndex.entriesOf(job.id)) displaced += entry.waiting.length;
@@ -82,7 +86,10 @@
   return jobIndex.waitingByBlock(job).reduce((sum, { count }) => sum + count, 0);
 }
 
-/** The pool of the first machine in `machines` that runs a task of the job; undefined if there is none. */
+/**
+ * Returns the pool of the first known machine that runs a task of the job, or undefined if no known machine
+ * runs a task of the job.
+ */
 function poolInUse(job: IndexedJob, { jobIndex, machines, pools }: ObservedClusterState): Pool | undefined {
   for (const entry of jobIndex.entriesOf(job.id)) {
     for (const [, , machineId] of entry.active) {
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -7,7 +7,7 @@
 
 const ladderSettings = { slotShare: 0.125, startShare: 0.8 };
 
-test('each threshold starts at a share of the capacity of the machines before it', () => {
+test('the initial threshold of each machine is a share of the capacity of the preceding machines', () => {
   const ladder = new Ladder(ladderSettings);
   assert.deepEqual(
     [2, 3, 4, 5].map((machineNumber) => ladder.threshold(machineNumber)),
@@ -15,7 +15,7 @@
   );
 });
 
-test('as demand rises and falls, machines are rented at their threshold and scaled in one slot below it', () => {
+test('a machine is rented when the demand reaches its threshold, and scaled in when the demand is below', () => {
   const ladder = new Ladder(ladderSettings);
   let machines = 0;
   const trace = [0, 1, 5, 6, 12, 13, 30, 25, 12, 5, 0].map((counted) => {
@@ -27,7 +27,7 @@
   assert.deepEqual(trace, ['0:0', '1:1', '5:1', '6:2', '12:2', '13:3', '30:5', '25:4', '12:3', '5:2', '0:1']);
 });
 
-test('a threshold moves by one slot and stays within zero, the capacity below it and its neighbours', () => {
+test('a threshold moves by one slot, within zero, the capacity of the preceding machines and adjacent thresholds', () => {
   const ladder = new Ladder(ladderSettings);
   for (let i = 0; i < 20; i++) ladder.move(2, -1);
   assert.equal(ladder.threshold(2), 0);
@@ -39,9 +39,10 @@
   assert.equal(new Ladder(ladderSettings, ladder.movedThresholds).threshold(2), 8);
 });
 
-// Guards against a ladder record that outgrows the size limit of a stored value and is never written again.
-// On a large fleet, every threshold has been moved after a long time.
-test('if a stored value cannot hold all moved thresholds, the record keeps the most recently moved ones', () => {
+// After a long time, every threshold of a large fleet has been moved. If all moved thresholds were stored,
+// the ladder record would exceed the size limit of a stored value, and every later write of the record would
+// fail.
+test('if a stored value cannot hold all moved thresholds, the most recently moved thresholds are stored', () => {
   const ladder = new Ladder(ladderSettings);
   for (let machineNumber = 4000; machineNumber > 1; machineNumber--) ladder.move(machineNumber, 1);
   ladder.move(4000, 1);
--- a/src/ladder/ladder.ts
+++ b/src/ladder/ladder.ts
@@ -1,6 +1,7 @@
 /**
- * The ladder of thresholds by which a pool scales: machine number m is rented once the counted slots reach
- * threshold m, and scaled in once they fall below it.
+ * The ladder of a pool: the thresholds of demand at which its machines are rented. Demand is counted in
+ * slots, see `slots.ts`. Machine number m is rented when the counted slots reach threshold m, and scaled in
+ * when the counted slots fall below threshold m.
  */
 import { slotsPerMachine } from './slots.js';
 
@@ -8,7 +9,7 @@
 export interface LadderSettings {
   /** The share of a machine's dominant resource that one slot represents. */
   slotShare: number;
-  /** The initial value of each threshold, as a share of the capacity of the machines before it. */
+  /** The initial threshold of each machine, as a share of the capacity of the preceding machines. */
   startShare: number;
 }
 
@@ -17,22 +18,23 @@
  */
 export type MovedThreshold = [machineNumber: number, slots: number];
 
-/** Threshold of the first machine: it is rented for any demand above zero. */
+/** Threshold of the first machine. The smallest positive number, so that any demand above zero reaches it. */
 const firstThresholdSlots = Number.MIN_VALUE;
 
 /**
- * The thresholds of one pool, in slots. They never decrease with the machine number. Each lies between zero
- * and the capacity of the machines before it. The threshold of the first machine is fixed.
+ * The thresholds of one pool, in slots. Thresholds never decrease with the machine number. Each threshold
+ * lies between zero and the capacity of the preceding machines. The threshold of the first machine is fixed.
  */
 export class Ladder {
   /**
-   * Moved thresholds by machine number, the most recently moved last. All others have their initial value.
+   * Moved thresholds by machine number, the most recently moved last. Other thresholds have their initial
+   * value.
    */
   private readonly movedByMachineNumber = new Map<number, number>();
 
   /**
-   * `moved`: thresholds that an earlier leader has moved. They are clamped to the capacity of the machines
-   * before them.
+   * `moved` contains the thresholds that an earlier leader has moved. Each value is clamped to the capacity
+   * of the preceding machines.
    */
   constructor(
     private readonly settings: LadderSettings,
@@ -50,7 +52,7 @@
     return [...this.movedByMachineNumber];
   }
 
-  /** The number of counted slots at which the machine with this number is rented. */
+  /** Returns the number of counted slots at which the machine with this number is rented. */
   threshold(machineNumber: number): number {
     if (machineNumber <= 1) return firstThresholdSlots;
     const moved = this.movedByMachineNumber.get(machineNumber);
@@ -58,9 +60,9 @@
   }
 
   /**
-   * Moves one threshold by one slot. Returns false and moves nothing for the first machine, or if the new
-   * threshold would be below zero, above the capacity of the machines before it, or beyond a neighbouring
-   * threshold.
+   * Moves the threshold of one machine by one slot. Returns false and moves nothing for the first machine, or
+   * if the new threshold would be below zero, above the capacity of the preceding machines, or beyond an
+   * adjacent threshold.
    */
   move(machineNumber: number, bySlots: 1 | -1): boolean {
     if (machineNumber <= 1) return false;
@@ -68,26 +70,29 @@
     const lowerBound = machineNumber === 2 ? 0 : this.threshold(machineNumber - 1);
     const upperBound = Math.min(this.capacityBelow(machineNumber), this.threshold(machineNumber + 1));
     if (newThreshold < lowerBound || newThreshold > upperBound) return false;
-    // Deleted first: a map keeps the position of an existing key, but the most recently moved threshold must
-    // be last.
+    // The entry is deleted first, because a Map keeps the position of an existing key, but the most recently
+    // moved threshold must be last.
     this.movedByMachineNumber.delete(machineNumber);
     this.movedByMachineNumber.set(machineNumber, newThreshold);
     return true;
   }
 
-  /** The number of machines that the counted slots require; never less than the present number `machines`. */
+  /**
+   * Returns the number of machines required for the counted slots, but at least the present number
+   * `machines`.
+   */
   scaleOutTarget(machines: number, countedSlots: number): number {
     let target = machines;
     while (countedSlots > 0 && countedSlots >= this.threshold(target + 1)) target++;
     return target;
   }
 
-  /** Whether the counted slots are below the threshold of the last machine. */
+  /** Whether the counted slots are below the threshold of the machine with the highest number. */
   allowsScaleIn(machines: number, countedSlots: number): boolean {
     return machines > 0 && countedSlots < this.threshold(machines);
   }
 
-  /** The capacity, in slots, of the machines before this one. */
+  /** Returns the capacity, in slots, of the machines that precede the machine with this number. */
   private capacityBelow(machineNumber: number): number {
     return slotsPerMachine(this.settings.slotShare) * (machineNumber - 1);
   }
--- a/src/ladder/machine-inventory.test.ts
+++ b/src/ladder/machine-inventory.test.ts
@@ -11,7 +11,9 @@
   return { id, address: 'h:1', type: 'c8', zone: 'a', spot: false, state: 'running', ageS: 10, ...overrides };
 }
 
-/** An inventory with an adjustable clock and adjustable leased machines. The machine list lags by 4 s. */
+/**
+ * Creates an inventory whose clock and leased machines the test sets. The cloud's machine list lags by 4 s.
+ */
 function setUp(): {
   inventory: MachineInventory;
   leased: Map<string, LeasedMachine>;
@@ -28,7 +30,7 @@
   return { inventory, leased, setTime: (ms) => (now = ms) };
 }
 
-test('a listed machine that is leased to no block is unassigned, and its rental time follows from its listed age', () => {
+test('a listed machine that is in no block is unassigned, and its rental time is computed from its listed age', () => {
   const { inventory, leased } = setUp();
   leased.set('m1', leasedMachine('m1'));
   assert.equal(inventory.lastListAt, -Infinity);
@@ -42,7 +44,7 @@
   assert.equal(inventory.unassigned.size, 0);
 });
 
-test('a machine that failed or left the list is presumed terminated until a list shows it as running', () => {
+test('a machine that has failed or is missing from the list is presumed terminated until it is listed as running', () => {
   const { inventory, leased, setTime } = setUp();
   leased.set('m1', leasedMachine('m1'));
   leased.set('m2', leasedMachine('m2'));
@@ -57,7 +59,7 @@
   assert.deepEqual([inventory.isDraining('m2'), inventory.canCancelDrain('m2')], [true, false]);
 });
 
-test('a terminated machine is not current, even while the list or a lease still contains it', () => {
+test('a terminated machine is not current, even if the machine list or a block still contains the machine', () => {
   const { inventory, leased } = setUp();
   leased.set('m1', leasedMachine('m1'));
   inventory.addRented(['m2'], { type: 'c8', zone: 'a', spot: false });
@@ -69,8 +71,10 @@
   assert.deepEqual([inventory.isDraining('m1'), inventory.isDraining('m2')], [false, false]);
 });
 
-// Guards against releasing a machine on which the owner of its block has just placed a task.
-test('a leased machine is due for release only once it is empty and its record is marked draining', () => {
+// The leader drains a machine without tasks. Until the machine's record is marked draining, the owner of its
+// block may still place a task on it. If the leader released the machine earlier, the task would be
+// interrupted.
+test('a leased machine is due for release only after its record is marked draining and no tasks are left', () => {
   const { inventory, leased } = setUp();
   leased.set('m1', leasedMachine('m1'));
   leased.set('m2', leasedMachine('m2', { draining: true }));
--- a/src/ladder/machine-inventory.ts
+++ b/src/ladder/machine-inventory.ts
@@ -1,5 +1,6 @@
 /**
- * The leader's inventory of machines: which are rented, which are to be drained, and which are terminated.
+ * The leader's inventory of machines: records which machines are rented, are to be drained, or are
+ * terminated.
  */
 import type { Clock } from '../base/clock.js';
 import { ExpiringNameSet } from '../base/expiring-name-set.js';
@@ -13,32 +14,33 @@
   clock: Clock;
   wallClock: () => number;
   settings: Pick<Settings, 'cloud'>;
-  /** The machines of all blocks as recorded in the store, by id. */
+  /** Returns the machines of all blocks as recorded in the store, by id. */
   leasedMachines: () => ReadonlyMap<string, LeasedMachine>;
 }
 
 /**
- * Terminated machines are retained for this many times the lag of the machine list, but at least for the
- * minimum below.
+ * Ids of terminated machines are retained for this many times the lag of the machine list, but at least for
+ * `minTerminatedRetentionMs`.
  */
 const terminatedRetentionLags = 20;
 const minTerminatedRetentionMs = 60_000;
 
 /**
- * Combines the cloud's machine list, the leased machines in the store, and the machines that this leader has
- * rented and released. Terminated machines are retained for a while, because the list and the blocks may
- * still contain them.
+ * Combines the cloud's machine list, the machines of the blocks in the store, and the machines that this
+ * leader has rented and released. A machine is leased if it belongs to a block, because the block is leased
+ * to a controller. Ids of terminated machines are retained for a while, because the machine list and the
+ * blocks may still contain these machines.
  */
 export class MachineInventory {
-  /** Machines that were rented or found in the list and are not leased to a block yet, by id. */
+  /** Machines that were rented or found in the machine list and do not belong to a block yet, by id. */
   readonly unassigned = new Map<string, LeasedMachine>();
   /** Ids of machines that are known to be terminated. */
   readonly terminated: ExpiringNameSet;
-  /** Ids of machines to drain and release. No more tasks are to be placed on them. */
+  /** Ids of machines to drain and release. No more tasks are to be placed on these machines. */
   readonly toDrain = new Set<string>();
   /**
-   * Ids of machines that failed or are no longer listed. The cloud has probably terminated them; a release
-   * confirms it.
+   * Ids of machines that failed or are no longer listed. The cloud has probably terminated these machines. A
+   * successful release request proves the termination.
    */
   readonly presumedTerminated = new Set<string>();
   /** Ids of machines with a release request in progress. */
@@ -52,14 +54,14 @@
     this.missingMachines = new MissingMachineDetector(listLagMs);
   }
 
-  /** Monotonic time in ms at which a machine list was last applied; -Infinity before the first list. */
+  /** Monotonic time in ms at which the latest machine list was applied; -Infinity before the first list. */
   get lastListAt(): number {
     return this.missingMachines.lastListAt;
   }
 
   /**
-   * Applies a machine list of the cloud. Machines that are new on the list become unassigned. Machines that
-   * have been missing from the list for too long, or are listed as failed, are presumed terminated.
+   * Applies a machine list of the cloud. Listed machines that are in no block become unassigned. Machines
+   * that have been missing from the list for too long, or are listed as failed, are presumed terminated.
    */
   applyMachineList(machines: CloudMachine[]): void {
     const leased = this.ports.leasedMachines();
@@ -72,14 +74,14 @@
     }
   }
 
-  /** All leased or unassigned machines that are not known to be terminated, by id. */
+  /** Returns all leased or unassigned machines that are not known to be terminated, by id. */
   currentMachines(): Map<string, LeasedMachine> {
     const machines = new Map([...this.ports.leasedMachines(), ...this.unassigned]);
     for (const id of machines.keys()) if (this.terminated.has(id)) machines.delete(id);
     return machines;
   }
 
-  /** Removes machines from `unassigned` that are leased to a block by now. */
+  /** Removes machines from `unassigned` that belong to a block by now. */
   removeAssigned(): void {
     const leased = this.ports.leasedMachines();
     for (const id of this.unassigned.keys()) if (leased.has(id)) this.unassigned.delete(id);
@@ -96,8 +98,8 @@
   }
 
   /**
-   * Whether the drain of a machine can be cancelled: it is not presumed terminated, and no release is in
-   * progress.
+   * Whether the drain of a machine can be cancelled, which requires that the machine is not presumed
+   * terminated and that no release request for it is in progress.
    */
   canCancelDrain(id: string): boolean {
     return !this.presumedTerminated.has(id) && !this.releasing.has(id);
@@ -114,10 +116,10 @@
   }
 
   /**
-   * Ids of the draining machines that have no tasks and may be released. The owner of a block places no task
-   * on a machine whose record in the store is marked draining. When that record becomes visible here, the job
-   * index already includes everything that the owner committed before it. A leased machine is therefore due
-   * only once its record is marked draining.
+   * Returns the ids of the draining machines that run no tasks and may be released. A leased machine is due
+   * only after its record in the store is marked draining, because the owner of its block then places no more
+   * tasks on it. When this mark becomes visible to the leader, the leader's job index already includes all
+   * tasks that the owner committed before the mark.
    */
   dueForRelease(isBusy: (id: string) => boolean): string[] {
     const leased = this.ports.leasedMachines();
@@ -128,8 +130,8 @@
   }
 
   /**
-   * Runs `release`. Until it settles, the drain of these machines cannot be cancelled. Rejects if `release`
-   * rejects.
+   * Runs `release`. Until its promise settles, the drain of these machines cannot be cancelled. Rejects if
+   * `release` rejects.
    */
   async whileReleasing<T>(ids: string[], release: () => Promise<T>): Promise<T> {
     for (const id of ids) this.releasing.add(id);
@@ -141,8 +143,8 @@
   }
 
   /**
-   * Records that these machines are terminated. They were released by the leader or by the owner of their
-   * block.
+   * Records that these machines are terminated, because the leader or the owner of their block has released
+   * them.
    */
   markTerminated(ids: Iterable<string>): void {
     for (const id of ids) {
@@ -156,8 +158,8 @@
   private applyListedMachine(machine: CloudMachine, leased: ReadonlyMap<string, LeasedMachine>): void {
     const { id, ageS, state } = machine;
     this.presumedTerminated.delete(id);
-    // The machine was rented by an earlier leader, or by a request that the cloud carried out late. It is
-    // used like any other machine.
+    // A machine that is listed but otherwise unknown was rented by an earlier leader, or by a request that
+    // the cloud executed late. The machine is used like any other machine.
     if (!leased.has(id) && !this.unassigned.has(id)) {
       this.unassigned.set(id, unassignedMachine(id, machine, this.ports.wallClock() - ageS * 1000));
     }
--- a/src/ladder/machine-list-poller.ts
+++ b/src/ladder/machine-list-poller.ts
@@ -1,4 +1,4 @@
-/** Periodic requests for the cloud's machine list. */
+/** Requests the cloud's machine list periodically. */
 import { sleep } from '../base/clock.js';
 import { type CloudClient, maxMachinesPerPage } from '../cloud/client.js';
 import type { Term } from '../leadership/term.js';
@@ -16,18 +16,18 @@
 const listCallShare = 0.4;
 
 /**
- * Applies the cloud's machine list to the inventory periodically. Limits its request rate, so that requests
- * remain for scaling.
+ * Requests the cloud's machine list periodically and applies the list to the inventory. Uses only a part of
+ * the cloud's request rate limit, so that the rest remains available for rentals and releases.
  */
 export class MachineListPoller {
-  /** `minIntervalMs`: minimum pause after a machine list before the next one is requested. */
+  /** `minIntervalMs` is the minimum pause in ms between a machine list and the next request. */
   constructor(
     private readonly ports: MachineListPollerPorts,
     private readonly inventory: Pick<MachineInventory, 'applyMachineList'>,
     private readonly minIntervalMs: number,
   ) {}
 
-  /** Runs until the term ends. Rejects if the cloud's answer cannot be parsed. */
+  /** Runs until the term ends. Rejects if the response of the cloud cannot be parsed. */
   async run(): Promise<void> {
     const { cloud, term } = this.ports;
     while (!term.signal.aborted) {
--- a/src/ladder/pool-ladders.test.ts
+++ b/src/ladder/pool-ladders.test.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Ladders of a leader with fencing token 7 and default settings: tuning period of 30 s, target failure ratio
- * of 0.01.
+ * Creates the ladders of a leader with fencing token 7 and default settings: tuning period of 30 s, target
+ * failure ratio of 0.01.
  */
 function setUp(stored: [string, StoredValue][] = []): { ladders: PoolLadders; commits: Commit[] } {
   const values = new Map(stored);
@@ -40,7 +40,7 @@
   return { ladders, commits };
 }
 
-test('the ladder of each pool starts with the thresholds that the previous leader saved for this pool', () => {
+test('the ladder of each pool is created with the thresholds that the previous leader saved for this pool', () => {
   const { ladders } = setUp([[ladderKey('c8/ordinary'), { value: ladderRecord([[3, 9]]), version: 4 }]]);
   const thresholds = (ladder: { threshold: (machineNumber: number) => number }): number[] =>
     [2, 3].map((machineNumber) => ladder.threshold(machineNumber));
@@ -48,7 +48,7 @@
   assert.deepEqual(thresholds(ladders.ladderOf(pool({ key: 'c8/spot', spot: true }))), [7, 15]);
 });
 
-test('a threshold moves once per period and is saved on condition that the term has not changed', async () => {
+test('a threshold is moved once per period and saved on condition that no other leader has been elected', async () => {
   const { ladders, commits } = setUp();
   const sampledPool = pool();
   ladders.addSample({
--- a/src/ladder/pool-ladders.ts
+++ b/src/ladder/pool-ladders.ts
@@ -1,4 +1,7 @@
-/** The ladders of all pools, and their periodic tuning. */
+/**
+ * The ladders of all pools, and their periodic tuning. A ladder contains the thresholds of demand at which
+ * the machines of one pool are rented.
+ */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import type { OperatorSettings } from '../settings/operator.js';
@@ -21,8 +24,8 @@
 }
 
 /**
- * Holds a ladder and its tuner for each pool. The ladder of a pool is loaded from the store when it is first
- * needed.
+ * Contains the ladder and the threshold tuner of each pool. The moved thresholds of a ladder are loaded from
+ * the store when the ladder is first needed.
  */
 export class PoolLadders {
   private readonly ladders = new Map<string, TunedLadder>();
@@ -34,19 +37,19 @@
     this.lastTunedAt = ports.clock();
   }
 
-  /** The ladder of the pool, loaded from the store on the first call. */
+  /** Returns the ladder of the pool. Its moved thresholds are loaded from the store on the first call. */
   ladderOf(pool: Pool): Ladder {
     return this.tunedLadderOf(pool).ladder;
   }
 
-  /** Passes a sample to the tuner of its pool. */
+  /** Passes a sample of task failures to the tuner of the sampled pool. */
   addSample({ pool, sample }: PoolSample): void {
     this.tunedLadderOf(pool).tuner.addSample(sample);
   }
 
   /**
-   * Once per period (setting `ladder/periodS`), moves at most one threshold of each pool by one slot and
-   * saves the moved thresholds. Earlier calls have no effect.
+   * Moves at most one threshold of each pool by one slot and saves the moved thresholds. Has no effect if
+   * less than one period (setting `ladder/periodS`) has passed since the previous tuning.
    */
   async tune(pools: Iterable<Pool>, now: number): Promise<void> {
     if (now - this.lastTunedAt < this.ports.operator.ladder.adjustmentPeriodS * 1000) return;
@@ -62,7 +65,7 @@
     const threshold = ladder.threshold(move.machineNumber);
     this.ports.log.info(
       { event: 'threshold-moved', pool: pool.key, ...move, threshold, failureRatio },
-      'moved a scale-out threshold by one slot; saving it',
+      'moved a scale-out threshold of the pool by one slot; saving it in the store',
     );
     await this.store.save(pool.key, ladder);
   }
--- a/src/ladder/pool-log.ts
+++ b/src/ladder/pool-log.ts
@@ -1,4 +1,4 @@
-/** Periodic log of the pools, for operators. */
+/** Logs the state of the pools periodically, for operators. */
 import type { Log } from '../base/log.js';
 import type { JobIndex } from '../placement/job-index.js';
 import { lateClasses } from '../placement/lateness.js';
@@ -17,7 +17,7 @@
 
 /**
  * Logs the machines and the demand of each pool: at level `info` once per period (setting `ladder/periodS`),
- * and at level `debug` on each evaluation.
+ * and at level `debug` on all other evaluations.
  */
 export class PoolLog {
   private lastLoggedAt = -Infinity;
@@ -25,8 +25,8 @@
   constructor(private readonly ports: PoolLogPorts) {}
 
   /**
-   * Logs the pools if due. The entry at level `info` is followed by an entry for the job classes that miss
-   * their objectives, if any.
+   * Logs the pools. If job classes miss their objectives, the line at level `info` is followed by a second
+   * line that lists these classes.
    */
   write(pools: Iterable<Pool>, now: number): void {
     const { log, operator } = this.ports;
@@ -46,7 +46,7 @@
     const { log, jobIndex, settings, wallClock } = this.ports;
     const jobs = [...jobIndex.jobs.values()].map((job) => jobIndex.asQueuedJob(job));
     const classes = lateClasses(settings.objectives, jobs, wallClock());
-    if (classes.length > 0) log.info({ event: 'late', classes }, 'job classes miss their objectives');
+    if (classes.length > 0) log.info({ event: 'late', classes }, 'some job classes miss their objectives');
   }
 }
 
--- a/src/ladder/pools.ts
+++ b/src/ladder/pools.ts
@@ -1,12 +1,13 @@
 /**
- * Pools: a pool contains the machines of one type and kind (spot or ordinary). Each pool has its own ladder.
+ * Pools: a pool contains the machines of one type and kind (spot or ordinary). Each pool is scaled by its own
+ * ladder of thresholds.
  */
 import { fits, type JobSpec, type MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 
-/** The machines of one type and kind and the demand that counts for them, at one evaluation. */
+/** The machines of one type and kind and the demand counted for them, at one evaluation of the autoscaler. */
 export interface Pool {
-  /** Identifies the pool. Also the name of its record in the store. */
+  /** Identifies the pool. Also part of the key of the pool's ladder record in the store. */
   key: string;
   type: MachineType;
   spot: boolean;
@@ -14,10 +15,14 @@
   machines: LeasedMachine[];
   draining: LeasedMachine[];
   /**
-   * The cloud has refused the pool's machines in every zone, and no request is sent until a back-off ends.
+   * True if the cloud has refused machines for this pool in every zone. No rental request is sent until the
+   * back-off in one of the zones ends.
    */
   exhausted: boolean;
-  /** Slots of the tasks on the pool's machines and of the waiting tasks below. */
+  /**
+   * Slots of the tasks on the pool's machines and of all waiting tasks that count for the pool, dispatched or
+   * not.
+   */
   countedSlots: number;
   /** Slots of the waiting tasks that were dispatched to a block, by block number. */
   waitingSlotsByBlock: Map<number, number>;
@@ -25,13 +30,13 @@
   undispatchedSlots: number;
 }
 
-/** The key of the pool for this machine type and kind. */
+/** Returns the key of the pool for this machine type and kind. */
 export function poolKey(type: string, spot: boolean): string {
   return `${type}/${spot ? 'spot' : 'ordinary'}`;
 }
 
 /**
- * Builds two pools for each type, ordinary and spot, with slot counts of zero. Machines of unknown types are
+ * Creates two pools for each type, ordinary and spot, with slot counts of zero. Machines of unknown types are
  * ignored.
  */
 export function buildPools(
@@ -70,9 +75,9 @@
 }
 
 /**
- * The pools whose machines may run the job's tasks, sorted by the price of one such task, the cheapest first.
- * Jobs that may use spot machines get only spot pools while one of these has machines or is not exhausted.
- * Ordinary machines are left to the jobs that need them.
+ * Returns the pools whose machines may run the job's tasks, sorted by the price of one task, the cheapest
+ * first. For a job that may use spot machines, only spot pools are returned, unless all of them are exhausted
+ * and contain no machines. Ordinary machines thus remain available for the jobs that need them.
  */
 export function eligiblePools(spec: JobSpec, pools: Iterable<Pool>): Pool[] {
   const eligible = [...pools].filter((pool) => mayRunOn(spec, pool));
@@ -91,7 +96,7 @@
   );
 }
 
-/** The price of the share of a machine that one task of the job occupies. */
+/** Returns the price of the share of a machine that one task of the job occupies. */
 function taskPrice(spec: JobSpec, { type, spot }: Pool): number {
   const price = spot ? type.spotPrice : type.price;
   return price * Math.max(spec.cpus / type.cpus, spec.memoryGb / type.memoryGb);
--- a/src/ladder/scale-in.test.ts
+++ b/src/ladder/scale-in.test.ts
@@ -10,7 +10,7 @@
   memoryGb: 1,
 });
 
-test('the least loaded machines are drained first; of equally loaded machines, the last by name', () => {
+test('the least loaded machine is drained first; of equally loaded machines, the last by name', () => {
   const machines = ['m1', 'm2', 'm3', 'm4'].map((id) => leasedMachine(id));
   const loads = new Map([
     ['m1', load(4)],
--- a/src/ladder/scale-in.ts
+++ b/src/ladder/scale-in.ts
@@ -1,26 +1,26 @@
-/** Choice of the machines to drain when a pool is scaled in. */
+/** Selects the machines to drain when a pool is scaled in. */
 import type { Resources } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 import type { Pool } from './pools.js';
 import { slotsOf } from './slots.js';
 
-/** Minimum charge period: a machine that is released earlier is still charged for this time. */
+/** Minimum charge period in ms. If a machine is released earlier, the whole period is charged anyway. */
 const minChargeMs = 60_000;
 
-/** The inputs of the choice. */
+/** The state from which the machines to drain are selected. */
 export interface ScaleInState {
-  /** Resources that tasks occupy, by machine id. Machines without tasks have no entry. */
+  /** Resources occupied by tasks, by machine id. Machines without tasks are not included. */
   loads: ReadonlyMap<string, Resources>;
   /** The share of a machine's dominant resource that one slot represents. */
   slotShare: number;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   now: number;
 }
 
 /**
- * Chooses at most `count` machines of the pool, the least loaded first. Machines within their minimum charge
- * period are not chosen. Placement fills machines in the order of their names, so of equally loaded machines
- * the last by name is chosen first.
+ * Selects at most `count` machines of the pool, the least loaded first. Machines within their minimum charge
+ * period are not selected. Of equally loaded machines, the last by name is selected first, because tasks are
+ * placed on machines in the order of their names.
  */
 export function machinesToDrain(pool: Pool, count: number, state: ScaleInState): LeasedMachine[] {
   const loadOf = ({ id }: LeasedMachine): number => {
--- a/src/ladder/scale-out.test.ts
+++ b/src/ladder/scale-out.test.ts
@@ -18,7 +18,7 @@
   setTime: (ms: number) => void;
 }
 
-/** The machine list lags by 4 s, so the back-off after a first refusal is 8 s. */
+/** Creates a `ScaleOut`. The machine list lags by 4 s, so the back-off after a first refusal is 8 s. */
 function setUp(respond: (zone: string, count: number) => RentalOutcome): ScaleOutSetup {
   let now = 0;
   const settings = testSettings();
@@ -45,7 +45,7 @@
   machines: Array.from({ length: count }, (_, i) => `${zone}${i}`),
 });
 
-test('each new machine goes to the zone with the fewest machines; of several zones, to the first by name', () => {
+test('each new machine is rented in the zone with the fewest machines; of several zones, the first by name', () => {
   const machines = [{ zone: 'a' }, { zone: 'a' }, { zone: 'b' }];
   assert.deepEqual([...spreadOverZones(1, ['a', 'b'], machines)], [['b', 1]]);
   assert.deepEqual(
@@ -59,7 +59,7 @@
   assert.deepEqual([...spreadOverZones(2, [], machines)], []);
 });
 
-test('the drain of machines is cancelled before others are rented, unless they are presumed terminated', async () => {
+test('drains are cancelled before machines are rented, except for machines that are presumed terminated', async () => {
   const { scaleOut, inventory, requests } = setUp(rentAll);
   const draining = ['m1', 'm2', 'm3'].map((id) => leasedMachine(id));
   for (const { id } of draining) inventory.drain(id);
@@ -70,7 +70,7 @@
   assert.deepEqual([...inventory.unassigned.keys()], ['a0']);
 });
 
-test('machines in a zone are rented by several requests for at most fifty machines each', async () => {
+test('more than fifty machines in a zone are rented by several requests for at most fifty machines each', async () => {
   const { scaleOut, requests } = setUp(rentAll);
   await scaleOut.addMachines(pool({ type: machineType({ zones: ['a'] }) }), 120);
   assert.deepEqual(requests, [
@@ -101,7 +101,7 @@
   assert.deepEqual(requests.at(-1), ['a', 1]);
 });
 
-test('a busy response of the cloud starts no back-off: the next evaluation requests machines again', async () => {
+test('no back-off starts after a busy response of the cloud, so the next evaluation requests machines again', async () => {
   const { scaleOut, requests } = setUp(() => ({ kind: 'busy' }));
   const onlyZone = pool({ type: machineType({ zones: ['a'] }) });
   await scaleOut.addMachines(onlyZone, 60);
@@ -112,8 +112,8 @@
   ]);
 });
 
-// Guards against rentals by a leader whose term has ended.
-test('nothing is rented once the term has ended', async () => {
+// Guards against rentals by a controller that is no longer the leader.
+test('nothing is rented after the term has ended', async () => {
   const { scaleOut, requests, term } = setUp(rentAll);
   term.end({ kind: 'shutdown' });
   await scaleOut.addMachines(pool(), 3);
--- a/src/ladder/scale-out.ts
+++ b/src/ladder/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: adds machines to pools. */
+/** Scale-out: adds machines to pools by cancelling drains and renting machines. */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
 import { type CloudClient, maxMachinesPerRental } from '../cloud/client.js';
@@ -22,8 +22,8 @@
 const refusalBackoffLags = 2;
 
 /**
- * Adds machines to pools. First cancels the drain of machines, then rents machines in the zones in which the
- * pool has fewest.
+ * Adds machines to pools. First cancels the drain of machines, then rents machines in the zones with the
+ * fewest machines of the pool.
  */
 export class ScaleOut {
   private readonly refusals: CapacityRefusals;
@@ -35,12 +35,12 @@
     this.refusals = new CapacityRefusals(ports.settings.cloud.listLagMs * refusalBackoffLags);
   }
 
-  /** Whether the back-off after a refusal is running in every zone of the type. */
+  /** Whether the back-off after a refusal is running in every zone that offers the machine type. */
   isExhausted(type: MachineType, spot: boolean, now: number): boolean {
     return type.zones.every((zone) => this.refusals.isRefused(type.name, zone, spot, now));
   }
 
-  /** Adds up to `count` machines to the pool; fewer if the cloud refuses or the term ends. */
+  /** Adds `count` machines to the pool, or fewer if the cloud refuses machines or the term ends. */
   async addMachines(pool: Pool, count: number): Promise<void> {
     const { term, clock } = this.ports;
     const toRent = count - this.cancelDrains(pool, count);
@@ -48,8 +48,8 @@
       (zone) => !this.refusals.isRefused(pool.type.name, zone, pool.spot, clock()),
     );
     for (const [zone, share] of spreadOverZones(toRent, availableZones, pool.machines)) {
-      // One request rents at most `maxMachinesPerRental` machines. A site that starts without machines needs
-      // several requests for each zone.
+      // One request rents at most `maxMachinesPerRental` machines. When a cluster starts without machines,
+      // several requests are needed for each zone.
       for (let remaining = share; remaining > 0 && !term.signal.aborted; remaining -= maxMachinesPerRental) {
         if (!(await this.rentInZone(pool, zone, Math.min(remaining, maxMachinesPerRental)))) break;
       }
@@ -83,13 +83,13 @@
       );
     }
     if (rented.length === requested) return true;
-    // A busy cloud only asks for fewer requests and has not refused capacity: the next evaluation sends the
-    // request again.
+    // With a busy response, the cloud has limited the request rate but not refused capacity. The next
+    // evaluation therefore sends the request again.
     if (outcome.kind === 'busy') return false;
     this.refusals.recordRefusal(type, zone, spot, clock());
     log.info(
       { event: 'scale-out-refused', pool: key, zone, requested, reason: outcome.kind },
-      'cloud did not confirm all requested machines; backing off from this zone for the pool',
+      'cloud did not confirm all requested machines; no more rentals for the pool in this zone until the back-off ends',
     );
     return false;
   }
@@ -97,8 +97,9 @@
 
 /**
  * Distributes `count` new machines over the available zones, so that the pool is spread evenly. Each machine
- * goes to the zone with the fewest machines; of several such zones, to the first by name. Returns the number
- * of new machines by zone, without zones that get none. The result is empty if no zone is available.
+ * is assigned to the zone with the fewest machines; of several such zones, to the first by name. Returns the
+ * number of new machines by zone, without zones that receive no machine. The result is empty if no zone is
+ * available.
  */
 export function spreadOverZones(
   count: number,
--- a/src/ladder/scaling-windows.ts
+++ b/src/ladder/scaling-windows.ts
@@ -1,4 +1,4 @@
-/** Windows over which a shortage or surplus of machines must last before a pool is scaled out or in. */
+/** Time windows for which a shortage or surplus of machines must last before a pool is scaled out or in. */
 import type { Ladder } from './ladder.js';
 import type { Pool } from './pools.js';
 import { slotsPerMachine } from './slots.js';
@@ -7,20 +7,24 @@
 type PoolDemand = Pick<Pool, 'key' | 'type' | 'machines' | 'countedSlots'>;
 
 /**
- * Share of a type's boot time for which the ladder's reserve must be missing before machines are rented for
- * it.
+ * Share of a machine type's boot time for which the reserve must be missing before machines are rented for
+ * the reserve. The reserve is the number of machines that the ladder requires beyond those that the demand
+ * fills.
  */
 const scaleOutWindowBootTimeShare = 1 / 4;
 
 /**
- * Decides how many machines a pool can release. Only machines that were surplus throughout a boot time count.
- * If a machine is released too soon, its replacement is paid for while it boots, and tasks wait meanwhile.
- * After a boot time, keeping the machine has cost as much as renting a new one would.
+ * Computes how many machines of a pool can be released. Only machines that were surplus throughout a boot
+ * time count. If a machine is released too soon, its replacement is paid for while it boots, and tasks wait
+ * until the boot is complete. After a boot time of surplus, keeping the machine has cost as much as renting a
+ * new one would.
  */
 export class ScaleInWindow {
   private readonly sustainedSurplus = new SustainedMinimum();
 
-  /** Records the pool's demand at `now` and returns the number of machines to remove. */
+  /**
+   * Records the pool's demand at `now` (monotonic time in ms) and returns the number of machines to remove.
+   */
   machinesToRemove(pool: PoolDemand, ladder: Ladder, now: number): number {
     const { key, type, machines, countedSlots } = pool;
     let needed = machines.length;
@@ -30,16 +34,17 @@
 }
 
 /**
- * Decides how many machines a pool is short of. Demand beyond the capacity of the present machines is scaled
- * out for at once. The reserve that the ladder adds to that is rented only after it has been missing for a
- * while: a burst that fits the present machines is over before a machine that was rented for it has booted.
+ * Computes how many machines to add to a pool. If the demand exceeds the capacity of the present machines,
+ * the machines for the excess are added immediately. The reserve that the ladder requires in addition is
+ * rented only after it has been missing for a while, because a short burst that fits on the present machines
+ * ends before a new machine has booted.
  */
 export class ScaleOutWindow {
   private readonly sustainedShortage = new SustainedMinimum();
 
   constructor(private readonly slotShare: number) {}
 
-  /** Records the pool's demand at `now` and returns the number of machines to add. */
+  /** Records the pool's demand at `now` (monotonic time in ms) and returns the number of machines to add. */
   machinesToAdd(pool: PoolDemand, ladder: Ladder, now: number): number {
     const { key, type, machines, countedSlots } = pool;
     const shortage = ladder.scaleOutTarget(machines.length, countedSlots) - machines.length;
--- a/src/ladder/threshold-store.ts
+++ b/src/ladder/threshold-store.ts
@@ -1,4 +1,4 @@
-/** Persistence of the moved thresholds, so that they survive a change of leader. */
+/** Persists the moved thresholds of the ladders, so that the next leader can load them. */
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -15,18 +15,21 @@
   settings: Pick<Settings, 'state'>;
 }
 
-/** Loads and saves the moved thresholds of each pool. A save succeeds only while the leader's term lasts. */
+/**
+ * Loads and saves the moved thresholds of each pool. A save has no effect after another leader was elected.
+ */
 export class ThresholdStore {
   constructor(private readonly ports: ThresholdStorePorts) {}
 
-  /** The moved thresholds of the pool that were last saved; empty if there is no record. */
+  /** Returns the most recently saved thresholds of the pool, or an empty array if no record exists. */
   load(pool: string): MovedThreshold[] {
     return parseLadder(this.ports.replica.get(ladderKey(pool))?.value);
   }
 
   /**
-   * Saves the moved thresholds of the pool. If a stored value cannot hold all of them, the most recently
-   * moved ones are saved. A failed commit is not retried, because the next move saves the thresholds again.
+   * Saves the moved thresholds of the pool. If a stored value cannot hold all moved thresholds, only the most
+   * recently moved thresholds are saved. A failed commit is not retried, because all moved thresholds are
+   * saved again after the next move.
    */
   async save(pool: string, ladder: Ladder): Promise<void> {
     const { commits, term, settings } = this.ports;
--- a/src/ladder/threshold-tuner.ts
+++ b/src/ladder/threshold-tuner.ts
@@ -1,29 +1,29 @@
-/** Online tuning of a pool's thresholds by the share of tasks that failed within a time window. */
+/** Tunes the ladder thresholds of a pool by the share of tasks that failed within a time window. */
 import type { Ladder } from './ladder.js';
 
 /**
- * The tasks of a pool that arrived or were displaced at one time. A task fails if it has to wait on arrival
- * or loses its machine.
+ * The tasks of a pool that arrived or were displaced at one observation. A task counts as failed if it has to
+ * wait on arrival or is displaced from its machine.
  */
 export interface FailureSample {
   /** Monotonic time in ms. */
   observedAt: number;
   /** Number of tasks that arrived. */
   tasks: number;
-  /** Number of tasks that had to wait for a machine or lost their machine. */
+  /** Number of tasks that had to wait for a machine or were displaced from their machine. */
   failed: number;
   /**
-   * Number of the next machine to be rented at that time. With a lower threshold it might already have been
-   * rented.
+   * Number of the machine in the pool that was next to be rented. With a lower threshold, this machine might
+   * already have been rented.
    */
   machineNumber: number;
 }
 
-/** The target and the window of the tuner. */
+/** The target failure ratio and the time window of the tuner. */
 export interface TunerSettings {
   /** The share of failed tasks above which a threshold is lowered. */
   targetFailureRatio: number;
-  /** Time in ms for which a sample counts. */
+  /** Time in ms for which a sample is taken into account. */
   windowMs: number;
 }
 
@@ -34,7 +34,8 @@
 }
 
 /**
- * Moves one threshold of a pool by one slot per call of `tune`: down if too many tasks failed, otherwise up.
+ * Moves one threshold of a pool by one slot per call of `tune`. The threshold is lowered if too many tasks
+ * failed, and raised otherwise.
  */
 export class ThresholdTuner {
   private samples: FailureSample[] = [];
@@ -47,7 +48,8 @@
   }
 
   /**
-   * The share of tasks that failed within the window that ends at `now`; undefined if no task arrived in it.
+   * Returns the ratio of failed tasks to arrived tasks within the window that ends at `now`, or undefined if
+   * no task arrived within the window.
    */
   failureRatio(now: number): number | undefined {
     this.samples = this.samples.filter((sample) => now - sample.observedAt <= this.settings.windowMs);
@@ -57,9 +59,9 @@
   }
 
   /**
-   * Moves a threshold of the ladder: the one with most failures in the window or, if no task failed, that of
-   * the next machine to be rented. Returns the move, or undefined if no task arrived in the window or the
-   * threshold is at its bound.
+   * Moves the threshold with the most failures in the window. If no task failed, moves the threshold of
+   * machine `nextMachineNumber`, which is the next machine to be rented. Returns the move, or undefined if no
+   * task arrived in the window or the threshold is at its bound.
    */
   tune(ladder: Ladder, nextMachineNumber: number, now: number): ThresholdMove | undefined {
     const failureRatio = this.failureRatio(now);
@@ -70,7 +72,8 @@
   }
 
   /**
-   * The machine number with most failures in the window, the lowest of several; undefined if no task failed.
+   * Returns the machine number with the most failures in the window, or undefined if no task failed. Of
+   * several such numbers, returns the lowest.
    */
   private thresholdWithMostFailures(): number | undefined {
     const failedByMachineNumber = new Map<number, number>();
--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -9,8 +9,9 @@
 import { parsePeerStatus, type PeerStatus } from '../wire/peer-status.js';
 import { PeerLinks } from './peer-links.js';
 
-// Guards against links that deliver every status but decode none: the receiver decoded as Maps what the
-// sender had packed as objects, so that no rule that depends on the statuses of peers ever took effect.
+// If the receiver's MessagePack options differ from the sender's, statuses that were packed as objects are
+// decoded as Maps. The links then deliver every status, but none of its fields can be read, so no rule that
+// depends on the statuses of peers takes effect.
 test('a peer receives all fields of a status over a real connection', async () => {
   const stop = new AbortController();
   const port = 24_900;
@@ -96,8 +97,8 @@
 const sampleStatuses: Record<string, PeerStatus> = { plain: plainStatus, leader: leaderStatus };
 
 /**
- * The links of a controller that sends this status. It listens on `port` and connects to its peer on the next
- * port.
+ * Creates the links of a controller that sends this status. The controller listens on `port` and connects to
+ * its peer on the next port.
  */
 function createSender(status: PeerStatus, port: number, onStatus: (status: PeerStatus) => void): PeerLinks {
   const {
@@ -128,7 +129,7 @@
   });
 }
 
-/** The first `count` bytes received on a port. */
+/** Listens on a port and resolves with the first `count` bytes received there. */
 function firstBytes(port: number, count: number, signal: AbortSignal): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     let received = Buffer.alloc(0);
@@ -145,7 +146,7 @@
   });
 }
 
-/** Sends bytes to a port as soon as a server listens there. */
+/** Sends bytes to a port as soon as a server listens on the port. */
 async function sendBytes(port: number, bytes: Buffer): Promise<Socket> {
   for (;;) {
     const socket = createConnection({ host: '127.0.0.1', port });
@@ -161,13 +162,14 @@
   }
 }
 
-/** Without a time-out, a test would wait forever for a status that is not decoded. */
+/** Time-out of tests in ms. Without a time-out, a test would wait forever if a status were not decoded. */
 const linkTimeoutMs = 10_000;
 
-// Guards against controllers of two versions that cannot decode each other's statuses.
+// During an upgrade, controllers of two versions exchange statuses. Guards against a change of the encoding
+// that one of the versions cannot decode.
 for (const [index, [name, status]] of Object.entries(sampleStatuses).entries()) {
   test(
-    `a status is sent with the same fields and bytes as in earlier versions: ${name}`,
+    `a status is encoded to the same bytes as in earlier versions: ${name}`,
     { timeout: linkTimeoutMs },
     async () => {
       const port = 24_910 + index * 10;
@@ -191,7 +193,7 @@
   );
 
   test(
-    `all fields of a status from an earlier version are read: ${name}`,
+    `all fields of a status sent by an earlier version are decoded: ${name}`,
     { timeout: linkTimeoutMs },
     async () => {
       const port = 24_912 + index * 10;
@@ -209,8 +211,8 @@
 }
 
 /**
- * Links without sockets. `linksAt` sets the clock and returns the links; `setStoreRevision` sets the revision
- * of this controller's replica of the store.
+ * Creates links without sockets. `linksAt` sets the clock and returns the links. `setStoreRevision` sets the
+ * revision of this controller's replica of the store.
  */
 function createLinksWithSetClock(): {
   linksAt: (now: number) => PeerLinks;
@@ -253,7 +255,7 @@
   echoedIncarnation: 'mine',
 };
 
-test('the echo bounds the creation time of a status, so a delayed status proves nothing new', () => {
+test('the echoed sequence number bounds the creation time of a status, and a delayed status is ignored', () => {
   const { linksAt } = createLinksWithSetClock();
   const first = linksAt(1000).composeStatus('keel-1');
   linksAt(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
@@ -290,9 +292,10 @@
   assert.equal(linksAt(9000).lastStatus('stranger'), undefined);
 });
 
-// Guards against a list of cancellations that begins after the revision of this controller's replica. This
-// happens with a new incarnation of the peer, or after the peer has shortened its list.
-test('cancellations count as known only if the list of the peer reaches back to the replica', () => {
+// A peer restarts or shortens its list of cancellations. The list in its next status then begins after the
+// revision of this controller's replica, so cancellations between the two are missing. Guards against
+// counting the missing cancellations as known.
+test('cancellations count as known only if the list of the peer begins no later than the revision of the replica', () => {
   const { linksAt, setStoreRevision } = createLinksWithSetClock();
   const firstSequence = linksAt(1000).composeStatus('keel-1').sequence;
   linksAt(1500).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: firstSequence });
@@ -309,8 +312,8 @@
     storeContactAgeMs: 40,
     cancellationsKnownUntil: 1000,
   });
-  // When the replica has reached the revision from which the new incarnation of the peer lists cancellations,
-  // no cancellation is missing.
+  // After the replica has reached the revision at which the list of the new incarnation begins, no
+  // cancellation is missing.
   setStoreRevision(41);
   const thirdSequence = linksAt(3000).composeStatus('keel-1').sequence;
   linksAt(3500).receive({
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -1,5 +1,6 @@
 /**
- * Connections over which each controller sends its status to its peers several times per heartbeat interval.
+ * Connections over which each controller sends its status to its peers (the other controllers) several times
+ * per heartbeat interval.
  */
 import { createConnection, createServer, type Socket } from 'node:net';
 import { Readable, Writable } from 'node:stream';
@@ -21,47 +22,48 @@
 } from '../wire/peer-status.js';
 
 /**
- * The last status of a peer whose age could be bounded. Times are readings of this controller's clock, in ms.
+ * The latest status of a peer whose creation time could be bounded. Times are monotonic times of this
+ * controller, in ms.
  */
 export interface LastPeerStatus {
   /**
-   * When this controller sent the message whose sequence number the status echoes. The peer created the
-   * status later than that.
+   * Time at which this controller sent the status whose sequence number the peer echoes. The peer created its
+   * own status later.
    */
   createdNotBefore: number;
-  /** How long the peer had been without contact to the store when it created the status, in ms. */
+  /** Time in ms since the peer's last contact with the store, at the creation of the status. */
   storeContactAgeMs: number;
   /**
-   * This controller knows every cancellation that the peer confirmed before this time, because the lists in
-   * the statuses of the peer have covered these cancellations without a gap.
+   * All cancellations that the peer confirmed before this time are known to this controller, because the
+   * lists in the statuses of the peer have covered them without a gap.
    */
   cancellationsKnownUntil: number;
 }
 
-/** What the peer links require from the rest of the controller. */
+/** The parts of the controller that the peer links use. */
 export interface PeerLinksPorts {
   clock: Clock;
   log: Log;
   settings: Pick<Settings, 'label' | 'peerListenAddress' | 'peers' | 'controllers' | 'heartbeatIntervalMs'>;
-  /** Identifies this process; a restarted process has a different one. */
+  /** Identifies this run of the controller process; a new value is chosen at every start. */
   incarnation: string;
-  /** The revision that this controller's replica of the store has reached. */
+  /** Returns the revision that this controller's replica of the store has reached. */
   storeRevision: () => number;
-  /** The present values of the status fields that do not depend on the links. */
+  /** Returns the present values of the status fields that do not depend on the links. */
   localStatus: () => Pick<
     PeerStatus,
     'storeContactAgeMs' | 'fencingToken' | 'terminatedMachines' | 'bootedMachines'
   >;
   /**
-   * All cancellations that this controller may have confirmed and that may be missing from the replica of a
-   * peer which has reached this revision.
+   * Returns all cancellations that this controller may have confirmed and that may be missing from a peer's
+   * replica of the store, if this replica has reached `revision`.
    */
   cancellationsSince: (revision: number) => CancellationList;
-  /** Called with each received status that is newer than all earlier ones from the same peer. */
+  /** Called with each received status of a peer, except for statuses that arrive out of order. */
   onStatus: (status: PeerStatus) => void;
 }
 
-/** Fields of the last status received from a peer that the next status to that peer depends on. */
+/** Fields of the latest status received from a peer. The next status to this peer is derived from them. */
 interface LastReceivedStatus {
   incarnation: string;
   sequence: number;
@@ -69,35 +71,36 @@
 }
 
 /**
- * Statuses sent per heartbeat interval. The times that they prove are used for decisions on a scale of tens
- * of seconds.
+ * Statuses sent to each peer per heartbeat interval. The times derived from the statuses are compared with
+ * limits of tens of seconds.
  */
 const statusesPerHeartbeat = 4;
 const minStatusIntervalMs = 500;
-/** Send times are kept for this many of the latest statuses. */
+/** Number of sent statuses whose send times are stored. */
 const sentTimesKept = 120;
-/** A link without traffic for this many status intervals is closed; the sending side then connects again. */
+/** A link without traffic for this many status intervals is closed. The sending side then connects again. */
 const idleTimeoutStatuses = 20;
 /**
- * No status is sent while this many bytes or more are queued on the socket. During a network partition the
- * queued statuses would otherwise grow in number, and the peer would receive them late and all at once.
+ * No status is sent while this many bytes or more are queued on the socket. Without this limit, statuses
+ * would accumulate during a network partition, and the peer would receive all of them late.
  */
 const maxQueuedBytes = 4096;
 /**
- * Incoming connections accepted per controller. More than one, as connections of a restarted peer may stay
- * open.
+ * Maximum number of incoming connections per configured controller. Greater than one, because old connections
+ * may stay open after a peer has restarted.
  */
 const maxConnectionsPerController = 4;
 /**
- * Both ends must use the same options: a receiver with the library's defaults decodes a status as a Map, and
- * the fields of a Map cannot be read as properties.
+ * Options of the MessagePack library. Sender and receiver must use the same options. With the library's
+ * defaults, the receiver would decode a status as a Map, whose fields cannot be read as properties.
  */
 const messagePackOptions = { useRecords: false };
 
 /**
- * Links between controllers. Each status echoes the sequence number of the last status received from its
- * receiver. From the echo, the receiver derives the earliest time at which the status can have been created.
- * A status that a network partition delayed is therefore not taken for a recent one.
+ * Links between controllers. Each status to a peer echoes the sequence number of the latest status received
+ * from this peer. From the echoed number, the peer derives the earliest time at which the status can have
+ * been created. A status that was delayed by a network partition is therefore not mistaken for a recent
+ * status.
  */
 export class PeerLinks {
   private lastSequence = 0;
@@ -114,14 +117,16 @@
     );
   }
 
-  /** The last status of a peer whose creation time could be bounded; undefined before the first. */
+  /**
+   * Returns the latest status of a peer whose creation time could be bounded, or undefined if there is none.
+   */
   lastStatus(label: string): LastPeerStatus | undefined {
     return this.lastStatuses.get(label);
   }
 
   /**
-   * Processes a received status. Ignores statuses of senders that are not configured as peers, and statuses
-   * that arrive after a later one of the same incarnation.
+   * Processes a received status. Ignores a status if the sender is not configured as a peer, or if the same
+   * or a later status of the same incarnation was received before.
    */
   receive(status: PeerStatus): void {
     const { settings, onStatus } = this.ports;
@@ -135,8 +140,9 @@
   }
 
   /**
-   * Stores the status with the earliest time at which it can have been created. Ignores a status that echoes
-   * another incarnation of this controller, or a sequence number whose send time is no longer kept.
+   * Stores the status together with the earliest time at which it can have been created. Ignores a status
+   * that echoes another incarnation of this controller, or a sequence number whose send time is no longer
+   * stored.
    */
   private updateLastStatus(status: PeerStatus): void {
     const { incarnation, storeRevision } = this.ports;
@@ -144,8 +150,8 @@
     if (echoedIncarnation !== incarnation) return;
     const notBefore = this.sentAtBySequence.get(echoedSequence);
     if (notBefore === undefined) return;
-    // Cancellations listed by an earlier status stay known, even if a new incarnation of the peer cannot list
-    // them again.
+    // Cancellations listed in an earlier status remain known, even if a new incarnation of the peer does not
+    // list them again.
     const isListComplete = cancelledSince <= storeRevision();
     const previouslyKnownUntil = this.lastStatuses.get(from)?.cancellationsKnownUntil ?? -Infinity;
     const cancellationsKnownUntil = isListComplete ? notBefore : previouslyKnownUntil;
