--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -1,4 +1,6 @@
-/** Scenarios in which users cancel jobs while controllers, links or the state service fail. */
+/**
+ * Scenarios in which users cancel jobs while controllers, the links between them or the state service fail.
+ */
 import assert from 'node:assert/strict';
 import { defaultOperatorSettings } from '../settings/operator.js';
 import {
@@ -16,14 +18,17 @@
 import { scenario } from '../testing/scenario.js';
 
 /**
- * Time limit, in ms, for a team to use up its quota. The last tasks may have to wait until the shares of the
- * quota are distributed to the blocks again, which happens once per share period.
+ * Time limit, in ms, for a team to use up its quota. Some tasks may have to wait until the quota is divided
+ * among the blocks again, which happens once per share period.
  */
 const quotaSettlingMs = defaultOperatorSettings.blocks.quotaSharePeriodS * 1000 + 15_000;
-/** The index of a controller, by which users address it. */
+/** Returns the index of a controller in `labels`. The methods of `Cluster` take this index as `node`. */
 const nodeOf = (label: string): number => labels.indexOf(label);
 
-/** Waits for a job whose running tasks, two or more, are all on machines of one controller; returns both. */
+/**
+ * Waits until one of the jobs has at least two running tasks, all on machines of the same controller. Returns
+ * the id of this job and the label of the controller.
+ */
 async function awaitJobWithOneOwner(cluster: Cluster, ids: string[]): Promise<{ id: string; owner: string }> {
   let found: { id: string; owner: string } | undefined;
   await cluster.waitUntil('all running tasks of a job are on machines of one controller', () => {
@@ -41,14 +46,14 @@
   return found ?? { id: '', owner: '' };
 }
 
-/** How often tasks of the job were started. */
+/** Returns the number of task starts of a job. A task that was started several times counts several times. */
 const startCountOf = (cluster: Cluster, id: string): number =>
   cluster.history.events.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
-// The state service refuses one controller, a peer confirms a cancel to the user, and then the service is
-// down for all controllers. Guards against a refused controller that measures the outage from the last
-// response that it received and assumes that its peers agree with it, although one of them confirmed a cancel
-// between the two faults. Only the cancelled tasks may end; the tasks of all other jobs continue.
+// First the state service refuses one controller, then a peer confirms a cancel to the user, and then the
+// state service fails for all controllers. The refused controller must not measure the outage from its own
+// latest response, because it would then assume that its peers have the same data, and would miss the cancel.
+// Only the cancelled tasks may end; the tasks of all other jobs continue.
 scenario(
   'a job is cancelled while the state service refuses only the owner of its tasks, and is down for all a moment later',
   { port: 23_000, taskMs: untilStopped, capacity: 6 },
@@ -57,7 +62,9 @@
     for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 4), i);
     const { id, owner } = await awaitJobWithOneOwner(cluster, ids);
     const others = ids.filter((other) => other !== id);
-    await cluster.waitUntil('all tasks run', () => ids.every((one) => cluster.runningOf(one).length === 4));
+    await cluster.waitUntil('all tasks run', () =>
+      ids.every((jobId) => cluster.runningOf(jobId).length === 4),
+    );
     cluster.store.refusedClients.add(owner);
     await pause(heartbeatIntervalMs / 4);
     const status = await cluster.cancelUntilEnded(
@@ -72,7 +79,7 @@
       cancelDeadlineMs,
     );
     await pause(cancelDeadlineMs * 1.2);
-    // The statuses of its peers allowed the owner to renew the other worker leases: no other task ended.
+    // No other task ended, because the statuses of its peers allowed the owner to renew the worker leases.
     for (const other of others)
       assert.deepEqual([cluster.runningOf(other).length, startCountOf(cluster, other)], [4, 4]);
     cluster.store.refusedClients.clear();
@@ -84,8 +91,9 @@
   },
 );
 
-// Guards against a controller that confirms a cancel to the user but does not stop the tasks in its own
-// block, because it waits for the watch to deliver the cancellation and the watch never does.
+// A controller confirms a cancel to the user, and the state service fails before the controller's watch
+// delivers the cancellation. If the controller waited for the watch before it stopped the tasks in its own
+// block, these tasks would continue to run.
 scenario(
   'the owner of the tasks confirms a cancel, and the state service fails before the watch delivers the cancellation',
   { port: 23_040, taskMs: untilStopped, capacity: 6 },
@@ -105,8 +113,9 @@
   },
 );
 
-// Guards against a controller that continues to answer heartbeats, and thereby to renew worker leases, while
-// it receives no status from a peer that has confirmed a cancel.
+// A controller can reach neither the state service nor its peers, and a peer confirms a cancel to the user.
+// If the controller continued to answer heartbeats, it would renew the worker leases, and the cancelled tasks
+// would continue to run.
 scenario(
   'one controller cannot reach state service and peers during a cancel: all its worker leases expire in time',
   { port: 23_080, taskMs: untilStopped, capacity: 6 },
@@ -129,8 +138,9 @@
   },
 );
 
-// Guards against a restarted peer whose statuses are taken as a complete list of confirmed cancellations: its
-// new incarnation does not list the cancellations that the previous one confirmed.
+// A peer confirms a cancel and then restarts during the outage. Its new incarnation does not list the
+// cancellations that the previous incarnation confirmed. If the owner of the tasks assumed that the list of
+// the new incarnation is complete, the cancelled tasks would continue to run.
 scenario(
   'the peer that confirmed a cancel restarts during the outage of the state service',
   { port: 23_120, taskMs: untilStopped, capacity: 6 },
@@ -144,8 +154,8 @@
     await cluster.cancelUntilEnded(id, [confirmingNode]);
     cluster.store.hasOutage = true;
     await cluster.restart(labels[confirmingNode] ?? '', 50);
-    // The links first deliver the delayed statuses of both incarnations, then the current ones of the new
-    // incarnation.
+    // The links first deliver the delayed statuses of both incarnations of the peer, then the current
+    // statuses of its new incarnation.
     for (const link of cluster.peerLinksOf(owner)) link.heal();
     await pause(cancelDeadlineMs * 1.2);
     assert.deepEqual(cluster.runningOf(id), []);
@@ -154,8 +164,9 @@
   },
 );
 
-// Guards against a partitioned leader that continues to run tasks and to answer users on outdated data: the
-// other controllers confirm cancels, and the leader never receives these.
+// The leader is partitioned from the state service and its peers, so it never receives the cancels that the
+// other controllers confirm. It must not continue to run the cancelled tasks or answer users from outdated
+// data.
 scenario(
   'the leader is partitioned from state service and peers, not from workers and users, and its peers cancel jobs',
   { port: 23_160, taskMs: untilStopped, capacity: 6 },
@@ -183,8 +194,8 @@
   },
 );
 
-// Guards against outdated answers to users and against tasks that are halted too late, while the state
-// service first answers slowly and then not at all.
+// The state service first answers slowly and then not at all. Guards against outdated answers to users, and
+// against tasks of cancelled jobs that are halted too late.
 scenario(
   'the state service is slow, refuses the leader alone and then all controllers, while users cancel and query jobs',
   { port: 23_200, taskMs: untilStopped, capacity: 6 },
@@ -192,31 +203,32 @@
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004', 'req-000005'];
     for (const [i, id] of ids.entries()) await cluster.submitUntilAccepted(submission(id, 2), i);
     await cluster.waitUntil('all tasks run', () => ids.every((id) => cluster.runningOf(id).length === 2));
-    const askAllControllers = async (): Promise<void> => {
+    const queryAllControllers = async (): Promise<void> => {
       await Promise.all(ids.flatMap((id) => [0, 1, 2].map((node) => cluster.queryStatus(node, id))));
     };
     cluster.store.answerDelayMs = 300;
     await cluster.cancelUntilEnded(ids[0] ?? '');
-    await askAllControllers();
+    await queryAllControllers();
     cluster.store.refusedClients.add(await cluster.waitForLeader());
     await cluster.cancelUntilEnded(ids[1] ?? '');
     const cancelBeforeOutage = cluster.cancel(0, ids[2] ?? '');
     cluster.store.hasOutage = true;
     await cancelBeforeOutage;
-    await askAllControllers();
+    await queryAllControllers();
     await pause(cancelDeadlineMs * 1.2);
-    await askAllControllers();
+    await queryAllControllers();
     for (const id of ids.slice(0, 2)) assert.deepEqual(cluster.runningOf(id), []);
     cluster.store.refusedClients.clear();
     cluster.store.hasOutage = false;
     cluster.store.answerDelayMs = 0;
     for (const id of ids) assert.equal(await cluster.cancelUntilEnded(id), 'cancelled');
-    await askAllControllers();
+    await queryAllControllers();
   },
 );
 
-// Guards against quota of a team that is used twice: the new leader grants it again while tasks still use it
-// on machines that have not yet reported to the new leader.
+// A new leader is elected while a team uses its full quota on machines of which some have not yet reported to
+// the new leader. If the new leader did not count the tasks on these machines, it would grant the same quota
+// a second time.
 scenario(
   'a team is at its quota when the leader fails over, some of the machines are partitioned, and a job is cancelled',
   { port: 23_240, taskMs: 2500, capacity: 10 },
@@ -232,7 +244,8 @@
       () => [cancelled, running].every((id) => cluster.runningOf(id).length === 6),
       quotaSettlingMs,
     );
-    // A job of another team causes more machines to be rented. Its cancellation then frees capacity on them.
+    // A job of another team causes more machines to be rented. This job is cancelled below, which frees
+    // capacity on these machines.
     await cluster.submitUntilAccepted(submission(otherTeamJob, 18, { owner: 'blue' }));
     await cluster.waitUntil(
       'all tasks of the other team run',
@@ -257,8 +270,9 @@
   },
 );
 
-// Guards against a job with two outcomes: the outcome that the first user received must be the one for all
-// users.
+// Cancels, status requests and repeated submissions arrive at all controllers as a job ends. Guards against a
+// job that is reported as done to one user and as cancelled to another. The outcome that the first user
+// received must be the outcome for all users.
 scenario(
   'cancels, status requests and repeated submissions arrive as the last task of a job ends',
   { port: 23_280, taskMs: 500 },
--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -14,9 +14,11 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** Lower limits that the settings announce for the state service. */
+/**
+ * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 60 };
-/** The id of a job with this number. */
+/** Returns the id of the job with this number. */
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /** Submits a chain of jobs, each of which depends on the previous one. Returns their ids. */
@@ -39,7 +41,7 @@
   return chain;
 }
 
-/** How often tasks of the job were started. */
+/** Returns the number of task starts of a job. A task that was started several times counts several times. */
 const startCountOf = (cluster: Cluster, id: string): number =>
   cluster.history.events.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
@@ -51,8 +53,9 @@
   await cluster.waitForStatusEverywhere(ids, 'cancelled', withinMs);
 }
 
-// Guards against tasks that start before the dependencies of their job are done (rule `too_early`), and
-// against a job that waits forever because the outcome of a dependency never reaches it.
+// Dependencies end while the controllers restart one by one. Guards against tasks that start before the
+// dependencies of their job are done (rule `too_early`), and against a job that waits forever because the
+// controllers miss the outcome of a dependency.
 scenario(
   'a chain and a diamond of jobs complete while all controllers restart one by one, and the store limits are lowered',
   { port: 28_000, taskMs: 400, nextLimits },
@@ -69,8 +72,9 @@
   },
 );
 
-// Guards against a job that waits forever for a dependency with an outcome from before the restart: the
-// replica of a restarted controller contains no outcomes at first.
+// After a restart, a controller's replica of the store contains no outcomes at first. If the controller did
+// not learn the outcome of a dependency that was done before the restart, the dependent job would wait
+// forever.
 scenario(
   'one dependency is done before all controllers restart, and another one after that',
   { port: 28_040, taskMs: 300 },
@@ -87,8 +91,10 @@
   },
 );
 
-// Guards against dependents that stay open after a job that they need was cancelled (rule `orphaned`): a
-// cancellation cascade must not end with the controller that began it, nor when the write limit is reached.
+// A job is cancelled, and both the leader and the controller that confirmed the cancel stop while the
+// dependents are being cancelled at a low write limit. If the cancellation cascade ended with the controller
+// that began it or when the write limit is reached, the remaining dependents would stay open (rule
+// `orphaned`).
 scenario(
   'a chain of ten with forty more dependents is cancelled as the leader stops, with few writes per second',
   { port: 28_080, taskMs: untilStopped, nextLimits },
@@ -112,8 +118,8 @@
   },
 );
 
-// Guards against a dependent that is accepted as an open job because the replica of the accepting controller
-// does not contain the cancellation of the dependency yet.
+// A job is cancelled at one controller, and another controller accepts a dependent of this job before its
+// replica of the store contains the cancellation. Guards against a dependent that then stays open.
 scenario(
   'the first job of a chain is cancelled while the others are being submitted at other controllers',
   { port: 28_120, taskMs: untilStopped },
@@ -161,8 +167,9 @@
   },
 );
 
-// Guards against answers from outdated data: after an outage that is longer than the cancellation deadline,
-// no controller may report a job as pending on the basis of a replica from before the outage.
+// A chain of jobs is cancelled, and the state service is then down for longer than the cancellation deadline.
+// If a controller answered from its replica of the store as it was before the outage, it would report a job
+// of the chain as pending.
 scenario(
   'the state service is down for longer than the cancellation deadline, right after a cancel',
   { port: 28_200, taskMs: untilStopped },
@@ -182,8 +189,9 @@
   },
 );
 
-// Guards against dependents of a cancelled job that a controller reports as open (rule `orphaned`): only this
-// controller is partitioned from the state service, and it has not detected the partition yet.
+// A controller is partitioned from the state service and its peers while the other controllers cancel a chain
+// of jobs. If the controller has not detected the partition and answers from its outdated replica of the
+// store, it reports the dependents of the cancelled job as open (rule `orphaned`).
 scenario(
   'a controller is partitioned from state service and peers while a chain is cancelled, and is queried on its return',
   { port: 28_240, taskMs: untilStopped },
--- a/src/fault-scenarios/large-fleet.test.ts
+++ b/src/fault-scenarios/large-fleet.test.ts
@@ -1,4 +1,7 @@
-/** A scenario of three controllers with 4000 machines: no part of the service may rely on a smaller fleet. */
+/**
+ * A scenario of three controllers with 4000 machines. It fails if a part of the service relies on a smaller
+ * fleet.
+ */
 import assert from 'node:assert/strict';
 import { type Cluster, everyTask, labels, submission, tasksOf } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
@@ -6,23 +9,23 @@
 const machineCount = 4000;
 const tasksPerJob = 200;
 /**
- * Intervals and time limits in s, long enough for one process to send and to answer the heartbeats of all
- * machines.
+ * Heartbeat interval, worker lease and cancel deadline in s. They are so long that one process can send and
+ * answer the heartbeats of all machines.
  */
 const times = { report_s: 6, lease_s: 40, cancel_s: 50 };
 const cancelDeadlineMs = times.cancel_s * 1000;
 const rampUpMs = 90_000;
 /**
- * The number of repeated task starts must be below this share of all tasks, despite the controller failures.
+ * Despite the controller failures, the number of repeated task starts must be below this share of all tasks.
  */
 const maxRestartShare = 0.05;
 const meanTaskMs = 25_000;
-/** The id of a job with this number. */
+/** Returns the id of the job with this number. */
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 
 /**
- * Submits jobs with as many tasks in total as there are machines; each task takes up a whole machine. Returns
- * their ids.
+ * Submits one task for each machine, in jobs of `tasksPerJob` tasks. Each task takes up a whole machine.
+ * Returns the ids of the jobs.
  */
 async function submitJobsForAllMachines(cluster: Cluster): Promise<string[]> {
   const ids = Array.from({ length: machineCount / tasksPerJob }, (_, i) => idOf(i + 1));
@@ -33,8 +36,8 @@
 }
 
 /**
- * The duration of a task in ms, between 0.8 and 1.2 of the mean: tasks whose durations begin to count at the
- * same time do not all end at the same time.
+ * Returns the duration of a task in ms, between 0.8 and 1.2 times the mean. Tasks that are released at the
+ * same time therefore do not all end at the same time.
  */
 function staggeredTaskMs(task: string): number {
   const index = Number(task.split('/')[1]);
@@ -45,7 +48,7 @@
   return [...cluster.workers.values()].filter(({ tasks }) => tasks.size > 0).length;
 }
 
-/** Finds a job with a task that runs on a machine which this controller does not own. */
+/** Returns the id of a job with a task that runs on a machine of another controller than `label`. */
 function findJobOfOtherControllers(cluster: Cluster, ids: string[], label: string): string {
   const others = labels.map((_, block) => cluster.block(block)).filter(({ owner }) => owner !== label);
   const runningTasks = others
@@ -56,7 +59,7 @@
   return found;
 }
 
-/** The number of task starts beyond the first start of each task. */
+/** Returns the number of task starts beyond the first start of each task. */
 function countTaskRestarts(cluster: Cluster): number {
   const startedTasks = cluster.history.events.flatMap((event) =>
     event.kind === 'started' ? [event.task] : [],
@@ -64,9 +67,10 @@
   return startedTasks.length - new Set(startedTasks).size;
 }
 
-// Guards against faults that only a large fleet shows: block records and leases that exceed the size limit of
-// a value, machines that are forgotten or declared silent because one controller has too many of them to
-// serve, and tasks that are lost or started twice when their blocks change owners.
+// Two of the three controllers stop, so the third one takes over all blocks. Guards against failures that
+// only a large fleet shows: block records and leases exceed the size limit of a value, machines are forgotten
+// or declared silent because one controller has too many of them to serve, and tasks are lost or started
+// twice when their blocks change owners.
 scenario(
   'one controller is left with 4000 machines as a job is cancelled, and then all controllers restart',
   { port: 30_000, taskMs: staggeredTaskMs, capacity: machineCount / 2, times },
--- a/src/fault-scenarios/late-and-lost-messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -16,7 +16,7 @@
 const taskMs = 700;
 const jobIds = Array.from({ length: 5 }, (_, i) => `req-00000${i}`);
 
-/** Submits the jobs and waits until some of their tasks run. No task ends before that. */
+/** Submits the jobs and waits until some of their tasks run. No task ends during this wait. */
 async function submitAndAwaitRunning(cluster: Cluster, ids: string[], tasks: number): Promise<void> {
   cluster.shouldHoldTask = everyTask;
   await submitAll(cluster, ids, tasks);
@@ -30,8 +30,9 @@
     await cluster.submitUntilAccepted(submission(id, tasks, { owner: 'blue' }), i);
 }
 
-// Guards against outdated data that a transaction writes if it is executed after newer ones: an old page, an
-// old lease, an old dispatch, or an outcome or a job that was not confirmed to its user.
+// Some transactions get no response and are applied late, after newer transactions. Guards against outdated
+// data that such a late transaction writes: an old ledger page, an old lease, an old dispatch, or an outcome
+// or a job that was not confirmed to its user.
 for (const seed of [1, 2, 3]) {
   scenario(
     `transactions that got no response are applied late, after newer ones (seed ${seed})`,
@@ -51,8 +52,8 @@
         for (const [j, id] of jobIds.entries()) await cluster.queryStatus((i + j) % 3, id);
         const addedJob = `req-0001${i}`;
         await cluster.submitUntilAccepted(submission(addedJob, 2), i);
-        // Every second job gets one cancel request without retries, at about the time of its end. The cancel
-        // may take effect after the end of the job.
+        // Every second job gets one cancel request without retries, at about the time at which the job ends.
+        // The cancel may take effect after the end of the job.
         const cancelDelayMs = taskMs * (1 + (i % 3) / 2);
         if (i % 2 === 0)
           cancelRequests.push(
@@ -70,15 +71,16 @@
       cluster.store.lateCommits = undefined;
       await Promise.all(cancelRequests);
       await cluster.waitUntilAllDone(kept);
-      for (const happening of cluster.history.events) {
-        if (happening.kind === 'asked to cancel') await awaitEnd(happening.id);
+      for (const event of cluster.history.events) {
+        if (event.kind === 'asked to cancel') await awaitEnd(event.id);
       }
     },
   );
 }
 
-// Guards against an outcome that changes: no user received a confirmation of the cancel, and users know that
-// the job is done by the time the cancel is executed.
+// The transaction of a cancel gets no response, so no user receives a confirmation. The job ends, and users
+// receive the answer that it is done. If the cancel were applied after that, the outcome of the job would
+// change.
 scenario(
   'a cancellation whose transaction got no response is applied after its job is done',
   { port: 24_320, taskMs },
@@ -97,16 +99,17 @@
   },
 );
 
-// Guards against an old ledger page that overwrites a newer one: the next incarnation of the block owner
-// would start running tasks a second time.
+// The transaction that writes a ledger page, a part of the record of a block's task attempts, gets no
+// response and is applied after newer writes of the page. If the old page overwrote the newer one, the next
+// incarnation of the block owner would start running tasks a second time.
 scenario(
   'a ledger page whose transaction got no response is applied after newer ones, and its owner restarts',
   { port: 24_360, taskMs: 6000, capacity: 6 },
   async (cluster) => {
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     cluster.store.shouldWithholdCommit = (key) => key.startsWith('sk/run/');
-    // All tasks run at the same time, however late the page without a response is written again, and they
-    // still run when the controllers restart.
+    // No task ends before the controllers have restarted. All tasks therefore run at the same time, even if
+    // the controller writes the ledger page again late.
     cluster.shouldHoldTask = everyTask;
     for (const [i, id] of ids.entries())
       await cluster.submitUntilAccepted(submission(id, 4, { owner: 'blue' }), i);
@@ -121,8 +124,8 @@
   },
 );
 
-// Guards against a start or halt command that a machine executes when it resumes, long after the command was
-// sent.
+// Workers stall while commands to them are in flight. Guards against wrong reactions of the controllers when
+// a machine executes a start or halt command only after it resumes, long after the command was sent.
 scenario(
   'workers stall for seconds with commands in flight, and then resume',
   { port: 24_160, taskMs: 900, fetchMs: 100 },
@@ -148,8 +151,9 @@
   },
 );
 
-// Guards against an outdated task list that is taken for the present one: from the same agent epoch, from an
-// earlier agent epoch or from an earlier task attempt.
+// Heartbeats are delivered late and out of order. Guards against a controller that treats an outdated task
+// list as current, whether the list is from the same agent epoch, from an earlier agent epoch or from an
+// earlier task attempt.
 scenario(
   'heartbeats are delivered late and out of order, also from an earlier agent epoch or attempt',
   { port: 24_200, taskMs: 3000, capacity: 6 },
@@ -157,8 +161,8 @@
     await submitAndAwaitRunning(cluster, jobIds, 2);
     for (const worker of cluster.workers.values())
       worker.duplicateHeartbeats = { share: 0.5, toMs: 1.5 * workerLeaseMs };
-    // Two workers lose their lease before the copies of their heartbeats arrive. This ends their agent epoch
-    // and their task attempts.
+    // The leases of two workers expire before the copies of their heartbeats arrive. The expiry ends their
+    // agent epoch and their task attempts.
     const isolatedWorkers = [...cluster.workers.values()].slice(0, 2);
     for (const worker of isolatedWorkers) worker.isPartitioned = true;
     await pause(1.1 * workerLeaseMs);
@@ -175,8 +179,9 @@
   },
 );
 
-// Guards against tasks that are taken for running or started twice although no heartbeat of their machine
-// arrives: only the cloud can prove that a machine is gone.
+// No heartbeat of some machines arrives for longer than a worker lease. Guards against a controller that
+// assumes that the tasks on these machines still run, or starts them a second time. Only the cloud can prove
+// that a machine is gone.
 scenario(
   'workers are partitioned from all controllers for longer than a lease',
   { port: 24_240, taskMs: 3000, capacity: 6 },
@@ -184,8 +189,8 @@
     await submitAndAwaitRunning(cluster, jobIds, 2);
     const [cancelled = '', ...kept] = jobIds;
     cluster.shouldHoldTask = tasksOf(cancelled);
-    // Machines that are rented later are not partitioned. Every second present machine is not partitioned at
-    // first.
+    // At first, every second machine is partitioned; later, all machines that exist now. Machines that are
+    // rented during the scenario are not partitioned.
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.isPartitioned = i % 2 === 0;
     assert.equal(await cluster.cancelUntilEnded(cancelled), 'cancelled');
@@ -199,7 +204,8 @@
   },
 );
 
-// Guards against machines that are rented twice or not at all, and against a release that removes a machine
+// Rentals and releases get no response, releases are applied late, and the machine list is outdated. Guards
+// against machines that are rented twice or not at all, and against a late release that removes a machine
 // with new tasks.
 scenario(
   'cloud rentals and releases get no response, releases are applied late, and listings lag',
--- a/src/fault-scenarios/leader-failover.test.ts
+++ b/src/fault-scenarios/leader-failover.test.ts
@@ -12,13 +12,17 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** The index of a controller, by which users and workers address it. */
+/**
+ * Returns the index of a controller in `labels`. The methods of `Cluster` and `WorkerStandIn` take this index
+ * as `node`.
+ */
 const nodeOf = (label: string): number => labels.indexOf(label);
-/** The index of a task within its job. */
+/** Returns the index of a task within its job. */
 const indexOf = (task: string): number => Number(task.split('/')[1]);
 
-// Guards against two incarnations that both send commands to workers, and against tasks that are not
-// accounted for by the controllers that own their block only for a short time.
+// Controllers stop and restart within a second, so that blocks change owners several times. Guards against
+// two incarnations of a controller that both send commands to workers, and against tasks that a controller
+// misses because it owns their block only for a short time.
 scenario(
   'leadership fails over and back, all controllers stop, and one restarts, within a second',
   { port: 22_000, taskMs: 800 },
@@ -39,16 +43,16 @@
     await cluster.submitUntilAccepted(submission('req-000004', 9));
     await cluster.waitUntil('a task of the job runs', () => cluster.runningOf('req-000004').length > 0);
     cluster.shouldHoldTask = noTask;
-    // Each controller is back before the lease of its previous incarnation expires. Until then, the block is
-    // still leased to the previous incarnation.
+    // Each controller restarts before the lease of its previous incarnation expires. Until this lease
+    // expires, the block is still leased to the previous incarnation.
     for (const label of labels) await cluster.restart(label, 50);
     await cluster.submitUntilAccepted(submission('req-000005', 9));
     await cluster.waitUntilAllDone([...ids, 'req-000004', 'req-000005']);
   },
 );
 
-// Guards against a job that is reported as done because its new owner counts the tasks that the previous
-// owner had, and against a job that is never reported as done.
+// Tasks of one job complete under different block owners. If a new owner miscounted the tasks of the previous
+// owner, the job would be reported as done too early, or never.
 scenario(
   'tasks of one job complete before, during and after a leader failover',
   { port: 22_040, taskMs: (task) => [300, 1200, 1500][indexOf(task)] ?? 300 },
@@ -77,14 +81,14 @@
   },
 );
 
-// Guards against tasks that are started a second time because their machines cannot be reached: missing
-// heartbeats do not prove that a task has ended.
+// Machines with running tasks are partitioned while the leader fails over. Missing heartbeats do not prove
+// that a task has ended, so the controllers must not start these tasks a second time.
 scenario(
   'the leader fails over while machines with long tasks are partitioned, in both directions or in one',
   { port: 22_080, taskMs: 600, capacity: 6 },
   async (cluster) => {
-    // The short tasks end early and free capacity on reachable machines. A long task that is wrongly taken
-    // for lost would be started there at once.
+    // The short tasks end early and free capacity on reachable machines. If a controller wrongly treated a
+    // long task as lost, it would start the task on one of these machines immediately.
     const [longJob, shortJob] = ['req-000001', 'req-000002'];
     cluster.shouldHoldTask = tasksOf(longJob);
     for (const id of [longJob, shortJob])
@@ -110,8 +114,8 @@
   },
 );
 
-// Guards against an outdated task list that is taken for the present one: the heartbeat contains a fencing
-// token that is no longer valid.
+// A heartbeat is delayed until the block of its machine has a new owner. The fencing token in the heartbeat
+// is then no longer valid, so the new owner must not treat the task list in the heartbeat as current.
 scenario(
   'a heartbeat is delayed until the leader has failed over, and then delivered to the new owner',
   { port: 22_120, taskMs: 2500 },
@@ -130,8 +134,8 @@
       workers.every(({ machine }) => cluster.ownerOf(machine.id) !== oldLeader),
     );
     for (const worker of workers) {
-      // Repeats the last heartbeat of the worker, and others from before it had any task. The new owner must
-      // not use any of them.
+      // Sends the latest heartbeat of the worker again, and heartbeats from before the worker had any task.
+      // The new owner must not use any of these duplicates.
       for (const heartbeatsAgo of [0, 30, 8, 0])
         worker.sendDuplicate(heartbeatsAgo, nodeOf(cluster.ownerOf(worker.machine.id)));
     }
@@ -143,7 +147,9 @@
   },
 );
 
-// Guards against starts that rely on a ledger which is older than the leases that it refers to.
+// All controllers are down until the worker leases have expired, which ends the running tasks. The ledger in
+// the state service, which records the task attempts, is then outdated. Guards against controllers that rely
+// on this ledger when they start tasks.
 scenario(
   'all controllers are down for longer than a worker lease',
   { port: 22_160, taskMs: 1500 },
@@ -164,8 +170,8 @@
   },
 );
 
-// Guards against a leader that acts on the replica of an earlier leader, and against a cluster without a
-// leader.
+// Leadership changes ten times. Guards against a leader that acts on outdated data from the term of an
+// earlier leader, and against a cluster that stays without a leader.
 scenario(
   'the leader changes ten times, also during an outage of the state service',
   { port: 22_200, taskMs: 1000 },
@@ -184,9 +190,9 @@
   },
 );
 
-// Guards against a cluster that stays without a leader: a lease renewal waited for the response to the
-// previous renewal and for other requests in flight. If responses took more than half of the time to live of
-// a lease, each lease that replaced an expired one expired as well.
+// All leases in the state service expire while the service is slow. If a lease renewal waited for the
+// response to the previous renewal and for other requests in flight, and responses took more than half of the
+// time to live of a lease, each new lease would expire as well. The cluster would stay without a leader.
 scenario(
   'every lease expires while the state service is slow, and the next leader keeps its leadership',
   { port: 22_240, taskMs: 1000 },
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -1,7 +1,7 @@
 /**
- * Scenarios of controllers of an earlier commit and of this one that run side by side permanently on the same
- * data. Whichever version leads, owns blocks or answers users, the other version can read its stored records
- * and its peer statuses.
+ * Scenarios in which controllers of an earlier commit and of this one run side by side permanently on the
+ * same data. Each version must be able to read the stored records and the peer statuses of the other version,
+ * whichever version leads, owns blocks or answers users.
  */
 import assert from 'node:assert/strict';
 import { execFileSync } from 'node:child_process';
@@ -22,16 +22,18 @@
 import { scenario } from '../testing/scenario.js';
 
 /**
- * The head of the main branch before identifiers in the sources were renamed. It is the last commit in which
- * some of the stored and sent records were the in-memory objects themselves.
+ * The head of the main branch before identifiers in the sources were renamed. This is the last commit that
+ * stores and sends some of its in-memory objects without a conversion.
  */
 const commitBeforeRenames = '2be30b5872d7705d589379509e881f4e8adf3f22';
 
-/** Lower limits that the settings announce for the state service. */
+/**
+ * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 /**
- * The following options name the controllers that start with the earlier version. The path of its program is
- * set once it has been built.
+ * Values of `ClusterOptions.earlierVersion`. The listed controllers start with the earlier version. The path
+ * `program` is set after the earlier version has been built.
  */
 const allEarlier = { program: '', labels };
 const oneEarlier = { program: '', labels: ['keel-0'] };
@@ -83,7 +85,9 @@
   for (const id of ids) await submitAt(cluster, label, id, tasks, small);
 }
 
-/** Submits a chain of three jobs, and jobs that use every other field of a submission. Returns their ids. */
+/**
+ * Submits a chain of three jobs, and further jobs that set other fields of a submission. Returns their ids.
+ */
 async function submitVariedJobs(cluster: Cluster, label: string, firstNumber: number): Promise<string[]> {
   const variants: Record<string, unknown>[] = [
     {},
@@ -98,7 +102,10 @@
   return ids;
 }
 
-/** Waits until the job runs, cancels it at one controller and waits until its tasks have ended in time. */
+/**
+ * Waits until the job runs, cancels it at one controller and waits until its tasks have ended. Fails the test
+ * if they have not ended within the cancel deadline.
+ */
 async function cancelAt(cluster: Cluster, label: string, id: string): Promise<void> {
   await cluster.waitUntil(`${id} runs`, () => cluster.runningOf(id).length > 0);
   assert.equal(await cluster.cancelUntilEnded(id, [nodeOf(label)]), 'cancelled');
@@ -110,7 +117,7 @@
 }
 
 /**
- * The controllers that run one of the two versions, and a function that restarts one of them with the same
+ * A group of controllers that run the same version. The function `restart` restarts one of them with this
  * version.
  */
 interface VersionGroup {
@@ -118,12 +125,12 @@
   restart: (label: string) => Promise<void>;
 }
 
-/** A leader that has been down for this time, in ms, has lost its leadership. */
+/** Time in ms after which a stopped leader has lost its leadership. */
 const leadershipExpiryMs = workerLeaseMs;
 
 /**
- * Waits until a controller of `group` leads. Restarts any leader of `otherGroup`, which thereby loses
- * leadership.
+ * Waits until a controller of `group` leads. If a controller of `otherGroup` leads, restarts this controller,
+ * so that it loses its leadership.
  */
 async function awaitLeaderOf(cluster: Cluster, group: VersionGroup, otherGroup: VersionGroup): Promise<void> {
   for (;;) {
@@ -136,10 +143,10 @@
 const maxRounds = 5;
 
 /**
- * Submits jobs to a controller of `others` while a controller of `leaders` leads, and waits until a task
- * starts. If the term has ended by then, which may happen to a leader that is delayed, submits as many jobs
- * again, in at most `maxRounds` rounds. Returns the ids of all jobs. Fails the test if no term lasts long
- * enough.
+ * Submits jobs to a controller of `others` while a controller of `leaders` leads, and waits until the first
+ * of these jobs has started. A delayed leader may lose its leadership during this wait. In this case, submits
+ * further jobs, in at most `maxRounds` rounds. Returns the ids of all jobs. Fails the test if no term lasts
+ * long enough.
  */
 async function submitDuringTermOf(
   cluster: Cluster,
@@ -163,9 +170,10 @@
   );
 }
 
-// Guards against records that one of the two versions misreads: jobs that one version accepts and a leader of
-// the other version never dispatches, tasks that are started twice or forgotten as a block changes owners,
-// and dependents that start too early.
+// Leadership and all blocks move from one version to the other and back. Guards against stored records that
+// one version misreads. Possible results are jobs that one version accepts and a leader of the other version
+// never dispatches, tasks that are started twice or forgotten as a block changes owners, and dependents that
+// start too early.
 scenario(
   'leadership and all blocks move to this version and back, while jobs run and are cancelled at both versions',
   {
@@ -185,7 +193,7 @@
     const ids = [idOf(10), idOf(11), idOf(12)];
     await submitSmallJobs(cluster, first, ids, 100);
     await cluster.waitUntil('tasks run', () => ids.some((id) => cluster.runningOf(id).length > 0));
-    // Tasks of the first two jobs do not end by themselves: these jobs are cancelled below.
+    // Tasks of the first two jobs do not end by themselves, because these jobs are cancelled below.
     cluster.shouldHoldTask = tasksOf(idOf(1), idOf(2));
 
     await cluster.upgrade(second);
@@ -211,7 +219,8 @@
     ids.push(...(await submitDuringTermOf(cluster, currentPair, earlierOne, 200)));
     await cancelAt(cluster, first, idOf(2));
 
-    // The earlier version leads and owns all blocks for a while. It continues to lead beside this version.
+    // The controllers of this version stop, so that the controller of the earlier version leads and owns all
+    // blocks. It continues to lead after a controller of this version has started again.
     cluster.stopController(second);
     cluster.stopController(third);
     await cluster.waitUntil(
@@ -254,8 +263,9 @@
 const maxJobs = 24;
 
 /**
- * Submits jobs until all of them run and at least one has a task on a machine of one of these controllers.
- * With more jobs, more controllers have tasks on their machines.
+ * Submits at least `minJobs` and at most `maxJobs` jobs, until all of them run and one of them has a task on
+ * a machine of one of the controllers `owners`. Returns the ids of all jobs, the id of this job and the owner
+ * of the machine. The more jobs run, the more controllers have tasks on their machines.
  */
 async function startJobs(cluster: Cluster, owners: string[]): Promise<RunningJob & { ids: string[] }> {
   const ids: string[] = [];
@@ -273,9 +283,10 @@
   return assert.fail(`no job runs on a machine of ${owners.join(' or ')}`);
 }
 
-// Guards against peer statuses that arrive and are misread by the other version. During an outage of the
-// state service, a controller without valid statuses from its peers stops renewing worker leases, so that all
-// its tasks end. A controller that does not receive a cancellation lets the cancelled tasks run.
+// The state service refuses one controller, a peer of the other version confirms a cancel, and then the state
+// service fails. Guards against a controller that misreads the peer statuses of the other version. If it
+// treated them as invalid, it would stop renewing worker leases, and all its tasks would end. If it missed
+// the cancellation in them, it would let the cancelled tasks run.
 async function cancelBeforeOutage(
   cluster: Cluster,
   owners: string[],
@@ -294,10 +305,10 @@
   await pause(cancelDeadlineMs * 1.2);
   const startCount = cluster.history.events.filter(({ kind }) => kind === 'started').length;
   assert.equal(startCount, tasksPerJob * ids.length);
-  const runningCounts = ids.map((one) => cluster.runningOf(one).length);
+  const runningCounts = ids.map((jobId) => cluster.runningOf(jobId).length);
   assert.deepEqual(
     runningCounts,
-    ids.map((one) => (one === id ? 0 : tasksPerJob)),
+    ids.map((jobId) => (jobId === id ? 0 : tasksPerJob)),
   );
   cluster.store.refusedClients.clear();
   cluster.store.hasOutage = false;
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -1,6 +1,6 @@
 /**
- * Scenarios of a rolling upgrade: controllers of the version in production and of this one run side by side
- * on the same data.
+ * Scenarios of a rolling upgrade: controllers of the version in production and of the current version run
+ * side by side on the same data.
  */
 import assert from 'node:assert/strict';
 import { execFileSync } from 'node:child_process';
@@ -21,10 +21,12 @@
 import { scenario } from '../testing/scenario.js';
 import { jsonSizeBytes } from '../wire/codec.js';
 
-/** Lower limits that the settings announce for the state service. */
+/**
+ * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 const nextValueBytes = nextLimits.value_kb * 1024;
-/** The id of a job with this number. */
+/** Returns the id of the job with this number. */
 const idOf = (i: number): string => `req-${String(i).padStart(6, '0')}`;
 const earlier = { program: '', labels };
 let build: EarlierBuild | undefined;
@@ -64,8 +66,8 @@
 }
 
 /**
- * Returns true if the ledger of every block has the new layout. Before that, pages may exceed the announced
- * limits, because the earlier version has to read them.
+ * Returns true if the ledger of every block has the new layout. As long as the earlier version has to read
+ * the ledgers, their pages may exceed the announced limits.
  */
 function haveAllLedgersNewLayout(cluster: Cluster): boolean {
   const [label = ''] = labels;
@@ -73,9 +75,9 @@
   return labels.every((_, block) => cluster.chunkTasks.get(block) === chunkTasks);
 }
 
-// Guards against records that one version misreads, in both directions: tasks of one version that the other
-// starts twice, forgets or releases. One process is killed before its upgrade and restarts with the earlier
-// version.
+// Both versions read and write the same records during the upgrade. If one version misread the records of the
+// other, it would start tasks of the other version twice, forget them or release them. One controller process
+// is killed before its upgrade and restarts with the earlier version.
 scenario(
   'controllers are upgraded one by one while jobs run; one dies before its upgrade and restarts with the earlier version',
   { port: 29_000, capacity: 10, earlierVersion: earlier, nextLimits, taskMs: 2500 },
@@ -87,8 +89,9 @@
     cluster.shouldHoldTask = tasksOf(idOf(3));
     const first = await cluster.waitForLeader();
     const [second = '', third = ''] = labels.filter((label) => label !== first);
-    // A leader of the earlier version with a block owner of this version. A controller of the earlier version
-    // takes over the block of that owner and gives it back.
+    // A leader of the earlier version now works with a block owner of this version. When this owner stops, a
+    // controller of the earlier version takes over its block. After the restart, the owner gets its block
+    // back.
     await cluster.upgrade(second);
     ids.push(...(await submitSmallJobs(cluster, 50, 2, 100)));
     await pause(4 * heartbeatIntervalMs);
@@ -99,14 +102,14 @@
     );
     await pause(4 * heartbeatIntervalMs);
     cluster.startController(second);
-    // A controller dies before its upgrade.
+    // A controller is killed before its upgrade and restarts with the earlier version.
     cluster.processes.kill(third);
     await pause(2 * heartbeatIntervalMs);
     cluster.startProcess(third, earlier.program);
     ids.push(...(await submitSmallJobs(cluster, 100, 3, 100)));
     await pause(3 * heartbeatIntervalMs);
     assert.equal(await cluster.cancelUntilEnded(idOf(3)), 'cancelled');
-    // A leader of this version with block owners of the earlier version.
+    // A leader of this version now works with block owners of the earlier version.
     await cluster.upgrade(first);
     await pause(3 * heartbeatIntervalMs);
     ids.push(...(await submitSmallJobs(cluster, 200, 3, 100)));
@@ -127,13 +130,14 @@
   },
 );
 
-// Guards against a backlog that only one version can read, and against ledgers that exceed the new limits
-// immediately.
+// The earlier version accepts a backlog of jobs, all controllers are upgraded at the same time, and the
+// limits of the state service are lowered. Guards against a backlog that only the earlier version can read,
+// and against ledgers that exceed the new limits as soon as these take effect.
 scenario(
   'all controllers are upgraded at the same time, and the limits of the state service are lowered as they return',
   { port: 29_040, taskMs: 5000, capacity: 10, earlierVersion: earlier, nextLimits },
   async (cluster) => {
-    // No task ends before the ledger is large: the end of a task makes the ledger smaller.
+    // No task ends before the ledger is large, because the end of a task makes the ledger smaller.
     cluster.shouldHoldTask = everyTask;
     const ids = await submitSmallJobs(cluster, 1, 6, 200);
     await cluster.waitUntil(
@@ -154,8 +158,8 @@
   },
 );
 
-// Guards against faults of a change of leaders between two versions that count in different ways, if a cancel
-// or a refusal of the state service occurs during this change.
+// The state service refuses a leader of the earlier version, a job is cancelled, and another controller takes
+// over the leadership. Guards against failures that arise because the two versions count in different ways.
 scenario(
   'the state service refuses a leader of the earlier version, a new leader takes over, and a job is cancelled meanwhile',
   { port: 29_080, taskMs: 8000, capacity: 10, earlierVersion: earlier, nextLimits },
--- a/src/fault-scenarios/stale-reads.test.ts
+++ b/src/fault-scenarios/stale-reads.test.ts
@@ -16,8 +16,8 @@
 import { seeded } from '../testing/seeded.js';
 
 /**
- * Returns a filter for `StoreStandIn.holdsAnswers`. It matches the transactions of one controller that name
- * the outcome of the job in a condition or a write.
+ * Returns a filter for `StoreStandIn.shouldHoldAnswer`. It matches the transactions of one controller that
+ * name the outcome key of the job in a condition or a write.
  */
 const transactionsOnOutcome =
   (controller: string, id: string) =>
@@ -30,8 +30,9 @@
     () => cluster.store.heldAnswerCount > 0,
   );
 
-// Guards against an outdated answer (rule `went_back`): a later repetition shared the answer of an earlier
-// one, which was correct when the earlier repetition was sent, but not when the later one was sent.
+// A client repeats the submission of a job, the job is cancelled, and the client repeats the submission
+// again. If the later request shared the answer to the earlier one, it would get an outdated answer (rule
+// `went_back`), because the job was still open when the earlier request was sent.
 scenario(
   'a submission is repeated after the cancellation of its job was confirmed, while an earlier repetition is in flight',
   { port: 26_000, taskMs: untilStopped },
@@ -55,7 +56,7 @@
   },
 );
 
-// Guards against the same outdated answer if the request in flight is the first submission: the state service
+// As above, but the earlier request is the first submission of the job at this controller: the state service
 // has executed its commit and has not responded yet.
 scenario(
   'a job is accepted at one controller and cancelled, while another controller still waits for its commit of the job',
@@ -76,8 +77,9 @@
   },
 );
 
-// Guards against a delayed submission that overwrites the outcome of its job: the job would run after its
-// cancellation was confirmed to the user.
+// The transaction of a submission gets no response. The job is accepted at another controller and cancelled,
+// and then the delayed transaction is applied. If it overwrote the outcome of the job, the job would run
+// after its cancellation was confirmed to the user.
 scenario(
   'a submission whose transaction got no response is applied after its job was accepted elsewhere and cancelled',
   { port: 26_200, taskMs: untilStopped, capacity: 6 },
@@ -97,8 +99,9 @@
   },
 );
 
-// Guards against outdated answers after a process pause: when the process resumes, it receives responses that
-// the state service sent before the pause together with requests that users sent during the pause.
+// A paused controller process resumes. It then receives responses that the state service sent before the
+// pause together with requests that users sent during the pause. If it answered these requests from the old
+// responses, the answers would be outdated.
 scenario(
   'a controller process is paused with responses in flight, the job is cancelled elsewhere, and the process resumes',
   { port: 26_240, taskMs: untilStopped, processes: ['keel-2'] },
@@ -134,8 +137,8 @@
 );
 
 /**
- * Sends status requests and repeated submissions to all controllers, in three rounds a few milliseconds
- * apart.
+ * Sends status requests and repeated submissions to all controllers, three times at intervals of a few
+ * milliseconds.
  */
 async function queryAllControllers(cluster: Cluster, id: string): Promise<unknown> {
   const requests: Promise<unknown>[] = [];
@@ -171,7 +174,8 @@
   await Promise.all(queries);
 }
 
-// Guards against outdated answers in sequences of events that the scenarios above do not cover.
+// Guards against outdated answers to users in random sequences of faults that the scenarios above do not
+// cover.
 for (const [index, seed] of [1, 2, 3].entries()) {
   scenario(
     `users query all controllers while responses are late or lost and controllers are cut off or restart, seed ${seed}`,
--- a/src/fault-scenarios/zones-and-capacity.test.ts
+++ b/src/fault-scenarios/zones-and-capacity.test.ts
@@ -1,5 +1,5 @@
 /**
- * Scenarios of jobs with zone constraints, of a partitioned zone, and of more work than the machines have
+ * Scenarios of jobs with zone constraints, of a partitioned zone, and of more tasks than the machines have
  * capacity for.
  */
 import assert from 'node:assert/strict';
@@ -15,7 +15,7 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** Waits until a task of the job runs, and stops the machine of such a task together with all tasks on it. */
+/** Waits until a task of the job runs, then ends the machine of this task and all tasks on this machine. */
 async function loseMachine(cluster: Cluster, id: string): Promise<void> {
   await cluster.waitUntil(`${id} runs and loses a machine`, () => {
     const worker = [...cluster.workers.values()].find((w) =>
@@ -26,8 +26,9 @@
   });
 }
 
-// Guards against a task that is restarted in another zone than the other tasks of its colocated job, or in a
-// zone that already has half of the tasks of its spread job.
+// Machines fail, and their tasks are started again on other machines. Guards against a restart in another
+// zone than the other tasks of a colocated job, or in a zone that already has half of the tasks of a spread
+// job.
 scenario(
   'colocated, spread and zone-bound jobs lose machines before and after the leader fails over',
   { port: 25_000, taskMs: 1200, capacity: 6 },
@@ -52,8 +53,8 @@
   },
 );
 
-// Guards against tasks that run on both sides of a partition, and against cancels that never reach the
-// partitioned zone.
+// A zone is partitioned off, and jobs are cancelled outside. Guards against a task that runs both inside and
+// outside the zone, and against cancelled tasks that continue to run inside the zone.
 scenario(
   'a zone with workers and a controller is partitioned off for longer than a lease, and jobs are cancelled outside',
   { port: 25_040, taskMs: 7000, capacity: 6 },
@@ -89,8 +90,8 @@
   },
 );
 
-// Guards against submissions that are held back or lost, jobs that never start, and invalid submissions that
-// are accepted under load.
+// More tasks are submitted than the machines have capacity for, and the state service is slow. Guards against
+// submissions that are held back or lost, jobs that never start, and invalid submissions that are accepted.
 scenario(
   'jobs of high and of low urgency exceed the capacity while the state service is slow',
   { port: 25_080, taskMs: 300, capacity: 2 },
