--- a/src/testing/async-costs.ts
+++ b/src/testing/async-costs.ts
@@ -1,25 +1,25 @@
 /**
- * Counts the promises, timers and event loop callbacks that a function causes, to bound the cost of hot
- * paths.
+ * Counts the promises, timers and event loop callbacks that a function causes, so that tests can limit the
+ * cost of frequently executed code.
  */
 import { AsyncResource, createHook, executionAsyncId } from 'node:async_hooks';
 
-/** Asynchronous resources created by a function and by all callbacks that descend from it. */
+/** Numbers of asynchronous resources created by a function and by all callbacks that descend from it. */
 export interface AsyncCosts {
   /** Promises, including those that `await` and `then` create. */
   promises: number;
   /** Timers of any kind. */
   timers: number;
-  /** Callbacks run by the event loop: promise continuations, timers, immediates and `process.nextTick`. */
+  /** Callbacks that the event loop ran: promise continuations, timers, immediates and `process.nextTick`. */
   turns: number;
 }
 
-/** Resource types counted as timers. `Immediate` and `TickObject` are counted only as turns. */
+/** Resource types that are counted as timers. `Immediate` and `TickObject` count only as `turns`. */
 const timerKinds = new Set(['Timeout', 'Timer']);
 
 /**
  * Runs `work` and counts the asynchronous resources that descend from it until `settled` has resolved.
- * Resources of other code are not counted, so the counts are exact and the same on every run.
+ * Resources of other code are not counted, so the counts are exact and are the same in every run.
  */
 export async function countAsyncCosts(
   work: () => void,
--- a/src/testing/block-fixture.ts
+++ b/src/testing/block-fixture.ts
@@ -1,4 +1,7 @@
-/** Test fixture: the state of one block and its scheduler. The test supplies the outcome of each commit. */
+/**
+ * Test fixture: one block, that is, a set of machines with the work placed on them, and its scheduler. The
+ * test supplies the outcome of each commit.
+ */
 import { nextEventLoopIteration } from '../base/event-loop.js';
 import { silentLog } from '../base/log.js';
 import type { JobSpec, Heartbeat } from '../model/types.js';
@@ -20,7 +23,7 @@
 
 /** Maximum size of a value in the state service in these tests, in bytes. */
 export const valueBytes = 32 * 1024;
-/** Ledger layout in which a page has the maximum size of a value. */
+/** Ledger layout with pages as large as the maximum size of a value in the state service. */
 export const valueLayout: LedgerLayout = {
   pageBytes: valueBytes,
   chunkTasks: plainTasksPerChunk(valueBytes),
@@ -66,21 +69,24 @@
 export interface BlockFixture {
   blockState: BlockState;
   scheduler: Scheduler;
-  /** Applies the job's record to the block's state, with this version. */
+  /**
+   * Applies the record of the job to the state of the block. `version` is the store revision of the record.
+   */
   applyJobRecord: (version: number) => void;
   /**
-   * Applies the block's record to the block's state, with this version. `leaving` lists the draining
-   * machines; the shares are those of the fixture's options unless `shares` is given.
+   * Applies the record of the block to its state. `version` is the store revision of the record, and
+   * `leaving` lists the draining machines. The quota shares are those of the fixture's options unless
+   * `shares` is given.
    */
   applyBlockRecord: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
-  /** Applies a heartbeat of the machine, which makes it usable, and then places tasks on it. */
+  /** Applies a heartbeat of the machine, which makes the machine usable, and then places tasks on it. */
   place: (machine: string) => Promise<void>;
   stop: AbortController;
   task: (index?: number) => Task | undefined;
 }
 
 export interface BlockFixtureOptions {
-  /** The job's team: `blue` has no quota, `red` has one. */
+  /** The team of the job: `blue` has no quota, `red` has a quota. */
   team?: string;
   tasks?: number;
   shares?: QuotaShares;
@@ -89,10 +95,10 @@
 /**
  * Creates a block with the machines m1 and m2 and the job `req-1`.
  *
- * @param answer returns the outcome of a commit with these conditions; it may change the block first
+ * @param answer returns the outcome of a commit with these conditions; may change the block before it returns
  */
 export function createBlockFixture(
-  answer: (conditions: Condition[], stage: BlockFixture) => CommitOutcome,
+  answer: (conditions: Condition[], fixture: BlockFixture) => CommitOutcome,
   { team = 'blue', tasks = 1, shares = {} }: BlockFixtureOptions = {},
 ): BlockFixture {
   const settings = testSettings();
@@ -106,7 +112,7 @@
   const stop = new AbortController();
   const commits = {
     full: false,
-    commit: (conditions: Condition[]) => Promise.resolve(answer(conditions, stage)),
+    commit: (conditions: Condition[]) => Promise.resolve(answer(conditions, fixture)),
   } as unknown as CommitQueue;
   const scheduler = new Scheduler({
     clock: () => 0,
@@ -121,7 +127,7 @@
     machineTypes: () => new Map(parseMachineTypes({ hulls: [machineType] }).map((t) => [t.name, t])),
   });
   const record = { spec: { ...jobSpec(jobId, tasks), team }, parts: [[0, 0, tasks]] };
-  const stage: BlockFixture = {
+  const fixture: BlockFixture = {
     blockState,
     scheduler,
     stop,
@@ -149,9 +155,9 @@
     },
     task: (index = 0) => blockState.jobs.get(jobId)?.tasks.get(index),
   };
-  stage.applyBlockRecord(firstBlockVersion, {});
-  stage.applyJobRecord(3);
-  return stage;
+  fixture.applyBlockRecord(firstBlockVersion, {});
+  fixture.applyJobRecord(3);
+  return fixture;
 }
 
 function leasedMachines(draining: string[]): LeasedMachine[] {
--- a/src/testing/checker.test.ts
+++ b/src/testing/checker.test.ts
@@ -25,11 +25,14 @@
 };
 
 type AnswerEvent = Extract<HistoryEvent, { kind: 'told' }>;
-/** An answer whose request was sent at `sentAt`, by default at the time of the answer. */
+/** An answer to a user. The request was sent at `sentAt`, by default at the time of the answer. */
 type TestAnswer = Omit<AnswerEvent, 'sentAt'> & { sentAt?: number };
 type TestEvent = (Exclude<HistoryEvent, AnswerEvent> | TestAnswer) & { at?: number };
 
-/** Returns the violations in a history of these events. Events are 100 ms apart unless they have a time. */
+/**
+ * Returns the violations in a history of these events. The event with index n has the time n * 100 ms unless
+ * it specifies a time.
+ */
 function violationsOf(events: TestEvent[], change: Partial<CheckOptions> = {}): string[] {
   const timedEvents = events.map((event, i): TimedEvent => {
     const at = event.at ?? i * 100;
@@ -83,9 +86,13 @@
     ],
     [],
   );
-  testViolations('ran_twice', [started('a/0', 'm1'), started('a/0', 'm2')], ['ran_twice a/0']);
   testViolations(
-    'quota',
+    'ran_twice: a task starts on a machine while it still runs on another one',
+    [started('a/0', 'm1'), started('a/0', 'm2')],
+    ['ran_twice a/0'],
+  );
+  testViolations(
+    'quota: the tasks of a team use more CPUs than the limit of the team',
     [submitted('b', { tasks: 3 }), ...['b/0', 'b/1', 'b/2'].map((t) => started(t, 'm1'))],
     ['quota b/2'],
   );
@@ -165,9 +172,13 @@
     ],
     ['forgotten a'],
   );
-  testViolations('invented', [started('a/0', 'm1'), answered('z', 'question', 'pending')], ['invented z']);
   testViolations(
-    'not_done',
+    'invented: a job that was never submitted is reported as pending',
+    [started('a/0', 'm1'), answered('z', 'question', 'pending')],
+    ['invented z'],
+  );
+  testViolations(
+    'not_done: a job is reported as done although one of its tasks has not completed',
     [started('a/0', 'm1'), left('a/0', 'm1', true), answered('a', 'question', 'done')],
     ['not_done a'],
   );
--- a/src/testing/checker.ts
+++ b/src/testing/checker.ts
@@ -2,19 +2,22 @@
 import type { TimedEvent, JobRequest, UserAnswer } from './history.js';
 
 export interface CheckOptions {
-  /** Maximum number of CPUs in use for each team. A team without an entry has no limit. */
+  /** Maximum number of CPUs that the tasks of each team may use. A team without an entry has no limit. */
   teamCpuLimits: ReadonlyMap<string, number>;
   cancelDeadlineMs: number;
-  /** Time after a confirmed cancellation within which a start that was already under way may take effect. */
+  /**
+   * Time after a confirmed cancellation during which a task start that was already in progress may take
+   * effect.
+   */
   startGraceMs: number;
   /**
-   * A job counts as forgotten if no query for it is answered for longer than this, while queries for other
+   * A job counts as forgotten if no query for it is answered for longer than this, although queries for other
    * jobs are answered.
    */
   maxUnansweredMs: number;
-  /** Maximum time that a job waits to start after all faults have ended, if it fits on free machines. */
+  /** Maximum time that a job may wait to start after all faults have ended, if it fits on free machines. */
   maxWaitMs: number;
-  /** When the last injected fault ended. */
+  /** Wall-clock time in ms since the epoch at which the final injected fault ended. */
   faultsEndedAt: number;
   historyEndsAt: number;
 }
@@ -31,7 +34,7 @@
   since: number;
 }
 
-/** What the history shows of a job so far. */
+/** The state of a job according to the events of the history so far. */
 interface JobHistory {
   request: JobRequest | undefined;
   submitted: boolean;
@@ -39,15 +42,18 @@
   cancelRequested: boolean;
   cancelledAt?: number;
   doneAt?: number;
-  /** When the first query since the last answered query went unanswered. Unset while queries are answered. */
+  /**
+   * Time of the first unanswered query since the latest answered query. Unset if the latest query was
+   * answered.
+   */
   unansweredSince?: number;
   hasStarted: boolean;
   readonly completed: Set<number>;
 }
 
 /**
- * Returns all violations of the rules of the protocol, derived from the events that the stand-ins observed
- * and the answers that users received.
+ * Returns all violations of the rules of the protocol. They are derived only from events that the stand-ins
+ * observed and answers that users received.
  */
 export function check(history: readonly TimedEvent[], options: CheckOptions): Violation[] {
   return new Checker(options).run(history);
@@ -100,9 +106,10 @@
 
   /**
    * Applies the rule: "Once any node has told a user that a job is accepted, done or cancelled, no node may
-   * give that user an older answer": if a request is sent after an answer has arrived, its own answer must
-   * not be older than that answer. If two requests are in flight at the same time, the network may reorder
-   * them, so the order of their answers is undefined and they are not compared.
+   * give that user an older answer". If a request is sent after an answer has arrived, the answer to this
+   * request must not be older than the answer that has arrived. If two requests are in flight at the same
+   * time, the network may reorder them. The order of their answers is then undefined, so they are not
+   * compared.
    */
   private applyAnswer({ id, requestKind, answer, sentAt }: Extract<TimedEvent, { kind: 'told' }>): void {
     const job = this.job(id);
@@ -138,7 +145,7 @@
 
   /**
    * Reports a job as forgotten if its queries stay unanswered while queries for other jobs are answered.
-   * During an outage of the whole service no answer is expected.
+   * During an outage of the whole service, no answer is expected.
    */
   private trackQuery(id: string, job: JobHistory, answer: string): void {
     if (answer !== 'turned away') {
@@ -186,7 +193,7 @@
     return job?.request !== undefined && job.completed.size >= job.request.tasks;
   }
 
-  /** All jobs on which the job depends, directly or through other jobs. */
+  /** Returns all jobs on which the job depends, directly or through other jobs. */
   private ancestors(id: string): JobHistory[] {
     const found = new Set<string>();
     const queue = [id];
@@ -201,8 +208,9 @@
   }
 
   /**
-   * Reports the job, which an answer has just called pending or running, if the request was sent more than
-   * the cancel deadline after the cancellation of a direct or indirect dependency had been confirmed.
+   * Called when an answer has reported a job as pending or running. Reports the job as orphaned if the
+   * request was sent more than the cancel deadline after the cancellation of a direct or indirect dependency
+   * was confirmed.
    */
   private checkOrphaned(id: string, sentAt: number): void {
     const isLate = ({ cancelledAt }: JobHistory): boolean =>
@@ -260,14 +268,14 @@
 
   /**
    * Reports an accepted job that has neither started nor ended although its dependencies are complete and the
-   * maximum wait after the last fault has passed.
+   * maximum wait after the end of the faults has passed.
    */
   private checkLeftWaiting(id: string, job: JobHistory): void {
     const { historyEndsAt, faultsEndedAt, maxWaitMs } = this.options;
     const waitedFrom = Math.max(job.acceptedAt ?? Infinity, faultsEndedAt);
     const isReady = (job.request?.dependencies ?? []).every((dependency) => this.isComplete(dependency));
-    const isUndecided = job.cancelledAt === undefined && job.doneAt === undefined;
-    const isWaiting = isUndecided && !job.hasStarted && isReady;
+    const isOpen = job.cancelledAt === undefined && job.doneAt === undefined;
+    const isWaiting = isOpen && !job.hasStarted && isReady;
     if (isWaiting && historyEndsAt - waitedFrom > maxWaitMs) this.report('left_waiting', id);
   }
 
@@ -292,8 +300,8 @@
 }
 
 /**
- * Whether the answer contradicts the outcome already confirmed. The outcome of a job is decided once, so
- * `done` and `cancelled` contradict each other in whatever order the answers arrive.
+ * Returns true if the answer contradicts the outcome that was already confirmed. The outcome of a job never
+ * changes, so `done` and `cancelled` contradict each other in whatever order the answers arrive.
  */
 function contradictsOutcome(job: JobHistory, answer: UserAnswer): boolean {
   if (answer === 'done') return job.cancelledAt !== undefined;
--- a/src/testing/cloud-standin.ts
+++ b/src/testing/cloud-standin.ts
@@ -3,7 +3,9 @@
 import { type Fields, decodeFields, asList, asNumber, asText } from '../wire/codec.js';
 import { reply } from './store-standin.js';
 
-/** A machine that the simulated cloud has rented out; `rentedAt` is the time of day in ms. */
+/**
+ * A machine that the simulated cloud has rented out. `rentedAt` is the wall-clock time in ms since the epoch.
+ */
 export interface RentedMachine {
   id: string;
   type: string;
@@ -22,16 +24,16 @@
   readonly rentals = new Map<string, string[]>();
   /** Maximum number of rented machines of each kind (spot and ordinary) in each zone. */
   capacity = 4;
-  /** The list of machines shows the state of this long ago. */
+  /** Age in ms of the state that the list of machines shows. */
   listLagMs = 0;
-  /** This many of the next rentals are executed, but the connection is closed without an answer. */
+  /** Number of upcoming rentals that are executed without an answer: the connection is closed instead. */
   rentalAnswersToDrop = 0;
   /**
-   * For the next `count` releases, the connection is closed without an answer and the release is executed
-   * `ms` milliseconds later.
+   * The next `count` releases get no answer, because the connection is closed, and are executed `ms`
+   * milliseconds later.
    */
   delayedReleases = { count: 0, ms: 0 };
-  /** Answers every request with 503, as in an outage. */
+  /** If true, every request is answered with 503, as in an outage. */
   hasOutage = false;
   onRent: (machine: RentedMachine) => void = () => undefined;
   onRelease: (id: string) => void = () => undefined;
@@ -75,7 +77,8 @@
   }
 
   /**
-   * Ends a machine and all tasks on it without a release. The list of machines still contains the machine.
+   * Ends a machine and all tasks on it although the machine was not released. The list of machines still
+   * contains the machine.
    */
   failMachine(id: string): void {
     this.onRelease(id);
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -20,25 +20,28 @@
 
 export { labels };
 
-/** Times of the workers in seconds, under the names that the settings file uses. */
+/**
+ * Worker times in seconds, under the names of the settings file: heartbeat interval, worker lease and cancel
+ * deadline.
+ */
 export interface WorkerTimes {
   report_s: number;
   lease_s: number;
   cancel_s: number;
 }
 
-/** The times of a real deployment, scaled down. All waits of the tests are multiples of these times. */
+/** Worker times of a real deployment, scaled down. All waits in the tests are multiples of these times. */
 const defaultTimes: WorkerTimes = { report_s: 0.2, lease_s: 2, cancel_s: 5 };
 export const heartbeatIntervalMs = defaultTimes.report_s * 1000;
 export const workerLeaseMs = defaultTimes.lease_s * 1000;
 export const cancelDeadlineMs = defaultTimes.cancel_s * 1000;
-/** How long the protocol lets queries for a job stay unanswered, as a multiple of the cancel deadline. */
+/** Maximum time for which queries for a job may stay unanswered, as a multiple of the cancel deadline. */
 const unansweredCancelDeadlines = 1.5;
-/** How long a user waits for an answer. */
+/** Time in ms for which a user waits for an answer. */
 const userTimeoutMs = 5000;
 /**
- * CPU limits of the teams. The limit of `red` is below the CPUs of all machines, so that the limit takes
- * effect.
+ * CPU limits of the teams. The limit of `red` is below the number of CPUs of all machines, so that the limit
+ * takes effect.
  */
 const teamCpuLimits = new Map([['red', 32]]);
 
@@ -48,10 +51,13 @@
    * overlap.
    */
   port: number;
-  /** Run time of every task, or of the given task (`<job>/<index>`). */
+  /** Run time of every task in ms, or a function that returns the run time of a task (`<job>/<index>`). */
   taskMs: number | ((piece: string) => number);
   fetchMs?: number;
-  /** Replaces the default times, for fleets whose heartbeats alone would keep this process busy. */
+  /**
+   * Replaces the default times. Used for fleets so large that their heartbeats alone would keep this process
+   * busy at the default times.
+   */
   times?: WorkerTimes;
   seed?: number;
   /** Maximum number of rented machines of each kind (spot and ordinary) in each zone. */
@@ -59,11 +65,13 @@
   /** Labels of the controllers that run in a separate process, so that a test can pause and continue them. */
   processes?: string[];
   /**
-   * Path of an earlier version of the program, and the controllers that start with it, each in its own
-   * process.
+   * Path of an earlier version of the program, and labels of the controllers that start with this version,
+   * each in its own process.
    */
   earlierVersion?: { program: string; labels: string[] };
-  /** Coming limits of the state service that the settings announce, under the names of the settings file. */
+  /**
+   * Upcoming limits of the state service that the settings announce, under the names of the settings file.
+   */
   nextLimits?: Record<string, number>;
 }
 
@@ -79,25 +87,26 @@
   readonly workers = new Map<string, WorkerStandIn>();
   readonly history = new History();
   /**
-   * Partitioned zones: no worker reaches a controller across the border of such a zone, in either direction.
+   * Partitioned zones. A worker and a controller in different zones cannot reach each other, in either
+   * direction, if one of these zones is partitioned.
    */
   readonly partitionedZones = new Set<string>();
   /** Called when a task completes, before any controller receives a heartbeat that reports the completion. */
   onTaskCompleted: (piece: string) => void = () => undefined;
   /**
-   * Whether a task keeps running until the test releases it, so that it cannot end before the test checks for
-   * it. The run time of the task counts from its release.
+   * Returns true while the test holds a task. A held task keeps running, so that it cannot end before the
+   * test checks for it. The run time of the task counts from its release.
    */
   shouldHoldTask: (task: string) => boolean = noTask;
   /**
-   * For each block, the number of tasks in a ledger entry, as of the last block lease that started in this
-   * process.
+   * Number of tasks in a ledger entry, by block. The value is that of the latest block lease that started in
+   * this process.
    */
   readonly chunkTasks = new Map<number, number>();
   private faultsEndedAt = Date.now();
   private readonly controllerStops = new Map<string, AbortController>();
   readonly processes = new ControllerProcesses();
-  private readonly users: HttpClient[];
+  private readonly userClients: HttpClient[];
   private readonly links = new Map<string, Link>();
   private readonly random: () => number;
   private readonly times: WorkerTimes;
@@ -106,13 +115,15 @@
     this.times = options.times ?? defaultTimes;
     this.random = seeded(options.seed ?? 1);
     this.store = new StoreStandIn({ rps: 400, writeRps: 200, txnOps: 20 }, options.seed);
-    this.users = labels.map((_, i) => new HttpClient(this.address(i, 0), 16));
+    this.userClients = labels.map((_, i) => new HttpClient(this.address(i, 0), 16));
     this.cloud.capacity = options.capacity ?? this.cloud.capacity;
     this.cloud.onRent = (machine) => this.startWorker(machine);
     this.cloud.onRelease = (id) => this.endWorker(id);
   }
 
-  /** Starts all parts and waits until every controller serves users and one controller leads. */
+  /**
+   * Starts all parts of the cluster and waits until every controller serves users and one controller leads.
+   */
   async start(): Promise<void> {
     const { port } = this.options;
     await Promise.all([
@@ -136,19 +147,20 @@
   startController(label: string): void {
     const stop = new AbortController();
     this.controllerStops.set(label, stop);
-    // As for the service itself, LOG_LEVEL sets the level. The log is printed only if LOG_LEVEL is set.
+    // LOG_LEVEL sets the log level, as it does for the deployed service. The log is printed only if LOG_LEVEL
+    // is set.
     const level = process.env['LOG_LEVEL'];
     const log = createLog(label, level, { write: (line) => this.handleLogLine(line, level !== undefined) });
     void new Controller(this.settings(label), defaultOperatorSettings, log, stop.signal).run();
   }
 
-  /** The settings of one controller of this cluster. */
+  /** Returns the settings of one controller of this cluster. */
   settings(label: string): Settings {
     return testSettings((file) => this.applyClusterSettings(file, label));
   }
 
   /**
-   * Reads the number of tasks in a ledger entry from the log, since the controllers expose it nowhere else.
+   * Reads the number of tasks in a ledger entry from the log, because the controllers expose it nowhere else.
    */
   private handleLogLine(line: string, isPrinted: boolean): void {
     if (isPrinted) process.stderr.write(line);
@@ -158,7 +170,8 @@
   }
 
   /**
-   * Starts a controller in a process of its own. By default it runs the deployed program, but not bundled.
+   * Starts a controller in a process of its own. By default, the process runs the same program as in
+   * production, but not bundled.
    */
   startProcess(label: string, program = mainModule): void {
     this.processes.start(
@@ -169,8 +182,8 @@
   }
 
   /**
-   * Ends the controller, whether it runs in this process or its own, and restarts it here with the current
-   * version.
+   * Ends the controller, which may run in this process or in its own, and restarts it in this process with
+   * the current version.
    */
   async upgrade(label: string, afterMs = 300): Promise<void> {
     this.processes.kill(label);
@@ -180,8 +193,8 @@
   }
 
   /**
-   * Ends the controller, whether it runs in this process or its own, and restarts it with the earlier
-   * version.
+   * Ends the controller, which may run in this process or in its own, and restarts it in its own process with
+   * the earlier version.
    *
    * @throws Error if the options name no earlier version
    */
@@ -204,14 +217,14 @@
     });
   }
 
-  /** Stops a controller without notice: it sends nothing more to anyone, and its connections end. */
+  /** Stops a controller without notice: it sends no further messages, and its connections are closed. */
   stopController(label: string): void {
     this.controllerStops.get(label)?.abort();
     this.controllerStops.delete(label);
   }
 
   /**
-   * Stops and restarts a controller so soon that the store still holds the records of the previous
+   * Stops a controller and restarts it so soon that the state service still holds the records of its previous
    * incarnation.
    */
   async restart(label: string, afterMs = 100): Promise<void> {
@@ -230,13 +243,16 @@
     return label;
   }
 
-  /** The version of the leader's key, which is different for every term. 0 while no controller leads. */
+  /**
+   * Returns the version of the leader's key, which is different for every term, or 0 if no controller leads.
+   */
   leaderToken(): number {
     return this.store.version('lead');
   }
 
   /**
-   * The record of a block in the state service, with the machines listed in its pages.
+   * Returns the record of a block in the state service, including the machines, which are stored in separate
+   * pages.
    *
    * @throws Error if the state service holds no record of the block
    */
@@ -244,23 +260,26 @@
     const { store } = this;
     const pages = machinePages(block, store.entriesBelow(machinesPrefix(block)));
     const record = parseBlock(store.value(blockKey(block)), store.version(blockKey(block)), pages);
-    if (!record) throw new Error(`no block ${block}`);
+    if (!record) throw new Error(`the state service holds no record of block ${block}`);
     return record;
   }
 
-  /** The owners of all blocks, in the order of the blocks. */
+  /** Returns the owners of all blocks, in the order of the blocks. */
   owners(): string[] {
     return labels.map((_, block) => this.block(block).owner);
   }
 
-  /** The controller that owns the block of a machine; empty if no block contains the machine. */
+  /**
+   * Returns the controller that owns the block of a machine, or an empty string if no block contains the
+   * machine.
+   */
   ownerOf(machine: string): string {
     const blocks = labels.map((_, block) => this.block(block));
     return blocks.find(({ machines }) => machines.some(({ id }) => id === machine))?.owner ?? '';
   }
 
   /**
-   * The link over which the controller `from` sends its status to its peer `to`.
+   * Returns the link over which the controller `from` sends its status to its peer `to`.
    *
    * @throws Error if there is no such link
    */
@@ -270,18 +289,21 @@
     return link;
   }
 
-  /** The links between a controller and all its peers, in both directions. */
+  /** Returns the links between a controller and all its peers, in both directions. */
   peerLinksOf(label: string): Link[] {
     return [...this.links].filter(([key]) => key.split('>').includes(label)).map(([, link]) => link);
   }
 
+  /** Sends a user's request to one controller. */
   user(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
-    const user = this.users[node];
-    if (!user) throw new Error(`no controller ${node}`);
-    return user.exchange(method, path, body, { timeoutMs: userTimeoutMs });
+    const client = this.userClients[node];
+    if (!client) throw new Error(`no controller with index ${node}`);
+    return client.exchange(method, path, body, { timeoutMs: userTimeoutMs });
   }
 
-  /** Submits a job once to one controller and returns the HTTP status, 0 if there was no answer. */
+  /**
+   * Submits a job to one controller without retries. Returns the HTTP status, or 0 if there was no answer.
+   */
   async submit(node: number, job: Submission): Promise<number> {
     const { id } = job;
     this.history.add({ kind: 'submitted', id: String(id), job: requestOf(job) });
@@ -310,7 +332,7 @@
     return answer;
   }
 
-  /** Submits a job to one controller after the other, as users do, until one of them accepts the job. */
+  /** Submits a job to the controllers in turn, as users do, until one of them accepts the job. */
   async submitUntilAccepted(job: Submission, from = 0): Promise<void> {
     let node = from;
     await this.waitUntil(`job ${String(job.id)} is accepted`, async () => {
@@ -330,8 +352,8 @@
   }
 
   /**
-   * Evaluates the condition every 50 ms until it holds, as users do who wait for an answer. A rejection
-   * counts as a condition that does not hold.
+   * Evaluates the condition every 50 ms until it holds, as a user polls for the status of a job. A rejected
+   * promise counts as a condition that does not hold.
    *
    * @throws Error if the condition does not hold within the time
    */
@@ -348,7 +370,10 @@
     }
   }
 
-  /** Marks the end of all faults, and waits until every controller reports each of the jobs as done. */
+  /**
+   * Records the present time as the end of all faults, and waits until every controller reports each of the
+   * jobs as done.
+   */
   async waitUntilAllDone(ids: string[], withinMs = 25_000): Promise<void> {
     this.faultsEndedAt = Date.now();
     await this.waitForStatusEverywhere(ids, 'done', withinMs);
@@ -368,17 +393,24 @@
     }
   }
 
+  /**
+   * Queries the status of a job without recording the query in the history. Returns the HTTP status if it is not
+   * 200.
+   */
   async status(node: number, id: string): Promise<string> {
     const answer = await this.user(node, 'GET', `/v2/runs/${id}`);
     return answer.status === 200 ? String((answer.body as { status: string }).status) : String(answer.status);
   }
 
-  /** The tasks of the job that the workers are executing, according to the workers themselves. */
+  /** Returns the tasks of the job that the workers are executing, according to the workers themselves. */
   runningOf(id: string): string[] {
     return [...this.workers.values()].flatMap((w) => w.running.filter((p) => p.startsWith(`${id}/`)));
   }
 
-  /** The number of tasks of the job that have completed; a task that completed more than once counts once. */
+  /**
+   * Returns the number of tasks of the job that have completed. A task that completed more than once counts
+   * once.
+   */
   completedOf(id: string): number {
     const isOfJob = tasksOf(id);
     const exits = this.history.events.filter((event) => event.kind === 'left');
@@ -386,7 +418,10 @@
     return new Set(completed.map((exit) => exit.task)).size;
   }
 
-  /** All violations of the protocol so far, each as the rule and its subject. */
+  /**
+   * Returns all violations of the protocol so far, each as the name of the rule and the job or task that
+   * violates it.
+   */
   violations(): string[] {
     const cancelDeadlineMs = this.times.cancel_s * 1000;
     const startGraceMs = (this.times.lease_s * 1000) / 2;
@@ -406,13 +441,13 @@
     for (const stop of this.controllerStops.values()) stop.abort();
     this.processes.killAll();
     for (const worker of this.workers.values()) worker.end();
-    for (const user of this.users) user.close();
+    for (const client of this.userClients) client.close();
     for (const link of this.links.values()) link.close();
     this.store.close();
     this.cloud.close();
   }
 
-  /** Changes a settings file to that of one controller of this cluster. */
+  /** Changes the content of a settings file to the settings of one controller of this cluster. */
   private applyClusterSettings(file: Record<string, unknown>, label: string): void {
     applyAddresses(file, labels.indexOf(label), this.addresses);
     const deploymentSettings = file['settings'] as Record<string, unknown>;
@@ -488,7 +523,7 @@
 
 export type Submission = Record<string, unknown>;
 
-/** The body of a submission for team `red`, in the form of the users' API. */
+/** Returns the body of a submission for team `red`, in the form of the users' API. */
 export function submission(id: string, tasks: number, change: Submission = {}): Submission {
   return {
     id,
@@ -518,7 +553,7 @@
 /** Run time of tasks that run until they are stopped. */
 export const untilStopped = Infinity;
 
-/** Returns a predicate: whether a task belongs to one of the jobs. */
+/** Returns a predicate that is true for the tasks of these jobs. */
 export function tasksOf(...ids: string[]): (task: string) => boolean {
   return (task) => ids.some((id) => task.startsWith(`${id}/`));
 }
@@ -536,7 +571,10 @@
 
 const submissionFields = Object.keys(submission('', 0));
 
-/** What a submission asks for; undefined if it lacks a field or asks for more CPUs than a machine has. */
+/**
+ * Returns the job that a submission requests, or undefined if the submission lacks a field or requests more
+ * CPUs than a machine has.
+ */
 function requestOf(job: Submission): JobRequest | undefined {
   const isComplete = submissionFields.every((field) => field in job);
   if (!isComplete || Number(job['cpus']) > machineType.cpus) return undefined;
--- a/src/testing/controller-processes.ts
+++ b/src/testing/controller-processes.ts
@@ -22,7 +22,10 @@
     this.controllers.set(label, { child, directory });
   }
 
-  /** Pauses the process: data that is sent to it waits in the network buffers, and its clock continues. */
+  /**
+   * Pauses the process. Data that is sent to it waits in the network buffers, and time continues to pass for
+   * it.
+   */
   pause(label: string): void {
     this.controllers.get(label)?.child.kill('SIGSTOP');
   }
--- a/src/testing/document-names.test.ts
+++ b/src/testing/document-names.test.ts
@@ -13,7 +13,9 @@
   unknownNames,
 } from './document-names.js';
 
-/** Documents with past measurements and findings, which keep the names that were in use at the time. */
+/**
+ * Documents with past measurements and findings. They keep the names that were in use when they were written.
+ */
 const historicalDocuments = ['docs/measurements.md'];
 
 const settingNames = {
--- a/src/testing/earlier-build.ts
+++ b/src/testing/earlier-build.ts
@@ -17,7 +17,7 @@
   return commit;
 }
 
-/** The build of an earlier version in a temporary directory. */
+/** An earlier version that was built in a temporary directory. */
 export interface EarlierBuild {
   /** Path of the built program. */
   program: string;
--- a/src/testing/heartbeat-fixture.ts
+++ b/src/testing/heartbeat-fixture.ts
@@ -9,7 +9,7 @@
 } from '../workers/heartbeat-handler.js';
 import { type BlockFixture, createBlockFixture, machineToken } from './block-fixture.js';
 
-/** What a worker reports in a heartbeat of one of its tasks of the job `req-1`. */
+/** A task of the job `req-1` as a worker reports it in a heartbeat. */
 export interface WorkerTask {
   index: number;
   status: string;
@@ -21,7 +21,7 @@
   handler: HeartbeatHandler;
   /** All replies so far, in the order in which they were sent. */
   replies: Reply[];
-  /** Sends the next heartbeat of the machine, by default with the fencing token of the block. */
+  /** Sends the next heartbeat of the machine, by default with the present fencing token of the machine. */
   heartbeat: (machine: string, tasks?: WorkerTask[], fencingToken?: number) => void;
 }
 
@@ -41,8 +41,8 @@
   commit,
   ...ports
 }: HeartbeatFixtureOptions): HeartbeatFixture {
-  const stage = createBlockFixture(commit ?? (() => ({ kind: 'applied', revision: 9 })), { tasks });
-  const { blockState, scheduler } = stage;
+  const blockFixture = createBlockFixture(commit ?? (() => ({ kind: 'applied', revision: 9 })), { tasks });
+  const { blockState, scheduler } = blockFixture;
   const findMachine = (id: string): OwnedMachine | undefined => {
     const machine = blockState.machines.get(id);
     return machine && { blockState, scheduler, machine };
@@ -73,7 +73,7 @@
     const body = { host: machine, watch: 1, tick: ++sequence, helm: fencingToken, pieces };
     handler.handle(body, (reply) => void replies.push(reply));
   };
-  return { ...stage, handler, replies, heartbeat };
+  return { ...blockFixture, handler, replies, heartbeat };
 }
 
 /** Sends all held responses, so that their timers do not keep the test process running. */
--- a/src/testing/history.ts
+++ b/src/testing/history.ts
@@ -1,4 +1,4 @@
-/** Records what happens in a test cluster: requests, their answers, and tasks on machines. */
+/** Records the events of a test cluster: requests of users, the answers to them, and tasks on machines. */
 
 /**
  * The status of a job in the answer to a user's request. `refused`: the submission was rejected as invalid.
@@ -13,13 +13,13 @@
 export type HistoryEvent =
   /**
    * A user sent a submission. `job` is the requested job. It is undefined if the submission is invalid or
-   * asks for more than any machine has.
+   * requests more than any machine has.
    */
   | { kind: 'submitted'; id: string; job: JobRequest | undefined }
   | { kind: 'asked to cancel'; id: string }
   /**
-   * A user received an answer, or the request failed. `sentAt` is when the request was sent; the time of the
-   * event is when the answer arrived.
+   * A user received an answer, or the request failed. `sentAt` is the time at which the request was sent. The
+   * time of the event is the time at which the answer arrived.
    */
   | {
       kind: 'told';
@@ -33,7 +33,7 @@
   | { kind: 'left'; task: string; machine: string; completed: boolean }
   | { kind: 'machine'; machine: string; type: string; zone: string; spot: boolean };
 
-/** What a submission asks for. */
+/** The job that a submission requests. */
 export interface JobRequest {
   team: string;
   tasks: number;
@@ -47,10 +47,13 @@
   dependencies: string[];
 }
 
-/** An event and its time in ms. */
+/** An event and its wall-clock time in ms since the epoch. */
 export type TimedEvent = HistoryEvent & { at: number };
 
-/** Time of day in ms with fractions, since consecutive requests may be less than a millisecond apart. */
+/**
+ * Wall-clock time in ms since the epoch, with fractions, because consecutive requests may be less than a
+ * millisecond apart.
+ */
 const submillisecondClock = (): number => performance.timeOrigin + performance.now();
 
 /** The events of a test cluster in the order in which they were recorded. */
--- a/src/testing/in-memory-store.ts
+++ b/src/testing/in-memory-store.ts
@@ -1,4 +1,7 @@
-/** Test double of the state service in memory. A test can hold its answers and release them one by one. */
+/**
+ * Test double of the state service that keeps all data in memory. A test can hold its answers and release
+ * them one by one.
+ */
 import { nextEventLoopIteration } from '../base/event-loop.js';
 import { StoreConnectionError } from '../store/errors.js';
 import type { CommitOutcome } from '../store/transactions.js';
@@ -14,7 +17,7 @@
  */
 export class InMemoryStore {
   holdsAnswers = false;
-  /** Requests for pages of lists fail as if no answer had arrived in time. */
+  /** If true, requests for pages of lists fail as if no answer had arrived in time. */
   failsLists = false;
   /**
    * Numbers of executed requests: transactions with writes, transactions without writes, and pages of lists.
@@ -26,7 +29,7 @@
   largestValue = 0;
   /** Called after every applied transaction with writes. */
   onWrite: () => Promise<void> = () => Promise.resolve();
-  /** The promise that the last call of `onWrite` returned. */
+  /** The promise that the latest call of `onWrite` returned. */
   lastOnWriteResult: Promise<void> = Promise.resolve();
   private readonly keys = new Map<string, StoredValue>();
   private readonly heldAnswers: (() => void)[] = [];
@@ -124,7 +127,10 @@
   }
 }
 
-/** Waits a few turns of the event loop, so that all work that needs no further answer is done. */
+/**
+ * Waits for a few iterations of the event loop, in which all work that waits for no further answer is
+ * completed.
+ */
 export async function runPendingCallbacks(): Promise<void> {
   const turns = 5;
   for (let turn = 0; turn < turns; turn++) await nextEventLoopIteration();
--- a/src/testing/job-states.ts
+++ b/src/testing/job-states.ts
@@ -7,7 +7,10 @@
 import { MachineState } from '../placement/machine-state.js';
 import { machineToken, valueBytes, valueLayout } from './block-fixture.js';
 
-/** Creates a job with all tasks assigned to block 0. By default the job has a ledger of its own. */
+/**
+ * Creates a job with all tasks assigned to block 0. By default, the job has its own ledger, the record of its
+ * task attempts.
+ */
 export function createJobState(
   spec: JobSpec,
   ledger: Ledger = new Ledger(valueBytes),
--- a/src/testing/known-red.test.ts
+++ b/src/testing/known-red.test.ts
@@ -1,4 +1,4 @@
-/** Guards the comparison that lets CI pass over known failures, but over no other failure. */
+/** Tests the comparison that lets CI pass if only tests on the list of known failures fail. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { compareWithKnownFailures } from './known-red.js';
--- a/src/testing/known-red.ts
+++ b/src/testing/known-red.ts
@@ -5,20 +5,20 @@
 
 const maxKnownFailures = 3;
 
-/** The result of a comparison, with the lines to print. */
+/** The result of a comparison: `passes` is true if the test run passes, and `lines` are to be printed. */
 export interface Verdict {
   passes: boolean;
   lines: string[];
 }
 
 /**
- * Decides whether a test run passes: every listed test must fail, and every other test must pass. Each line
- * of the list contains a test, the cause and the issue: `name | cause | #issue`. A listed test that passes or
- * did not run is an error. More than three listed tests are an error.
+ * Compares a test run with the list of known failures. The run passes if every listed test fails and every
+ * other test passes. Each line of the list contains a test, the cause and the issue: `name | cause | #issue`.
+ * A listed test that passes or did not run is an error. More than three listed tests are an error.
  *
  * @param list content of the list of known failures
  * @param outcomes one line for each test, `pass` or `fail` and the name of the test
- * @param runnerFailed whether the test runner ended with a status other than 0
+ * @param runnerFailed true if the test runner ended with a status other than 0
  */
 export function compareWithKnownFailures(list: string, outcomes: string, runnerFailed: boolean): Verdict {
   const knownFailures = list.split('\n').filter((line) => line.trim() !== '');
--- a/src/testing/link.ts
+++ b/src/testing/link.ts
@@ -2,8 +2,8 @@
 import { type Server, type Socket, createConnection, createServer } from 'node:net';
 
 /**
- * Forwards TCP connections to a local port. While the link is cut, data is held and delivered later; while it
- * refuses, connections are reset.
+ * Forwards TCP connections to a local port. While the link is cut, it holds all data and delivers the data
+ * later. While the link refuses connections, it resets them.
  */
 export class Link {
   private isCut = false;
@@ -26,14 +26,14 @@
   }
 
   /**
-   * Partitions the link: no data passes, and neither side notices. After `heal`, the held data arrives in
-   * order.
+   * Partitions the link: no data passes, and neither side detects this. After `heal`, the held data arrives
+   * in order.
    */
   cut(): void {
     this.isCut = true;
   }
 
-  /** Resets all connections. New connections fail at once until `heal`. */
+  /** Resets all connections. New connections fail immediately until `heal` is called. */
   refuse(): void {
     this.isRefusing = true;
     for (const socket of this.sockets) socket.destroy();
--- a/src/testing/load-replica.ts
+++ b/src/testing/load-replica.ts
@@ -1,4 +1,4 @@
-/** Creates replicas of an in-memory state service. */
+/** Creates replicas of the in-memory test double of the state service. */
 import { StoreReplica } from '../store/store-replica.js';
 import { type InMemoryStore, runPendingCallbacks } from './in-memory-store.js';
 
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -79,7 +79,7 @@
   });
 }
 
-/** The CPU time of a process in seconds, and its current and peak resident memory in MB. */
+/** Returns the CPU time of a process in seconds, and its current and peak resident memory in MB. */
 function usageOf(pid: number): { cpuS: number; rssMb: number; peakMb: number } {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
@@ -89,10 +89,10 @@
   return { cpuS, rssMb: megabytes('VmRSS'), peakMb: megabytes('VmHWM') };
 }
 
-/** Simulated users: submit jobs at a constant rate, and poll each job until it is done. */
+/** Simulated users, who submit jobs at a constant rate and poll each job until it is done. */
 class Users {
   readonly counts = { accepted: 0, turnedAway: 0, done: 0 };
-  private readonly peers = labels.map((_, node) => new HttpClient(servingAddress(node), 100));
+  private readonly controllerClients = labels.map((_, node) => new HttpClient(servingAddress(node), 100));
   private submitted = 0;
 
   async run(jobsPerSecond: number, stop: AbortSignal): Promise<void> {
@@ -120,14 +120,14 @@
   }
 
   private async requestStatus(method: string, path: string, body?: unknown): Promise<number> {
-    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpClient;
-    const answer = await peer.exchange(method, path, body, { timeoutMs: 5000 }).catch(() => undefined);
+    const client = this.controllerClients[Math.floor(Math.random() * labels.length)] as HttpClient;
+    const answer = await client.exchange(method, path, body, { timeoutMs: 5000 }).catch(() => undefined);
     return answer?.status ?? 0;
   }
 
   private async queryStatus(id: string): Promise<string> {
-    const peer = this.peers[Math.floor(Math.random() * labels.length)] as HttpClient;
-    const answer = await peer
+    const client = this.controllerClients[Math.floor(Math.random() * labels.length)] as HttpClient;
+    const answer = await client
       .exchange('GET', `/v2/runs/${id}`, undefined, { timeoutMs: 2000 })
       .catch(() => undefined);
     return String((answer?.body as { status?: string } | undefined)?.status);
--- a/src/testing/outcomes.test.ts
+++ b/src/testing/outcomes.test.ts
@@ -16,9 +16,9 @@
 test('${name} passes', () => {});
 `;
 
-// Guards against a failed test whose outcome is lost because the runner is forced to exit before the outcome
-// is written. CI then reported a failure of the runner, and would have reported a test on the list of known
-// failures as one that did not run.
+// A test fails, and the test runner is forced to exit before the outcome of the test is written. CI then
+// reported a failure of the runner, and would have reported a test on the list of known failures as a test
+// that did not run.
 test('the outcome of every test is written although the runner is forced to exit', () => {
   const directory = mkdtempSync(join(tmpdir(), 'shalekeel-outcomes-'));
   const files = ['a', 'b'].map((name) => join(directory, `${name}.test.mjs`));
--- a/src/testing/outcomes.ts
+++ b/src/testing/outcomes.ts
@@ -6,9 +6,9 @@
 const defaultFile = 'target/test/outcomes.txt';
 
 /**
- * Writes one line for each test: `pass` or `fail`, and the name of the test. Suites are left out, since a
- * suite fails whenever one of its tests fails. Each line is appended to the file before the next event is
- * read, because `--test-force-exit` ends the process without flushing its streams.
+ * Writes one line for each test: `pass` or `fail`, and the name of the test. Suites are left out, because a
+ * suite fails if one of its tests fails. Each line is appended to the file before the next event is read,
+ * because `--test-force-exit` ends the process without flushing its streams.
  */
 // eslint-disable-next-line require-yield -- reporters are generators; this one yields nothing
 export default async function* outcomes(source: AsyncIterable<TestEvent>): AsyncGenerator<string> {
--- a/src/testing/pools.ts
+++ b/src/testing/pools.ts
@@ -1,4 +1,7 @@
-/** Creates machine types, machines, pools and jobs for the tests of the autoscaler. */
+/**
+ * Creates machine types, machines, pools and jobs for the tests of the autoscaler. A pool is the machines of
+ * one type and kind (spot or ordinary), and the demand that counts for them.
+ */
 import type { Pool } from '../ladder/pools.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
@@ -47,8 +50,8 @@
 }
 
 /**
- * A job of team `red`. On a machine of the type above, a slot is an eighth of the machine, and each task
- * takes two.
+ * Creates a job of team `red`. A slot, the unit of demand, is an eighth of a machine of the type above. Each
+ * task needs two slots.
  */
 export function jobSpec(id: string, change: Partial<JobSpec> = {}): JobSpec {
   return {
--- a/src/testing/samples.ts
+++ b/src/testing/samples.ts
@@ -1,7 +1,7 @@
 /**
  * Reads samples of the data that this program stores, sends and receives. Each sample was written by the
- * version that introduced it and must not change: controllers of several versions share their data, so data
- * in a changed format would be lost.
+ * version that introduced it. A sample must not change, because controllers of several versions share their
+ * data, and data in a changed format would be lost.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -10,7 +10,7 @@
 
 const directory = 'src/wire/samples';
 
-/** A value as plain data, and its encoding by this program as hexadecimal digits. */
+/** A value as plain data, and the encoding of the value by this program as hexadecimal digits. */
 interface Sample {
   value: unknown;
   hex: string;
@@ -20,7 +20,10 @@
   return readFileSync(join(directory, file), 'utf8');
 }
 
-/** The samples of one file. A test compares every sample, and then checks that none was left out. */
+/**
+ * The samples of one file. A test compares the samples one by one, and then checks that `uncompared` is
+ * empty.
+ */
 export class Samples {
   private readonly samples: Record<string, unknown>;
   private readonly compared = new Set<string>();
@@ -34,24 +37,30 @@
     return Object.keys(this.samples).filter((name) => !this.compared.has(name));
   }
 
-  /** A sample without bytes: data that other programs write, or text. */
+  /**
+   * Returns a sample that contains no encoded bytes, such as text or data that other programs write. Counts
+   * it as compared.
+   */
   plainValue(name: string): unknown {
     assert.ok(name in this.samples, `${this.file} has no sample ${name}`);
     this.compared.add(name);
     return this.samples[name];
   }
 
-  /** The encoded bytes of a sample that this program writes. */
+  /** Returns the encoded bytes of a sample that this program writes. */
   bytes(name: string): Buffer {
     return Buffer.from((this.plainValue(name) as Sample).hex, 'hex');
   }
 
-  /** Asserts that the value equals the sample, which has no bytes. */
+  /** Asserts that the value equals a sample that contains no encoded bytes. */
   assertPlain(name: string, written: unknown): void {
     assert.deepEqual(written, this.plainValue(name), `${name} differs from its sample`);
   }
 
-  /** Asserts that the value has the same fields as the sample and that its encoding has the same bytes. */
+  /**
+   * Asserts that the value has the same fields as the sample, and that the encoding of the value has the same
+   * bytes.
+   */
   assertWritten(name: string, written: unknown): void {
     const { value, hex } = this.plainValue(name) as Sample;
     assert.deepEqual(written, value, `fields of ${name} differ from its sample`);
--- a/src/testing/scenario.ts
+++ b/src/testing/scenario.ts
@@ -5,7 +5,7 @@
 
 /**
  * Registers a test that runs a combination of faults on a new cluster. The test fails if a rule of the
- * protocol was violated by the end.
+ * protocol has been violated by the end of `run`.
  */
 export function scenario(
   name: string,
--- a/src/testing/settings.ts
+++ b/src/testing/settings.ts
@@ -1,7 +1,10 @@
 /** Settings of a small deployment for tests. */
 import { type Settings, parseSettings } from '../settings/settings.js';
 
-/** The settings file of a small deployment, as JSON, after `change` has been applied to its content. */
+/**
+ * Returns the settings file of a small deployment as JSON. `change` is first applied to the content of the
+ * file.
+ */
 export function settingsJson(change: (file: Record<string, unknown>) => unknown = () => undefined): string {
   const file: Record<string, unknown> = {
     label: 'keel-0',
@@ -32,7 +35,7 @@
   return JSON.stringify(file);
 }
 
-/** The parsed settings of the same deployment. */
+/** Returns the parsed settings of the same deployment. */
 export function testSettings(change: (file: Record<string, unknown>) => unknown = () => undefined): Settings {
   return parseSettings(settingsJson(change));
 }
--- a/src/testing/store-standin.ts
+++ b/src/testing/store-standin.ts
@@ -1,4 +1,6 @@
-/** Simulates the state service for tests: an HTTP server with its API, and faults that a test can inject. */
+/**
+ * Simulates the state service for tests: an HTTP server with the same API, and faults that a test can inject.
+ */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { seeded } from './seeded.js';
 import {
@@ -32,55 +34,59 @@
 const fullKey = (key: string): string => `${rootPrefix}${key}`;
 
 /**
- * A stand-in for the state service that follows the protocol: versions, conditions, leases (`grants`),
- * watches and limits. Each client has a port of its own, so that a test can refuse or partition a single
- * client.
+ * A stand-in for the state service that implements its versions, conditions, leases (`grants`), watches and
+ * limits. Each client has its own port, so that a test can refuse or partition a single client.
  */
 export class StoreStandIn {
   revision = 0;
   readonly keys = new Map<string, StoredEntry>();
-  /** Answers every request with 503, as in an outage. */
+  /** If true, every request is answered with 503, as in an outage. */
   hasOutage = false;
-  /** Clients whose requests are answered with 503. Their open watches wait, and their leases expire. */
+  /**
+   * Clients whose requests are answered with 503. Their open watches get no answer, and their leases expire.
+   */
   readonly refusedClients = new Set<string>();
   /**
    * Partitioned clients. Their requests are held until the partition ends, and are then executed late, when
    * the client no longer waits for an answer.
    */
   readonly partitionedClients = new Set<string>();
-  /** Additional time in ms from a request to its answer, half of it before the execution. */
+  /**
+   * Additional time in ms from a request to its answer. Half of it passes before the execution of the
+   * request.
+   */
   answerDelayMs = 0;
   /**
-   * Whether the answer to a transaction of this client with these keys is held. The transaction is executed
-   * at once; its answer is sent when `releaseAnswers` is called.
+   * Returns true if the answer to a transaction of this client with these keys is to be held. The transaction
+   * is executed immediately. Its answer is sent when `releaseAnswers` is called.
    */
   shouldHoldAnswer: ((client: string, keys: string[]) => boolean) | undefined;
-  /** This share of the transactions is answered up to `toMs` milliseconds after its execution. */
+  /** The answers to this share of the transactions are sent up to `toMs` milliseconds after the execution. */
   delayedAnswers: { share: number; toMs: number } | undefined;
   private readonly heldAnswers: (() => void)[] = [];
   /**
-   * This many of the next transactions are applied without an answer, so that the client does not know their
-   * outcome.
+   * Number of upcoming transactions that are applied without an answer, so that the client does not know
+   * their outcome.
    */
   answersToDrop = 0;
   /**
-   * This share of the transactions with writes gets no answer and is executed `fromMs` to `toMs` milliseconds
-   * later, after newer transactions.
+   * This share of the transactions with writes gets no answer. Each of these transactions is executed
+   * `fromMs` to `toMs` milliseconds later, after newer transactions.
    */
   lateCommits: { share: number; fromMs: number; toMs: number } | undefined;
-  /** Number of transactions with writes that have been executed late in this way. */
+  /** Number of transactions that were executed late because of `lateCommits`. */
   lateCommitCount = 0;
   /**
-   * The next transaction that writes such a key gets no answer, and is executed only when the test asks for
-   * it.
+   * Returns true for the keys whose transaction is withheld. The next transaction that writes such a key gets
+   * no answer, and is executed when the test calls `applyWithheldCommits`.
    */
   shouldWithholdCommit: ((key: string) => boolean) | undefined;
   private readonly withheldCommits: Fields[] = [];
-  /** Number of requests and transactions that exceeded a rate limit. */
+  /** Number of requests and transactions that were refused because of a rate limit. */
   refusals = 0;
   /**
-   * Transactions that were refused because they had too many writes or too large a value: the reason, and the
-   * keys of all writes or of the too large values.
+   * Transactions that were refused because they had too many writes or a value that was too large. Each
+   * element contains the reason, and the keys of all writes or of the values that were too large.
    */
   readonly sizeRefusals: string[] = [];
   private readonly changes: Fields[] = [];
@@ -120,19 +126,24 @@
     }
   }
 
-  /** For assertions: the value of a key, which is given without the root prefix. */
+  /** For assertions: returns the value of a key. The key is given without the root prefix. */
   value(key: string): unknown {
     return this.keys.get(fullKey(key))?.value;
   }
 
-  /** For assertions: all entries with a key prefix; prefix and keys are without the root prefix. */
+  /**
+   * For assertions: returns all entries whose keys start with a prefix. The prefix and the returned keys are
+   * without the root prefix.
+   */
   *entriesBelow(prefix: string): Iterable<[string, StoredEntry]> {
     for (const [key, stored] of this.keys) {
       if (key.startsWith(fullKey(prefix))) yield [key.slice(rootPrefix.length), stored];
     }
   }
 
-  /** For assertions: the revision of the last change of a key; 0 if the key does not exist. */
+  /**
+   * For assertions: returns the store revision of the latest change of a key, or 0 if the key does not exist.
+   */
   version(key: string): number {
     return this.keys.get(fullKey(key))?.version ?? 0;
   }
@@ -164,7 +175,7 @@
     if (url.pathname === '/commit' && this.lateCommits && asList(body['writes']).length > 0) {
       const { share, fromMs, toMs } = this.lateCommits;
       if (this.random() < share) {
-        // The client abandons the transaction, and sends newer ones before this transaction is executed.
+        // The client abandons this transaction, and sends newer transactions before this one is executed.
         response.destroy();
         await pause(fromMs + this.random() * (toMs - fromMs));
         while (this.hasOutage) await pause(20);
@@ -180,12 +191,13 @@
     }
     if (url.pathname === '/commit') await this.delayAnswer(client, body);
     if (this.answerDelayMs > 0) await pause(this.answerDelayMs / 2);
-    // If a partition began during the execution, the answer is held as well and does not arrive in time.
+    // If a partition began during the execution, the answer is also held until the partition ends, and then
+    // arrives too late.
     while (this.partitionedClients.has(client)) await pause(20);
     reply(response, status, answer);
   }
 
-  /** Number of answers that are held. */
+  /** Number of held answers. */
   get heldAnswerCount(): number {
     return this.heldAnswers.length;
   }
@@ -205,7 +217,9 @@
       await pause(this.random() * delayedAnswers.toMs);
   }
 
-  /** Executes the withheld transactions, after all later commits, and returns their number. */
+  /**
+   * Executes the withheld transactions after all commits that arrived in the meantime. Returns their number.
+   */
   applyWithheldCommits(): number {
     const commits = this.withheldCommits.splice(0);
     for (const body of commits) this.commit(body);
@@ -298,7 +312,7 @@
 
   private endExpiredLeases(): void {
     if (this.hasOutage) {
-      // Leases do not expire during an outage; after it, every lease has its full time to live again.
+      // Leases do not expire during an outage. After the outage, every lease has its full time to live again.
       for (const lease of this.leases.values()) lease.endsAt = Date.now() + lease.ttlMs;
       return;
     }
@@ -306,7 +320,7 @@
   }
 
   /**
-   * Ends all leases and deletes their keys, as after a pause of the state service that is longer than every
+   * Ends all leases and deletes their keys, as if the state service had been paused for longer than every
    * lease.
    */
   expireAllLeases(): void {
@@ -332,7 +346,7 @@
     const until = Date.now() + Number(url.searchParams.get('holdMs') ?? 0);
     let timer: NodeJS.Timeout;
     const answerIfReady = (): void => {
-      // Open watches wait during an outage, and while their client is refused or partitioned.
+      // An open watch gets no answer during an outage, or while its client is refused or partitioned.
       const blocked =
         this.hasOutage || this.refusedClients.has(client) || this.partitionedClients.has(client);
       const news = this.changes.filter(
@@ -355,7 +369,7 @@
   }
 }
 
-/** All keys of a transaction, in its conditions and its writes. */
+/** Returns all keys in the conditions and the writes of a transaction. */
 function namedKeys(body: Fields): string[] {
   const conditions = asList(body['when'])
     .filter(isFieldMap)
--- a/src/testing/three-controllers.ts
+++ b/src/testing/three-controllers.ts
@@ -4,21 +4,27 @@
 export const zones = ['a', 'b', 'b'];
 
 /**
- * Addresses at which controllers listen and reach other services. Controllers are given by their index in
- * `labels`.
+ * Addresses at which controllers listen and at which they reach other services. The parameters are indexes of
+ * controllers in `labels`.
  */
 export interface Addresses {
-  /** Where a controller serves users, workers and health checks. */
+  /** Returns the address at which a controller serves users, workers and health checks. */
   serving: (node: number) => string;
-  /** Where a controller serves the other controllers. */
+  /** Returns the address at which a controller serves the other controllers. */
   peers: (node: number) => string;
-  /** Where one controller reaches another one, directly or through a link that a test controls. */
+  /**
+   * Returns the address at which one controller reaches another one, directly or through a link that a test
+   * controls.
+   */
   link: (from: number, to: number) => string;
   state: (node: number) => string;
   cloud: string;
 }
 
-/** Changes a settings file to that of one of the three controllers. */
+/**
+ * Sets the label, the zone and the addresses of one of the three controllers in the content of a settings
+ * file.
+ */
 export function applyAddresses(file: Record<string, unknown>, node: number, addresses: Addresses): void {
   const others = labels
     .map((label, i) => ({ label, location: zones[i], address: addresses.link(node, i) }))
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -1,6 +1,6 @@
 /**
- * Replays traces: files with heartbeats and other events of one block, and the expected results of each
- * event.
+ * Replays traces. A trace is a file with heartbeats and other events of one block, and the expected results
+ * of each event.
  */
 import { readFileSync } from 'node:fs';
 import type { Heartbeat, JobSpec, ReportedTask, TaskState } from '../model/types.js';
@@ -12,17 +12,18 @@
 const msPerEvent = 100;
 
 /**
- * Replays a trace against the state of a block, and returns the expected and the actual results. Each line is
- * an event, or, after `=`, an expected result of the event before it. `#` starts a comment. Events:
+ * Replays a trace against the state of a block, and returns the expected and the actual results. A line that
+ * starts with `=` contains an expected result of the preceding event. Every other line is an event. A `#`
+ * starts a comment. Events:
  *
- *     block 5 m1:10 m2:10!           the block's record at version 5: machines, fencing tokens, `!`: draining
- *     job a v3 0..4                  job a at version 3; this block has tasks 0 to 4
+ *     block 5 m1:10 m2:10!           record of the block at version 5: machines, fencing tokens; m2 drains
+ *     job a v3 0..4                  record of job a at version 3; tasks 0 to 4 are assigned to this block
  *     cancel a                       job a has been cancelled
  *     place a/0 m1                   an intent to start task 0 of job a on m1, not committed yet
- *     commit a                       the intents of job a are committed
+ *     commit a                       the intents of job a are committed to the ledger
  *     heartbeat m1 e1 s2 t10 a/0.1=running b/1.1=done
  *                                    agent epoch 1, sequence 2, fencing token 10; tasks with their attempts
- *     terminated m1                  the cloud has confirmed that the machine is terminated
+ *     terminated m1                  the cloud has confirmed that m1 is terminated
  *
  * @throws Error if a line contains an unknown event
  */
@@ -160,8 +161,8 @@
 const activeStates = new Set<string>(['fetching', 'running', 'saving'] satisfies TaskState[]);
 
 /**
- * Parses a task such as `a/0.1=running`. A word after `=` that is not an active state is the cause of the
- * task's end.
+ * Parses a task such as `a/0.1=running`: job, index, attempt and state. A word after `=` that is not an
+ * active state is the cause of the task's end.
  */
 function parseReportedTask(word: string): ReportedTask {
   const [, job = '', index, attempt, state = ''] = /^(\w+)\/(\d+)\.(\d+)=(\w+)$/.exec(word) ?? [];
--- a/src/testing/user-api-fixture.ts
+++ b/src/testing/user-api-fixture.ts
@@ -20,19 +20,22 @@
 
 export interface UserApiFixtureOptions {
   /**
-   * How long a commit would wait in the controller's queue because of its share of the store's rate limits,
-   * in ms.
+   * Time in ms that a commit would wait in the controller's queue because of the controller's share of the
+   * rate limits of the store.
    */
   writeWaitMs?: number;
-  /** Whether the replica initially contains all open jobs. */
+  /** If true, the replica of the store initially contains all open jobs. */
   loadsOpenJobs?: boolean;
-  /** Whether all controllers are known to support dependencies. */
+  /** If true, all controllers are known to support dependencies. True by default. */
   supportsDependencies?: boolean;
-  /** Whether the replica is recent enough to rule out that a dependency of a job was cancelled. */
+  /**
+   * If true, the replica is recent enough to rule out that a dependency of a job was cancelled. True by
+   * default.
+   */
   knowsCancellations?: boolean;
 }
 
-/** The initial content of the replica below a key prefix. */
+/** Returns the initial content of the replica below a key prefix. */
 async function initialList(
   store: InMemoryStore,
   prefix: string,
@@ -43,8 +46,9 @@
 }
 
 /**
- * Sends requests, by default about one job, to the users' API of one controller. The controller's replica of
- * the store receives no changes from other controllers, only those that the controller commits itself.
+ * Sends requests to the users' API of one controller, by default about one job. The controller's replica of
+ * the store receives only the changes that the controller commits itself, and no changes from other
+ * controllers.
  */
 export class UserApiFixture {
   private readonly routes: Route[];
@@ -82,7 +86,7 @@
       failing: false,
       writeWaitMs: () => options.writeWaitMs ?? 0,
       read: (key: string) => store.read(key),
-      listPage: (prefix: string, after: string, most: number) => store.listPage(prefix, after, most),
+      listPage: (prefix: string, after: string, limit: number) => store.listPage(prefix, after, limit),
     } as unknown as StoreClient;
     const outcomeReader = new OutcomeReader({ store: client, replica });
     const cascade = new CancellationCascade({
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -7,31 +7,34 @@
 
 type Status = 'fetching' | 'running' | 'saving' | 'ended';
 
-/** A task that the worker holds. `cause` is why it ended. */
+/** A task on the worker. `cause` is the reason why the task ended, or empty. */
 interface HostedTask {
   piece: string;
   attempt: number;
   status: Status;
   cause: string;
-  /** When the present status ends by itself. While the worker hangs, this time is postponed. */
+  /**
+   * Wall-clock time in ms since the epoch at which the present status ends by itself. A pause of the worker
+   * postpones this time.
+   */
   statusEndsAt: number;
 }
 
 export interface WorkerOptions {
   heartbeatIntervalMs: number;
   workerLeaseMs: number;
-  /** How long the worker waits for the answer to a heartbeat. */
+  /** Time in ms for which the worker waits for the answer to a heartbeat. */
   answerTimeoutMs: number;
   fetchMs: number;
   taskMs: (piece: string) => number;
   /**
-   * Whether the task keeps running whatever its run time. When the task is released, `taskMs` counts from
-   * then.
+   * Returns true while the task keeps running regardless of its run time. After the release of the task, its
+   * run time counts from the release.
    */
   shouldHoldTask: (piece: string) => boolean;
   saveMs: number;
   nodes: { label: string; address: string }[];
-  /** Whether a worker in this zone and a controller can reach each other. */
+  /** Returns true if a worker in this zone and this controller can reach each other. */
   reaches: (zone: string, node: string) => boolean;
   history: History;
   random: () => number;
@@ -39,22 +42,22 @@
   onTaskCompleted: (piece: string) => void;
 }
 
-/** How often in a heartbeat interval the worker checks for task and lease time-outs. */
+/** Number of checks for task and lease time-outs in each heartbeat interval. */
 const ticksPerHeartbeat = 20;
 const maxKeptHeartbeats = 40;
 
-/** A stand-in for a worker that follows the protocol for fencing tokens, agent epochs, leases and commands. */
+/** A stand-in for a worker. It follows the protocol for fencing tokens, agent epochs, leases and commands. */
 export class WorkerStandIn {
   readonly tasks = new Map<string, HostedTask>();
   /** Largest fencing token received so far. */
   fencingToken = 0;
-  /** Agent epoch: grows when the worker has killed its tasks because its lease expired. */
+  /** Agent epoch: incremented after the worker has killed its tasks because its lease expired. */
   agentEpoch = 1;
-  /** One-way partition: the worker's heartbeats arrive, but no answer reaches the worker. */
+  /** One-way partition: heartbeats of the worker reach the controllers, but no answer reaches the worker. */
   receivesNoResponses = false;
-  /** The worker reaches no controller. */
+  /** If true, the worker reaches no controller. */
   isPartitioned = false;
-  /** This share of the heartbeats arrives a second time, up to `toMs` milliseconds later. */
+  /** This share of the heartbeats is sent a second time, up to `toMs` milliseconds later. */
   duplicateHeartbeats: { share: number; toMs: number } | undefined;
   private pausedSince: number | undefined;
   private sequence = 0;
@@ -62,14 +65,14 @@
   private leaseStartedAt = Date.now();
   private readonly sentHeartbeats: Fields[] = [];
   private readonly stop = new AbortController();
-  private readonly peers: HttpClient[];
+  private readonly controllerClients: HttpClient[];
   private readonly tickTimer: NodeJS.Timeout;
 
   constructor(
     readonly machine: RentedMachine,
     private readonly options: WorkerOptions,
   ) {
-    this.peers = options.nodes.map((node) => new HttpClient(node.address, 2));
+    this.controllerClients = options.nodes.map((node) => new HttpClient(node.address, 2));
     this.tickTimer = setInterval(() => this.advance(), this.tickMs);
   }
 
@@ -89,13 +92,13 @@
     }
   }
 
-  /** Ends the worker as when its machine is terminated: all tasks end. */
+  /** Ends the worker as if its machine were terminated: all tasks end. */
   end(): void {
     if (this.stop.signal.aborted) return;
     this.stop.abort();
     clearInterval(this.tickTimer);
     this.killAllTasks();
-    for (const peer of this.peers) peer.close();
+    for (const client of this.controllerClients) client.close();
   }
 
   /**
@@ -117,13 +120,14 @@
   /**
    * Sends a duplicate of an earlier heartbeat.
    *
-   * @param heartbeatsAgo how many heartbeats ago it was sent; the oldest kept one if there are not as many
+   * @param heartbeatsAgo 0 for the latest heartbeat, 1 for the previous one; if too few are kept, the oldest
+   * one is sent
    * @param node index of the controller that receives the duplicate
    */
   sendDuplicate(heartbeatsAgo: number, node: number): void {
     const body = this.sentHeartbeats.at(-1 - heartbeatsAgo) ?? this.sentHeartbeats[0];
     if (!body) return;
-    const call = this.peers[node]?.exchange('POST', '/hello', body, {
+    const call = this.controllerClients[node]?.exchange('POST', '/hello', body, {
       timeoutMs: this.options.answerTimeoutMs,
     });
     call?.catch(() => undefined);
@@ -174,7 +178,7 @@
     const { agentEpoch } = this;
     const { id, type, zone, spot } = this.machine;
     const node = this.contactedNode;
-    const nextNode = (node + 1) % this.peers.length;
+    const nextNode = (node + 1) % this.controllerClients.length;
     if (this.isPartitioned || !reaches(zone, nodes[node]?.label ?? '')) {
       this.contactedNode = nextNode;
       return;
@@ -206,7 +210,7 @@
       ).unref();
     }
     try {
-      const answer = await this.peers[node]?.exchange('POST', '/hello', body, {
+      const answer = await this.controllerClients[node]?.exchange('POST', '/hello', body, {
         timeoutMs: answerTimeoutMs,
         signal,
       });
@@ -243,7 +247,7 @@
     const attempt = asNumber(command['try']);
     const task = this.tasks.get(piece);
     if (command['verb'] === 'run') {
-      // An earlier attempt that has ended stays in the list until a `reap` command.
+      // An earlier attempt that has ended stays in the task list until a `reap` command or a new attempt.
       if (task && (task.status !== 'ended' || task.attempt === attempt)) return;
       const statusEndsAt = Date.now() + fetchMs;
       this.tasks.set(piece, { piece, attempt, status: 'fetching', cause: '', statusEndsAt });
