--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -394,7 +394,7 @@
   }
 
   /**
-   * Queries the status of a job without recording the query in the history. Returns the HTTP status if it is not
+   * Queries the status of a job without an entry in the history. Returns the HTTP status instead if it is not
    * 200.
    */
   async status(node: number, id: string): Promise<string> {
