--- a/src/base/abort-callbacks.ts
+++ b/src/base/abort-callbacks.ts
@@ -1,4 +1,4 @@
-/** Callbacks for abort signals, cheap enough to register one for every sleep and every request in flight. */
+/** Registers callbacks for abort signals, cheaply enough to do so for every sleep and every HTTP exchange. */
 import { setMaxListeners } from 'node:events';
 
 type Callback = () => void;
@@ -8,7 +8,7 @@
 /**
  * Calls `callback` once when the signal fires. The returned function removes the callback. If the signal has
  * already fired, the callback is never called. All callbacks of a signal share one event listener, because
- * adding a listener costs more than everything else that a sleep does.
+ * adding a listener costs more than all other work of a sleep.
  */
 export function onAbort(signal: AbortSignal, callback: Callback): () => void {
   const callbacks = callbacksBySignal.get(signal) ?? addSharedListener(signal);
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -4,17 +4,17 @@
 import { onAbort } from './abort-callbacks.js';
 
 /**
- * Returns a monotonic time in milliseconds. Code whose decisions depend on time gets its clock injected, so
+ * Returns the monotonic time in milliseconds. Code that depends on time receives its clock as a parameter, so
  * that tests can set the time.
  */
 export type Clock = () => number;
 
-/** The monotonic clock of this process. It counts from the start of the process. */
+/** The monotonic clock of this process. Its time counts from the start of the process. */
 export const monotonicClock: Clock = () => performance.now();
 
 /**
- * Resolves after `ms` milliseconds, or as soon as the signal fires. Never rejects: a caller has to check the
- * signal to distinguish the two cases.
+ * Resolves after `ms` milliseconds, or as soon as the signal fires. Never rejects. A caller that has to
+ * distinguish the two cases checks `signal.aborted`.
  */
 export function sleep(ms: number, signal: AbortSignal): Promise<void> {
   if (signal.aborted) return Promise.resolve();
--- a/src/base/connection-load.ts
+++ b/src/base/connection-load.ts
@@ -1,8 +1,8 @@
 /** Tracks how close a controller's HTTP server is to its connection limit. */
 
 /**
- * If more than this part of the limit is in use, the server closes a connection after each heartbeat
- * response.
+ * If more than this share of the connection limit is in use, the server closes the connection of a worker
+ * after each heartbeat response.
  */
 const nearLimitRatio = 0.7;
 
@@ -12,8 +12,8 @@
  */
 export class ConnectionLoad {
   /**
-   * Open connections of workers and health checks. Connections of users are not counted: they use the part of
-   * the limit that is kept free.
+   * Number of open connections of workers and health checks. Connections of users are not counted. They use
+   * the part of the connection limit that is kept free for them.
    */
   openConnections = 0;
 
@@ -21,8 +21,8 @@
   constructor(readonly maxConnections: number) {}
 
   /**
-   * Whether the server has to close the connections of workers between two heartbeats. A worker then has to
-   * open a new connection for its next heartbeat. If the server kept all connections open, it would refuse
+   * Whether the server has to close the connection of a worker after each heartbeat, so that the worker opens
+   * a new connection for its next heartbeat. If the server kept all connections open, it would refuse
    * connections of other workers, and these workers would be marked as failed.
    */
   get isNearLimit(): boolean {
--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -16,11 +16,11 @@
   socket: Socket;
   send: (bytes: Buffer | string) => void;
   /**
-   * Resolves with everything received so far, once that is at least `answers` responses or the connection is
-   * closed. Rejects if neither happens in time.
+   * Waits until at least `answers` responses have arrived or the connection is closed, and resolves with all
+   * text received so far. Rejects if neither happens before the time-out.
    */
   receive: (answers: number) => Promise<string>;
-  /** Resolves with everything received once the connection is closed. Rejects if it is not closed in time. */
+  /** Waits until the connection is closed and resolves with all text received. Rejects on time-out. */
   receiveUntilClosed: () => Promise<string>;
 }
 
@@ -52,9 +52,10 @@
 const statusesIn = (text: string): string[] =>
   [...text.matchAll(/HTTP\/1\.1 (\d+)/g)].map((match) => match[1] ?? '');
 
-// Guards against a fast path whose responses differ from those of Node's server: for requests that arrive in
-// one or several chunks, cannot be decoded, are too large, are pipelined, or belong to other routes.
-test('heartbeats get a response whether they arrive in one chunk or in several, as do other requests on the connection', async () => {
+// If the fast path handled a request differently from Node's server, the client would get a different
+// response. The test sends requests that arrive in one or several chunks, cannot be decoded, are too large,
+// are pipelined, or belong to other routes.
+test('heartbeats in one or several chunks and other requests on the same connection get a response', async () => {
   const stop = new AbortController();
   const bodies: unknown[] = [];
   let shouldHoldAnswers = false;
@@ -104,7 +105,7 @@
   worker.send(request('/hello', encode('fail')));
   await worker.receive(5);
   worker.send(heartbeatRequest.subarray(0, 30));
-  // The first chunk has arrived on its own. From here on Node's server serves the connection.
+  // The first chunk has arrived separately. From now on, Node's server serves the connection.
   await waitUntil(() => load.openConnections === 0);
   worker.send(heartbeatRequest.subarray(30));
   await worker.receive(6);
@@ -146,9 +147,9 @@
   for (const { socket } of [worker, closing, large, pipelining]) socket.destroy();
 });
 
-// Guards against workers marked as failed because one controller serves more workers than it may have
-// connections: the server refuses the connections beyond its limit, and the heartbeats of these workers are
-// lost.
+// One controller may serve more workers than its connection limit allows. If the server kept every connection
+// open, it would refuse further connections at the limit. The heartbeats of the refused workers would be
+// lost, and these workers would be marked as failed.
 test('near the connection limit, the server closes connections after heartbeats but not after health checks', async () => {
   const stop = new AbortController();
   const answerImmediately = (_body: unknown, answer: (reply: Reply) => void): void => answer({ status: 200 });
@@ -182,7 +183,8 @@
   first.send(request('/hello', encode({})));
   assert.match(await first.receive(2), /connection: close/i);
   await waitUntil(() => load.openConnections <= 7);
-  // After the first connection is closed, seven of ten are open, which is not above the threshold.
+  // After the first connection is closed, seven of ten connections are open, which is not above the
+  // threshold.
   second.send(request('/hello', encode({})));
   assert.doesNotMatch(await second.receive(2), /connection: close/i);
   for (const { socket } of clients) socket.destroy();
--- a/src/base/direct-connections.ts
+++ b/src/base/direct-connections.ts
@@ -1,7 +1,7 @@
 /**
- * The fast path of the HTTP server: answers requests that arrive complete in one chunk directly on their
- * socket. Node's server creates a parser, two streams and a dozen events for each request, which is most of
- * the cost of a heartbeat.
+ * The fast path of the HTTP server. It answers requests that arrive complete in one chunk directly on their
+ * socket. Node's server would create a parser, two streams and a dozen events for each request, which is most
+ * of the cost of a heartbeat.
  */
 import { STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
@@ -15,7 +15,7 @@
 
 const endOfHead = '\r\n\r\n';
 const contentLength = /\r\ncontent-length: *(\d+) *\r\n/i;
-/** Headers that the fast path does not support. Node's server handles requests that have one of them. */
+/** Headers that the fast path does not support. Node's server handles requests that contain one of them. */
 const unsupportedHeaders = /\r\n(transfer-encoding|expect|upgrade|connection: *close)/i;
 
 interface CompleteRequest {
@@ -40,7 +40,7 @@
 }
 
 /**
- * Encodes the response as a string of one byte a character, so that head and body are sent in a single write.
+ * Encodes the response as a string with one character per byte, so that head and body are sent in one write.
  */
 function responseText(reply: Reply): string {
   const body = encode(reply.body ?? {});
@@ -55,16 +55,19 @@
   routes: FastPathRoute[];
   log: Log;
   clock: Clock;
-  /** For how many milliseconds one iteration of the event loop may serve queued requests. */
+  /** Maximum time in milliseconds that one event-loop iteration spends on queued requests. */
   turnBudgetMs: number;
-  /** A connection is closed when nothing was received or sent on it for this many milliseconds. */
+  /** Time in milliseconds after which a connection is closed if nothing was received or sent on it. */
   idleTimeoutMs: number;
   load: ConnectionLoad;
   /** Passes a connection to Node's server. */
   delegate: (socket: Socket) => void;
 }
 
-/** The open connections on which every request so far was served by the fast path. */
+/**
+ * The connections that the fast path serves. A connection is removed when it closes or is passed to Node's
+ * server.
+ */
 export class DirectConnections {
   private readonly sockets = new Set<Socket>();
   private readonly routes: ReadonlyMap<string, FastPathRoute>;
@@ -76,8 +79,8 @@
   }
 
   /**
-   * Serves a new connection. On the first request that the fast path cannot serve, it passes the connection,
-   * with this request, to Node's server for good.
+   * Serves a new connection. If a request arrives that the fast path cannot serve, passes the connection and
+   * this request to Node's server, which serves the connection from then on.
    */
   accept(socket: Socket): void {
     this.add(socket);
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Passes a connection to Node's server, after its listeners are removed, with the bytes already read from
-   * it.
+   * Passes a connection to Node's server, together with the bytes already read from the socket. The caller
+   * must have removed its listeners from the socket.
    */
   private delegate(socket: Socket, bytes: Buffer): void {
     socket.setTimeout(0);
--- a/src/base/event-loop-saturation.ts
+++ b/src/base/event-loop-saturation.ts
@@ -1,19 +1,22 @@
-/** Detection of a lack of processor time, by the utilization of the event loop. */
+/** Detects a lack of processor time by the utilization of the event loop. */
 import { type EventLoopUtilization, performance } from 'node:perf_hooks';
 
 /**
- * Measures the share of the time since `last` in which the event loop was busy, that is, not waiting
- * for events.
+ * Measures the utilization of the event loop: the share of the time since the sample `last` in which the
+ * event loop did not wait for events.
  */
 export type UtilizationProbe = (last?: EventLoopUtilization) => EventLoopUtilization;
 
-/** At this utilization or more, events queue up: an event waits for longer than its handling takes. */
+/**
+ * If the utilization reaches this value, events queue up, and an event waits for longer than its handling
+ * takes.
+ */
 const saturatedUtilization = 0.9;
 
 /**
  * Measures whether the event loop is saturated. A process that lacks processor time reads messages late and
- * sends its responses late. Unlike a pause of the whole process, this causes no single long delay: it is
- * visible only in the utilization of the event loop.
+ * sends its responses late. Unlike a pause of the whole process, the lack of processor time causes no single
+ * long delay, so only the utilization of the event loop shows it.
  */
 export class EventLoopSaturation {
   private lastSample: EventLoopUtilization;
@@ -22,7 +25,9 @@
     this.lastSample = probe();
   }
 
-  /** Whether the event loop was saturated since the last call, or since construction for the first call. */
+  /**
+   * Whether the event loop was saturated since the previous call. The first call measures from construction.
+   */
   measureSaturated(): boolean {
     const { utilization } = this.probe(this.lastSample);
     this.lastSample = this.probe();
--- a/src/base/event-loop.ts
+++ b/src/base/event-loop.ts
@@ -1,8 +1,8 @@
-/** Waiting for the next iteration of the event loop. */
+/** Waits for the next iteration of the event loop. */
 
 /**
- * Resolves in a later iteration of the event loop, after it has polled its sockets. Events that arrived in
- * the meantime are handled first.
+ * Resolves in a later iteration of the event loop, after the event loop has polled the sockets. Events that
+ * have arrived by then are handled first.
  */
 export function nextEventLoopIteration(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
--- a/src/base/expiring-name-set.test.ts
+++ b/src/base/expiring-name-set.test.ts
@@ -3,9 +3,10 @@
 
 import { ExpiringNameSet } from './expiring-name-set.js';
 
-// Guards against a set of terminated machines that drops entries early because it holds many: the cloud's
-// list of machines still names a terminated machine for a while.
-test('names are kept for the retention time, however many there are, and dropped afterwards', () => {
+// The cloud's machine list may still contain a machine for a while after its termination. The set of
+// terminated machines must therefore not drop a name before its retention time has passed, even if the set is
+// large.
+test('a set keeps any number of names for the retention time and drops them afterwards', () => {
   let now = 0;
   const names = new ExpiringNameSet(() => now, 1000);
   for (let i = 0; i < 10_000; i++) names.add(`vm-${i}`);
--- a/src/base/expiring-name-set.ts
+++ b/src/base/expiring-name-set.ts
@@ -15,7 +15,7 @@
   ) {}
 
   /**
-   * Adds a name and drops expired names. Adding a name that the set already has does not prolong its
+   * Adds a name and drops expired names. Adding a name that the set already contains does not prolong its
    * retention.
    */
   add(name: string): void {
@@ -27,12 +27,14 @@
     }
   }
 
-  /** Whether the name was added and not dropped since. */
+  /**
+   * Whether the set contains the name. An expired name stays in the set until a later call of `add` drops it.
+   */
   has(name: string): boolean {
     return this.addedAt.has(name);
   }
 
-  /** Returns the names that were first added at `time` of the injected clock or later. */
+  /** Returns the names in the set that were first added at `time` or later, in time of the injected clock. */
   addedSince(time: number): string[] {
     return [...this.addedAt].filter(([, addedAt]) => addedAt >= time).map(([name]) => name);
   }
--- a/src/base/group-by.ts
+++ b/src/base/group-by.ts
@@ -1,8 +1,8 @@
-/** Grouping of collections. */
+/** Groups the items of a collection by a key. */
 
 /**
- * Groups items by their key. The groups are in the order of their first items. The items of a group keep
- * their order.
+ * Groups items by the key that `keyOf` returns. The groups are in the order of their first items. The items
+ * of a group keep their order.
  */
 export function groupBy<K, V>(items: Iterable<V>, keyOf: (item: V) => K): Map<K, V[]> {
   const groups = new Map<K, V[]>();
--- a/src/base/http-server.ts
+++ b/src/base/http-server.ts
@@ -18,7 +18,7 @@
   unavailableReply,
 } from './replies.js';
 
-/** Handles a request that was received by Node's server. It handles all its failures itself. */
+/** Handles a request that Node's server has received, including any failure to serve it. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void;
 
 /** Routes, limits and dependencies of the server. */
@@ -34,9 +34,9 @@
   port: number;
   clock: Clock;
   load: ConnectionLoad;
-  /** A connection is closed when no request was received on it for this many milliseconds. */
+  /** Time in milliseconds after which a connection is closed if no request was received on it. */
   idleTimeoutMs: number;
-  /** For how many milliseconds one iteration of the event loop may serve queued requests. */
+  /** Maximum time in milliseconds that one event-loop iteration spends on queued requests. */
   turnBudgetMs: number;
 }
 
@@ -61,7 +61,10 @@
   });
 }
 
-/** Passes new connections to the fast path, which passes those that it cannot serve on to Node's server. */
+/**
+ * Passes new connections to the fast path. The fast path passes connections that it cannot serve to Node's
+ * server.
+ */
 function installFastPath(server: Server, options: HttpServerOptions): DirectConnections {
   const [accept] = server.listeners('connection') as ((socket: Socket) => void)[];
   const delegate = (socket: Socket): void => accept?.call(server, socket);
@@ -72,8 +75,8 @@
 }
 
 /**
- * Creates the handler of Node's server. It also serves the routes of the fast path, for requests that did not
- * arrive in one chunk.
+ * Creates the request handler of Node's server. It also serves the routes of the fast path if a request did
+ * not arrive in one chunk.
  */
 function createRequestHandler(options: HttpServerOptions): RequestHandler {
   const routes = new Map(options.fastPathRoutes.map((route) => [`${route.method} ${route.path}`, route]));
@@ -122,6 +125,6 @@
     answer(tooLargeReply);
   });
   request.on('end', () => handleFastPath(route, bytes, answer, log));
-  // If the connection fails, its heartbeat is lost. The worker sends another one.
+  // If the connection fails, the heartbeat on it is lost. The worker sends another heartbeat.
   request.on('error', () => undefined);
 }
--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -7,8 +7,8 @@
 import { ExchangeError, type ExchangeFailure, HttpClient } from './http.js';
 
 /**
- * Indexes into `slots`, the memory shared with the server's thread. Each slot is 0 until the event it is
- * named for.
+ * Indexes into `slots`, the memory shared with the server's thread. Each slot is 0 until the event that its
+ * index is named after.
  */
 const received = 0;
 const mayAnswer = 1;
@@ -16,7 +16,7 @@
 const slots = new Int32Array(new SharedArrayBuffer(3 * Int32Array.BYTES_PER_ELEMENT));
 
 /**
- * Source of a server with these paths: /silent never responds, /held responds once `mayAnswer` is set,
+ * Source of a server with these paths: /silent never responds, /held responds after `mayAnswer` is set,
  * /malformed responds with an incomplete MessagePack array, and /lost closes the connection in the middle of
  * the body. The server runs in a thread of its own, so that it can respond while this thread is blocked.
  */
@@ -67,16 +67,17 @@
     await server.terminate();
   });
 
-  // Guards against responses that are discarded unread: when the event loop was blocked past the deadline,
-  // the timer ran before the socket was read. A controller short of processor time lost its contact to the
-  // state service.
+  // If the event loop was blocked past the deadline of an exchange, the time-out ran before the socket was
+  // read. A response that had arrived before the deadline was then discarded unread. In this way, a
+  // controller short of processor time lost its contact to the state service.
   test('reads a response that arrived before the deadline while the event loop was blocked', async () => {
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
       const exchange = peer.exchange('GET', '/held', undefined, { timeoutMs });
       while (Atomics.load(slots, received) === 0) await nextEventLoopIteration();
       blockUntilAnswered();
-      // The deadline passes in the same event-loop iteration: nothing was read since the response arrived.
+      // The deadline passes in the same event-loop iteration, so the response has arrived but was not read
+      // yet.
       mock.timers.tick(timeoutMs);
       assert.equal((await exchange).status, 200);
     } finally {
--- a/src/base/http.ts
+++ b/src/base/http.ts
@@ -13,7 +13,7 @@
   body: unknown;
 }
 
-/** Time-out and cancellation of one exchange. */
+/** Time-out and cancellation of one exchange, that is, of one request and its response. */
 export interface ExchangeOptions {
   /** Time-out in milliseconds for the whole exchange, from connecting to the end of the response. */
   timeoutMs: number;
@@ -64,10 +64,10 @@
   }
 
   /**
-   * Sends one request and resolves with its response, whatever the status.
+   * Sends one request and resolves with the response, also if its HTTP status is an error.
    *
    * Rejects with an `ExchangeError` or an error of the socket. It is then unknown whether the server
-   * processed the request. Only if the signal had fired before the call, nothing was sent.
+   * processed the request, unless the signal had fired before the call: in this case no request was sent.
    */
   exchange(method: string, path: string, body: unknown, options: ExchangeOptions): Promise<HttpResponse> {
     if (options.signal?.aborted) return Promise.reject(new ExchangeError('cancelled'));
@@ -85,8 +85,8 @@
       };
       clientRequest.on('error', fail);
       clientRequest.on('response', (response) => readResponse(response, succeed, fail));
-      // A string body of one byte a character is sent in one write with the head. With a Buffer, head and
-      // body would be a list of two chunks.
+      // A string body with one character per byte is sent in one write together with the head. If the body
+      // were a Buffer, head and body would be sent as a list of two chunks.
       if (payload === undefined) clientRequest.end();
       else clientRequest.end(payload.toString('latin1'), 'latin1');
     });
@@ -129,8 +129,8 @@
 }
 
 /**
- * Reads the whole response, then calls `succeed` or `fail`. May call more than once: only the first call
- * counts.
+ * Reads the whole response, then calls `succeed` or `fail`. May make several such calls; all but the first
+ * have no effect.
  */
 function readResponse(
   response: IncomingMessage,
--- a/src/base/log.ts
+++ b/src/base/log.ts
@@ -1,4 +1,4 @@
-/** The log of a controller, written to standard error as one JSON object a line. */
+/** The log of a controller, written to standard error as one JSON object per line. */
 import pino from 'pino';
 
 /** A logger that adds the label of the controller to each line as the field `node`. */
--- a/src/base/process-pause-detector.ts
+++ b/src/base/process-pause-detector.ts
@@ -1,4 +1,4 @@
-/** Detection of pauses of this process, during which it reads no messages. */
+/** Detects pauses of this process, during which the process reads no messages. */
 import type { Clock } from './clock.js';
 
 /**
@@ -9,8 +9,8 @@
 
 /**
  * Measures the delay of a check that runs at a fixed interval. During such a delay the clock advances, but
- * the process reads no messages. A failure detector that measures the time since the last message of a
- * machine therefore has to subtract the delay.
+ * the process reads no messages. A failure detector that measures the time since the latest message of a
+ * machine therefore has to subtract the delay from this time.
  */
 export class ProcessPauseDetector {
   private measuredAt: number;
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Returns by how many milliseconds the time since the last call exceeds the interval, or 0 if the delay is
-   * within the usual range.
+   * Returns by how many milliseconds the time since the previous call exceeds the interval. Returns 0 if this
+   * time is at most `delayedRatio` intervals.
    */
   measureDelayMs(): number {
     const now = this.clock();
--- a/src/base/ranges.ts
+++ b/src/base/ranges.ts
@@ -11,7 +11,10 @@
   return ranges;
 }
 
-/** Yields the integers in the ranges one by one. A last lower bound without an upper bound is ignored. */
+/**
+ * Yields the integers in the ranges one by one. A lower bound without an upper bound at the end of the list
+ * is ignored.
+ */
 export function* expandRanges(ranges: number[]): Iterable<number> {
   for (let i = 0; i + 1 < ranges.length; i += 2) {
     for (let value = ranges[i] ?? 0; value <= (ranges[i + 1] ?? -1); value++) yield value;
--- a/src/base/replies.ts
+++ b/src/base/replies.ts
@@ -12,8 +12,8 @@
   /** Sent as `Retry-After`, rounded up to whole seconds. */
   retryAfterS?: number;
   /**
-   * Closes the connection after this reply, for example because another controller can serve the client
-   * better.
+   * Whether the server closes the connection after this reply, for example because another controller can
+   * serve the client better.
    */
   close?: boolean;
 }
@@ -27,16 +27,17 @@
 }
 
 /**
- * A route for the most frequent requests, heartbeats and health checks, served without Koa. Its handler
- * replies through a callback instead of a promise, so that a request is usually finished in the event-loop
- * iteration that received it.
+ * A route for heartbeats or health checks, the most frequent requests, which are served without Koa. The
+ * handler replies through a callback instead of a promise, so that a request is usually finished in the
+ * event-loop iteration that received it.
  */
 export interface FastPathRoute {
   method: 'GET' | 'POST';
-  /** Has to equal the whole path of the request. */
+  /** The path of the request, which has to match in full. */
   path: string;
   /**
-   * Whether requests of this route, being numerous, may wait for a later event-loop iteration under overload.
+   * Whether requests of this route may wait for a later event-loop iteration under overload. Set for a route
+   * with numerous requests.
    */
   queued?: boolean;
   /** Handles a request. Calls `answer` once, during the call or later. */
@@ -52,7 +53,7 @@
 /** Reply to a request whose body is not valid MessagePack. */
 export const malformedReply: Reply = { status: 400, body: { error: 'not MessagePack' } };
 
-/** Reply to a request whose route failed. */
+/** Reply to a request whose route threw an error. */
 export const unavailableReply: Reply = { status: 503, body: { error: 'trouble' }, retryAfterS: 1 };
 
 /** Returns the headers of a reply as a flat list of alternating names and values. */
@@ -64,12 +65,12 @@
 }
 
 /**
- * Sends the reply as the complete response. The body is a string of one byte a character, so that head and
- * body are sent in one write. This takes a fraction of the time that Koa needs.
+ * Sends the reply as the complete response. The body is encoded as a string with one character per byte, so
+ * that head and body are sent in one write. This takes a fraction of the time that Koa needs.
  */
 export function send(response: ServerResponse, reply: Reply): void {
   const body = encode(reply.body ?? {});
-  // The `Date` header would cost one timer a second, and no client reads it.
+  // The `Date` header would cost one timer per second, and no client reads it.
   response.sendDate = false;
   response.writeHead(reply.status, replyHeaders(reply, body.length));
   response.end(body.toString('latin1'), 'latin1');
@@ -88,7 +89,8 @@
 }
 
 /**
- * Calls the route with a complete request. If the route throws, logs the error and replies with status 503.
+ * Calls the handler of the route with the decoded body of a complete request. If the handler throws, logs the
+ * error and replies with status 503.
  */
 export function handleFastPath(
   route: FastPathRoute,
--- a/src/base/routine.ts
+++ b/src/base/routine.ts
@@ -3,8 +3,8 @@
 import type { Log } from './log.js';
 
 /**
- * Runs a background duty until the signal fires. If the duty throws, logs `duty-failed`. Whether the duty
- * threw or returned, starts it again after `pauseMs` milliseconds, because one bad response from another
+ * Runs a background duty until the signal fires. If the duty throws, logs `duty-failed`. After the duty has
+ * returned or thrown, starts it again after `pauseMs` milliseconds, because one bad response from another
  * service must not end a controller. Never rejects.
  */
 export async function runRoutine(
--- a/src/base/socket-address.ts
+++ b/src/base/socket-address.ts
@@ -6,7 +6,7 @@
   port: number;
 }
 
-/** Splits `host:port`. The form is not checked here: the parser of the settings has checked it. */
+/** Splits `host:port`. Does not check the form, because the parser of the settings has already checked it. */
 export function parseSocketAddress(address: string): SocketAddress {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/base/time-sliced-queue.test.ts
+++ b/src/base/time-sliced-queue.test.ts
@@ -3,9 +3,9 @@
 
 import { TimeSlicedQueue } from './time-sliced-queue.js';
 
-// Guards against health checks that waited for more than a second behind the heartbeats read in the same
-// event-loop iteration: the load balancer marked all controllers as unhealthy, and for 90 s users could not
-// read the status of two hundred jobs.
+// The server handled all heartbeats that it had read in one event-loop iteration before it handled a health
+// check, which waited for more than a second. The load balancer then marked all controllers as unhealthy, and
+// for 90 s users could not read the status of two hundred jobs.
 test('an event-loop iteration runs work within its time budget, defers the rest, and drops work that is no longer needed', () => {
   let now = 0;
   const turns: (() => void)[] = [];
--- a/src/base/time-sliced-queue.ts
+++ b/src/base/time-sliced-queue.ts
@@ -4,8 +4,8 @@
 /** A unit of work, for example the handling of one request. */
 export interface QueuedWork {
   /**
-   * Whether the result of the work is still needed. Called for work that had to wait, immediately before it
-   * would run.
+   * Whether the result of the work is still needed. Called only for work that had to wait, immediately before
+   * the work would run.
    */
   isStillNeeded: () => boolean;
   run: () => void;
@@ -13,15 +13,16 @@
 
 /**
  * Runs work in the order of its arrival, for at most `turnBudgetMs` milliseconds in each iteration of the
- * event loop. Under overload one iteration finds hundreds of heartbeats. If it served all of them, a health
- * check or a response of the key-value store that arrived meanwhile would wait for seconds.
+ * event loop. Under overload, hundreds of heartbeats are ready in one iteration. If the queue ran all of
+ * them, a health check or a response of the key-value store that arrived in the meantime would wait for
+ * seconds.
  */
 export class TimeSlicedQueue {
   private readonly waiting = new Set<QueuedWork>();
   private isTurnScheduled = false;
   private budgetEndsAt = -Infinity;
 
-  /** `nextTurn` calls its callback after the event loop has polled its sockets. */
+  /** `nextTurn` schedules its callback to run after the event loop has polled its sockets. */
   constructor(
     private readonly clock: Clock,
     private readonly turnBudgetMs: number,
@@ -29,8 +30,8 @@
   ) {}
 
   /**
-   * Runs the work immediately if the budget of this event-loop iteration is not used up and no other work is
-   * waiting. Otherwise the work runs in a later iteration.
+   * Runs the work immediately if the time budget of this event-loop iteration is not used up and no other
+   * work is waiting. Otherwise the work runs in a later iteration.
    */
   add(work: QueuedWork): void {
     if (!this.isTurnScheduled) {
--- a/src/base/token-bucket.ts
+++ b/src/base/token-bucket.ts
@@ -2,8 +2,8 @@
 import type { Clock } from './clock.js';
 
 /**
- * A token bucket that refills at `unitsPerSecond` up to `maxBurstUnits`. It starts full. A reservation of
- * more units than it holds takes it below zero, into debt.
+ * A token bucket that refills at `unitsPerSecond` up to `maxBurstUnits`. It starts full. If a reservation
+ * exceeds the available units, their number becomes negative, which is called a debt.
  */
 export class TokenBucket {
   private availableUnits: number;
@@ -18,7 +18,10 @@
     this.refilledAt = clock();
   }
 
-  /** Changes the rate from now on. Available units above the new burst are discarded. A debt stays. */
+  /**
+   * Changes the rate and the burst limit from now on. Available units above the new burst limit are
+   * discarded. A debt stays.
+   */
   setRate(unitsPerSecond: number, maxBurstUnits: number): void {
     this.refill();
     this.unitsPerSecond = unitsPerSecond;
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Takes the units immediately, if necessary by going into debt. Returns for how many milliseconds the
-   * caller has to wait before it uses them.
+   * Takes the units immediately, if necessary by going into debt. Returns the time in milliseconds that the
+   * caller has to wait before it may use the units.
    */
   reserve(units: number): number {
     this.refill();
@@ -36,7 +39,7 @@
     return this.availableUnits >= 0 ? 0 : (-this.availableUnits / this.unitsPerSecond) * 1000;
   }
 
-  /** Returns in how many milliseconds any debt is repaid and `units` are available. Takes no units. */
+  /** Returns the time in milliseconds until any debt is repaid and `units` are available. Takes no units. */
   msUntilAvailable(units = 0): number {
     this.refill();
     const missingUnits = units - this.availableUnits;
--- a/src/base/user-handler.ts
+++ b/src/base/user-handler.ts
@@ -1,6 +1,6 @@
 /**
- * The handler of the users' routes, which uses Koa. The module is loaded on demand, because loading Koa takes
- * most of the processor time of a start.
+ * The handler of the users' routes, which uses Koa. This module is loaded on demand, because loading Koa
+ * takes most of the processor time that the start of the process needs.
  */
 import type { Readable } from 'node:stream';
 
@@ -42,8 +42,8 @@
 /**
  * Reads the body of a request by events, which cost less than an async iterator. Stops reading at
  * `maxBodyBytes`.
- * @throws BodyTooLargeError if the body is larger than that, RequestAbortedError if the connection is closed
- * early.
+ * @throws BodyTooLargeError if the body is larger than `maxBodyBytes`, RequestAbortedError if the connection
+ * is closed before the end of the body.
  */
 function readBody(stream: Readable): Promise<Buffer> {
   return new Promise((resolve, reject) => {
@@ -83,7 +83,7 @@
 
 /** Returns the reply to a failed request, and logs the error unless the body was too large. */
 function failureReply(error: unknown, path: string, log: Log): Reply {
-  // The rest of the body was not read, so the connection cannot be reused: this reply closes it.
+  // The rest of the body was not read, so the connection cannot be reused, and this reply closes it.
   if (error instanceof BodyTooLargeError) return tooLargeReply;
   log.error({ event: 'request-failed', path, err: error }, 'request failed; responding with status 503');
   return unavailableReply;
@@ -91,8 +91,8 @@
 
 /**
  * Creates the handler of the users' routes. Every request gets a reply with the appropriate status, and a
- * failure of a route does not end the process. Requests for `fastPathRoutes` are served elsewhere: a request
- * for one of their paths arrives here only if its method is a different one.
+ * failure of a route does not end the process. The fast path serves `fastPathRoutes`. This handler receives a
+ * request for one of their paths only if the method of the request differs from that of the route.
  */
 export function createUserHandler(
   routes: Route[],
