--- a/src/cloud/client.test.ts
+++ b/src/cloud/client.test.ts
@@ -22,7 +22,7 @@
 
 const portOf = (server: Server): number => (server.address() as AddressInfo).port;
 
-test('a list request that the cloud refuses throws an error with the operation and the HTTP status', async () => {
+test('if the cloud refuses a list request, the request throws an error with the operation and the HTTP status', async () => {
   const server = await serve(503, {});
   const client = clientOf(portOf(server));
   await assert.rejects(client.machineTypes(), (error) => {
@@ -34,7 +34,7 @@
   server.close();
 });
 
-test('when the cloud cannot be reached, list requests throw the cause and the result of a rental is unknown', async () => {
+test('if no connection to the cloud can be opened, list requests throw an error with the cause, and the result of a rental is unknown', async () => {
   const server = await serve(200, {});
   const client = clientOf(portOf(server));
   await new Promise((resolve) => server.close(resolve));
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,6 @@
 /**
- * Client of the cloud's HTTP interface: lists machine types and rented machines, rents and releases machines.
+ * Client of the cloud's HTTP interface. Lists machine types and rented machines, and rents and releases
+ * machines.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -26,23 +27,24 @@
   /** The zone has no machine of the requested type left. */
   | { kind: 'no-capacity' }
   /**
-   * The cloud refused the request because of the request rate (429) or for another reason with status 503.
+   * The cloud refused the request: with status 429 because of the request rate, or with status 503 for a
+   * reason other than missing capacity.
    */
   | { kind: 'busy' }
   /**
-   * No response arrived, or a response without a result. Machines may have been rented; if so, the machine
-   * list will contain them.
+   * No response arrived, or the response contained no result. Machines may have been rented. If so, the
+   * machine list will contain them.
    */
   | { kind: 'unknown' };
 
 const requestTimeoutMs = 6000;
 const maxConnections = 4;
 /**
- * Share of the cloud's rate limit that one controller uses. Controllers that do not lead request only the
+ * The share of the cloud's rate limit that one controller uses. Controllers that do not lead request only the
  * machine types, so the leader may use most of the limit.
  */
 const requestRateShare = 0.8;
-/** A rental request without a response is sent once more. */
+/** Maximum number of attempts per rental request. A request without a response is retried once. */
 const maxRentalAttempts = 2;
 /** Maximum number of machines on one page of the machine list; a limit of the cloud. */
 export const maxMachinesPerPage = 500;
@@ -52,15 +54,15 @@
 export const maxMachinesPerRental = 50;
 
 /**
- * Sends requests to the cloud and delays them to stay within its rate limit. `machineTypes` and
- * `listMachines` throw a `CloudError` if there is no result; `rent` and `release` never throw.
+ * Sends requests to the cloud and delays them to stay within its rate limit. If a request has no result,
+ * `machineTypes` and `listMachines` throw a `CloudError`. `rent` and `release` never throw.
  */
 export class CloudClient {
   private readonly peer: HttpClient;
   private readonly pacer: TokenBucket;
   /**
-   * Unique across all controllers and process restarts, because a request name that got a 200 must never be
-   * used for another rental.
+   * Prefix of the names of rental requests. It is unique across all controllers and process restarts, because
+   * a request name that received a response with status 200 must never be used for another rental.
    */
   private readonly requestNamePrefix = randomUUID();
   private rentalCount = 0;
@@ -83,7 +85,10 @@
     return parseMachineTypes(answer.body);
   }
 
-  /** Returns all rented machines, read page by page. Throws a `CloudError` if any page has no result. */
+  /**
+   * Returns all rented machines, read page by page. Throws a `CloudError` if the request for any page has no
+   * result.
+   */
   async listMachines(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
     let after = '';
@@ -100,8 +105,8 @@
   }
 
   /**
-   * Rents up to `count` machines, at most `maxMachinesPerRental`. If no response arrives, the request is
-   * retried under the same request name, which makes the rental idempotent.
+   * Rents up to `count` machines, at most `maxMachinesPerRental`. If no response arrives, retries the request
+   * under the same request name, which makes the rental idempotent.
    */
   async rent(type: string, zone: string, spot: boolean, count: number): Promise<RentalOutcome> {
     const requestName = `${this.requestNamePrefix}-${++this.rentalCount}`;
@@ -124,8 +129,9 @@
   }
 
   /**
-   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated, with
-   * everything that ran on them. Returns false if they may or may not have been terminated.
+   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated,
+   * including everything that ran on them. Returns false if it is unknown whether the machines were
+   * terminated.
    */
   async release(machines: string[]): Promise<boolean> {
     try {
--- a/src/cloud/errors.ts
+++ b/src/cloud/errors.ts
@@ -3,7 +3,9 @@
 /** The operation that a request to the cloud was sent for. */
 export type CloudOperation = 'machine types' | 'machine list' | 'rental' | 'release';
 
-/** A request to the cloud that had no result. Catch this class to handle every reason in the same way. */
+/**
+ * A request to the cloud had no result. Callers that handle every reason in the same way catch this class.
+ */
 export class CloudError extends Error {
   /**
    * @param operation the operation that was requested
@@ -35,8 +37,8 @@
 }
 
 /**
- * No readable response arrived; the cloud may have executed the request. `cause` holds the connection's
- * error.
+ * No readable response arrived, so the cloud may or may not have processed the request. `cause` holds the
+ * error of the connection.
  */
 export class CloudConnectionError extends CloudError {
   /**
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** The command line: reads the settings and runs one controller until it receives SIGINT or SIGTERM. */
+/**
+ * The command line. Reads the settings and runs one controller until the process receives SIGINT or SIGTERM.
+ */
 import { readFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { createLog } from './base/log.js';
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -1,32 +1,33 @@
 /**
  * The types that all folders under `src` share: jobs, tasks, machines, the workers' heartbeats and the
- * commands to workers. Names and units are internal; `src/wire` maps them to the sent and stored forms.
+ * commands to workers. Names and units in these types are internal. `src/wire` converts them to and from the
+ * sent and stored forms.
  *
  * Amounts (`cpus`, `accelerators`, `memoryGb`) are decimals. Sizes are in GB. Names of durations end in their
  * unit (`S` or `Ms`). Prices are per hour.
  */
 
-/** The urgency that the user gave a job; `urgencyRanks` defines the order. */
+/** The urgency that the user gave a job. `urgencyRanks` defines the order of the urgencies. */
 export type Urgency = 'production' | 'high' | 'standard' | 'best_effort';
 
 /** A job as the user submitted it. It is committed to the store before the user receives the acceptance. */
 export interface JobSpec {
-  /** Chosen by the user; a repeated submission has the same id. */
+  /** Id chosen by the user. A repeated submission of the job has the same id. */
   id: string;
-  /** The job class, whose objectives in the settings apply to the job. */
+  /** Name of the job class. The objectives of this class in the settings apply to the job. */
   jobClass: string;
-  /** The team, whose guarantee and limit apply to the job. */
+  /** Name of the team. The guaranteed and the maximum amounts of this team apply to the job. */
   team: string;
   urgency: Urgency;
-  /** The number of tasks; they are numbered from 0. */
+  /** Number of tasks. Tasks are numbered from 0. */
   tasks: number;
-  /** CPUs that each task takes of its machine. */
+  /** CPUs that each task occupies on its machine. */
   cpus: number;
-  /** Accelerators that each task takes of its machine. */
+  /** Accelerators that each task occupies on its machine. */
   accelerators: number;
-  /** Memory that each task takes of its machine. */
+  /** Memory that each task occupies on its machine. */
   memoryGb: number;
-  /** The image that a machine must have before a task can start on it. */
+  /** The image that a machine must have fetched before a task can start on it. */
   image: string;
   imageGb: number;
   /** Names of the allowed machine types; null: any type. */
@@ -41,29 +42,30 @@
   spot: boolean;
   /** The user's estimate of a task's run time, excluding the time to fetch the image. */
   estimatedRunS: number;
-  /** Progress of a task between two checkpoints; 0: the task saves no checkpoints. */
+  /** The progress that a task makes between two checkpoints. 0: the task saves no checkpoints. */
   checkpointIntervalS: number;
-  /** Time that a task takes to save a checkpoint when it is stopped. */
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   checkpointSaveS: number;
-  /** The deadline of the job, counted from its acceptance; null: no deadline. */
+  /** Time from the acceptance of the job to its deadline. Null: no deadline. */
   deadlineS: number | null;
   /**
-   * Ids of the jobs that have to be done before any task of this job starts. Records of earlier versions lack
-   * the field.
+   * Ids of the jobs that have to be done before any task of this job starts. Job records of earlier versions
+   * lack this field.
    */
   dependencies?: string[];
   /**
-   * Time of day in ms when the job was accepted. Used only for deadlines and waiting times, because it may be
-   * off by the error of the controllers' clocks.
+   * Wall-clock time in ms since the epoch at which the job was accepted. Used only for deadlines and waiting
+   * times, because it may be off by the error of the controllers' clocks.
    */
   acceptedAt: number;
   /**
-   * Fields that a later version has stored in the job's record; kept when this version rewrites the record.
+   * Fields of the job's record that this version does not define because a later version has added them. They
+   * are kept when this version writes the record again.
    */
   unknownFields?: Record<string, unknown>;
 }
 
-/** A machine type that the cloud rents out, as in the cloud's last list. */
+/** A machine type that the cloud offers, as in the latest list of the cloud. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -73,9 +75,9 @@
   fetchGbPerS: number;
   /** Price per hour. */
   price: number;
-  /** Price per hour of a spot machine; it changes between two lists of the cloud. */
+  /** Price per hour of a spot machine. It may differ from one list of the cloud to the next. */
   spotPrice: number;
-  /** The nominal time from the rental request to the machine's first heartbeat. */
+  /** Nominal time from the rental request to the machine's first heartbeat. */
   bootS: number;
   /** The zones in which the cloud offers the type. */
   zones: string[];
@@ -87,7 +89,7 @@
   index: number;
 }
 
-/** The state of a task on its machine; `other` stands for states that this version does not know. */
+/** The state of a task on its machine. `other` stands for any state that this version does not define. */
 export type TaskState = 'fetching' | 'running' | 'saving' | 'ended' | 'other';
 
 /**
@@ -95,10 +97,10 @@
  * it.
  */
 export interface ReportedTask extends TaskRef {
-  /** Number of the task attempt; counts the starts of the task from 1. */
+  /** Number of the task attempt. The first start of the task is attempt 1. */
   attempt: number;
   state: TaskState;
-  /** Why the task ended, as the worker sent it; empty if the task has not ended. */
+  /** Why the task ended, as reported by the worker. Empty if the task has not ended. */
   cause: string;
 }
 
@@ -114,34 +116,37 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Grows each time the worker's lease expires; the expiry ends all tasks of the worker. */
+  /**
+   * Increases each time the worker's lease expires. When the lease expires, the worker ends all its tasks.
+   */
   agentEpoch: number;
-  /** Grows with each heartbeat that the worker sends. */
+  /** Increases with each heartbeat that the worker sends. */
   sequence: number;
   /**
-   * The highest fencing token that the worker has received; it ignores responses with a lower fencing token.
+   * The highest fencing token that the worker has received. The worker ignores responses with a lower fencing
+   * token.
    */
   fencingToken: number;
-  /** Time until the cloud preempts the spot machine; null: no preemption notice. */
+  /** Time until the cloud preempts the spot machine. Null: the worker has received no preemption notice. */
   preemptionNoticeS: number | null;
   tasks: ReportedTask[];
 }
 
 /**
- * A command to a worker. `start` starts a task attempt, `stop` stops it, and `forget` ends the reporting of
- * an ended attempt. Every command may be sent repeatedly, except that a `start` must not be repeated after
- * the same attempt was forgotten.
+ * A command to a worker. `start` starts a task attempt, `stop` stops a task attempt, and `forget` ends the
+ * reporting of an ended attempt. Every command may be sent repeatedly, with one exception: the `start` of an
+ * attempt must not be repeated after this attempt was forgotten.
  */
 export interface WorkerCommand extends TaskRef {
   kind: 'start' | 'stop' | 'forget';
   attempt: number;
-  /** For `stop`: the time that the task gets to save a checkpoint; 0 or undefined: none. */
+  /** For `stop`: the time that the task is given to save a checkpoint. 0 or undefined: no time. */
   graceS?: number;
 }
 
 /**
- * A rented machine in the cloud's list. The list lags: it may lack new machines and contain terminated
- * machines.
+ * A rented machine in the cloud's machine list. The list lags behind the actual state: it may lack new
+ * machines and may contain terminated machines.
  */
 export interface CloudMachine {
   id: string;
@@ -150,27 +155,27 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time from the rental request until the cloud made the list. */
+  /** Time from the rental request to the moment at which the cloud created the list. */
   ageS: number;
 }
 
-/** Returns the key of a task in maps and in messages to workers. */
+/** Returns the key that identifies a task in maps and in messages to workers. */
 export function taskKey(task: TaskRef): string {
   return `${task.job}/${task.index}`;
 }
 
-/** The resources that a task takes of its machine and of its team's limit. */
+/** The resources that a task occupies on its machine and that count towards the limit of its team. */
 export interface Resources {
   cpus: number;
   accelerators: number;
   memoryGb: number;
 }
 
-// Amounts are floating-point decimals that are summed in any order, so equal sums may differ in their last
-// bits.
+// Amounts are floating-point decimals that are summed in any order, so sums that should be equal may differ
+// in their last bits.
 const roundingTolerance = 1e-6;
 
-/** Whether the needed resources fit into the free resources; tolerates rounding errors. */
+/** Whether the needed resources fit into the free resources. Tolerates rounding errors. */
 export function fits(need: Resources, free: Resources): boolean {
   return (
     need.cpus <= free.cpus + roundingTolerance &&
@@ -180,16 +185,15 @@
 }
 
 /**
- * Whether `added` may be added to `used` within the limit; tolerates rounding errors. A limit of 0 means no
- * limit.
+ * Whether `used` plus `added` stays within the limit. Tolerates rounding errors. A limit of 0 means no limit.
  */
 export function withinLimit(used: number, added: number, limit: number): boolean {
   return limit === 0 || used + added <= limit + roundingTolerance;
 }
 
 /**
- * Returns a key of the requirements of a job's tasks on their machines: tasks with equal keys fit the same
- * machines.
+ * Returns a key that identifies what the tasks of a job require of a machine. Tasks with equal keys fit the
+ * same machines.
  */
 export function taskRequirementsKey({
   cpus,
@@ -202,7 +206,10 @@
   return [cpus, accelerators, memoryGb, spot, zone, machineTypes].join('/');
 }
 
-/** Whether the zones of the job's tasks depend on each other, so that one block has to place all of them. */
+/**
+ * Whether the zones of the job's tasks depend on each other. If so, one block (a set of machines leased to
+ * one controller) has to receive all tasks of the job.
+ */
 export function isZoneConstrained(spec: Pick<JobSpec, 'colocated' | 'spread'>): boolean {
   return spec.colocated || spec.spread;
 }
--- a/src/settings/errors.ts
+++ b/src/settings/errors.ts
@@ -1,6 +1,6 @@
 /** Errors in the settings files of the platform and of the operators. */
 
-/** A settings file cannot be used. The message names the first error found and fits on one line. */
+/** A settings file cannot be used. The message names the first error in the file and fits on one line. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
@@ -9,7 +9,8 @@
 export class SettingsFieldError extends SettingsError {
   constructor(
     /**
-     * Path of the field in the file, with dots, or `(whole file)` if the error belongs to no single field.
+     * Path of the field in the file, with its parts separated by dots, or `(whole file)` if the error does
+     * not belong to a single field.
      */
     readonly field: string,
     /** What is wrong with the field. */
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -30,32 +30,38 @@
 });
 
 /**
- * Settings that operators may change in addition to the platform's settings file. Every value is a ratio to a
- * value of the platform's file, or a time in seconds.
+ * Settings that operators may change in addition to the platform's settings file. Every value is either a
+ * ratio to a value of the platform's file or a time in seconds.
  */
 export interface OperatorSettings {
+  /**
+   * The ladder: the thresholds of a pool, which consists of the machines of one type, spot or not. Machine
+   * number m of the pool is rented when the demand in slots reaches threshold m.
+   */
   ladder: {
     /**
-     * Initial value of each scaling threshold, as a share of the capacity of the machines before the machine
-     * that the threshold is for.
+     * Initial value of the threshold of machine number m, as a share of the capacity of all machines before
+     * it.
      */
     initialThresholdShare: number;
-    /** The same for pools of spot machines. */
+    /** As `initialThresholdShare`, but for pools of spot machines. */
     spotInitialThresholdShare: number;
-    /** Target for the share of tasks that have to wait on arrival or are displaced. */
+    /** Target value of the share of tasks that have to wait on arrival or are displaced. */
     targetFailureRatio: number;
-    /** Size of one slot, as a share of a machine's dominant resource. */
+    /** Size of one slot, the unit of the thresholds, as a share of a machine's dominant resource. */
     slotShare: number;
     /** Seconds between two adjustments of a pool's thresholds. */
     adjustmentPeriodS: number;
     /** Length in seconds of the window in which failures are counted. */
     failureWindowS: number;
   };
+  /** Blocks: sets of machines, each with the work placed on it and leased to one controller. */
   blocks: {
-    /** Seconds for which the blocks' shares of the teams' quotas are leased. */
+    /** Time in seconds for which shares of the teams' quotas are leased to the blocks. */
     quotaSharePeriodS: number;
     /**
-     * How much work beyond its free capacity is dispatched to a block, as a share of the size of the block.
+     * Amount of work that is dispatched to a block beyond the block's free capacity, as a share of the size
+     * of the block.
      */
     dispatchLookaheadShare: number;
   };
@@ -64,11 +70,11 @@
     leaseHeartbeats: number;
   };
   workers: {
-    /** A machine that has sent no heartbeat for this many heartbeat intervals is released. */
+    /** A machine is released if it has sent no heartbeat for this many heartbeat intervals. */
     missedHeartbeats: number;
     /**
-     * A machine that has sent no heartbeat within this multiple of the boot time of its type is assumed never
-     * to start.
+     * A machine is assumed never to start if it has sent no heartbeat within this multiple of the boot time
+     * of its type.
      */
     bootTimeoutMultiple: number;
   };
@@ -99,12 +105,12 @@
 export const defaultOperatorSettings: OperatorSettings = settingsOf(v.parse(schema, {}));
 
 /**
- * Parses the operators' file, for example `<shalekeel><ladder start="0.8"/></shalekeel>`. Unlike the parser
- * of the platform's file, it treats unknown elements and attributes as errors.
+ * Parses the operators' file, for example `<shalekeel><ladder start="0.8"/></shalekeel>`. Unknown elements
+ * and attributes are errors, unlike unknown fields in the platform's file.
  * @throws SettingsError that names the wrong element, or the line at which the XML is not well-formed.
  */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
-  // Loaded only if there is such a file, because start-up uses up the controller's share of a core.
+  // Loaded only if there is an operators' file, because start-up uses up the controller's share of a core.
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -46,10 +46,11 @@
   }),
 });
 
-/** The content of the platform's settings file after each field was checked on its own. */
+/** The content of the platform's settings file, after each field was checked separately. */
 export type PlatformFile = v.InferOutput<typeof platformFileSchema>;
 
 /**
- * The settings of the deployment. They are the same for all controllers, except for the quota of each one.
+ * The settings of the deployment. They are the same for all controllers, except for `quota`, which applies to
+ * one controller.
  */
 export type DeploymentSection = PlatformFile['settings'];
--- a/src/settings/settings.test.ts
+++ b/src/settings/settings.test.ts
@@ -6,7 +6,7 @@
 import { defaultOperatorSettings, parseOperatorSettings } from './operator.js';
 import { parseSettings } from './settings.js';
 
-test('the platform settings file is parsed, and unknown fields are ignored', () => {
+test("the platform's settings file is parsed, and unknown fields are ignored", () => {
   const settings = parseSettings(settingsJson((file) => (file['novelty'] = { a: 1 })));
   assert.equal(settings.label, 'keel-0');
   assert.equal(settings.workerLeaseMs, 14_000);
@@ -25,8 +25,8 @@
       (file) => ((file['settings'] as { workers: Record<string, unknown> }).workers['cancel_s'] = 10),
       /cancel_s/,
     ],
-    // Limits with which a controller cannot work are rejected at start-up: committing an outcome takes two
-    // changes in one transaction, and a page of the ledger has to hold one entry.
+    // At start-up, a controller rejects limits with which it could not work. The commit of an outcome needs
+    // two changes in one transaction, and a page of the ledger needs room for one entry.
     [
       (file) => ((file['settings'] as { state: Record<string, unknown> }).state['txn_ops'] = 1),
       /txn_ops: must be at least 2/,
@@ -35,7 +35,7 @@
       (file) => ((file['settings'] as { state: Record<string, unknown> }).state['value_kb'] = 0.5),
       /value_kb: must be at least 1/,
     ],
-    // Guards against a process that is killed for its memory use as soon as it has started.
+    // If less memory were accepted, the process would be killed for its memory use soon after its start.
     [
       (file) => ((file['settings'] as { quota: Record<string, unknown> }).quota['mem_mb'] = 64),
       /mem_mb: must be at least 96/,
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -6,8 +6,8 @@
 import { type DeploymentSection, type PlatformFile, platformFileSchema } from './platform-file.js';
 
 /**
- * A team and its quota: the guaranteed amounts, and the maximum amounts up to which the team may borrow. A
- * maximum of 0 means no limit.
+ * A team and its quota. The quota consists of guaranteed amounts and of maximum amounts, up to which the team
+ * may borrow. A maximum of 0 means no limit.
  */
 export interface Team {
   name: string;
@@ -18,15 +18,15 @@
 }
 
 /**
- * A service-level objective of a job class: the share `share` of the jobs or tasks of the class has to meet
- * the condition given by `kind`.
+ * A service-level objective of a job class. The share `share` of the jobs or tasks of the class has to meet
+ * the condition that `kind` names.
  */
 export interface Objective {
   kind: string;
   jobClass: string | undefined;
   share: number | undefined;
   withinS: number | undefined;
-  /** For objectives on deadlines: the multiple of a job's deadline that has to be met. */
+  /** For deadline objectives: the multiple of a job's deadline within which the job has to end. */
   times: number | undefined;
 }
 
@@ -35,17 +35,21 @@
   rps: number;
   writeRps: number;
   /**
-   * Largest size of a value in bytes: the smaller of the present and the upcoming limit. Controllers keep to
-   * the upcoming limit before it applies.
+   * Maximum size of a value in bytes: the smaller of the present and the upcoming limit, because controllers
+   * observe the upcoming limit before it applies.
    */
   valueBytes: number;
   /** Maximum number of changes in a transaction: the smaller of the present and the upcoming limit. */
   txnOps: number;
   /**
-   * The present limit of the size of a value. Earlier versions derive the layout of their records from it.
+   * The present maximum size of a value in bytes. Earlier versions derive the layout of their records from
+   * it.
    */
   presentValueBytes: number;
-  /** The share of the present rates that remains once the upcoming limits apply, at most 1. */
+  /**
+   * The upcoming rate limit as a share of the present rate limit, at most 1. It is derived from the limit of
+   * write requests.
+   */
   nextRateShare: number;
 }
 
@@ -67,10 +71,14 @@
   objectives: Objective[];
   heartbeatIntervalMs: number;
   /**
-   * How long a worker keeps its tasks running, from the time it sent the last heartbeat that got a response.
+   * Time for which a worker keeps its tasks running, counted from the sending of its latest heartbeat that
+   * got a response.
    */
   workerLeaseMs: number;
-  /** How long tasks of a cancelled job may go on running after the cancellation was confirmed to the user. */
+  /**
+   * Maximum time for which tasks of a cancelled job may go on running after the cancellation was confirmed to
+   * the user.
+   */
   cancelDeadlineMs: number;
   state: StateLimits;
   cloud: { rps: number; listLagMs: number };
@@ -79,15 +87,20 @@
 }
 
 /**
- * Minimum memory of a controller. A controller without any work uses some 80 MB. With less memory than this
- * minimum it would exit and restart again and again.
+ * Minimum memory of a controller in MB. A controller without any work uses some 80 MB. With less memory than
+ * this minimum, the process would exit and restart again and again.
  */
 const minMemoryMb = 96;
 
-/** The commit of an outcome consists of two changes in one transaction. */
+/**
+ * Minimum number of changes per transaction, because the commit of a job's outcome consists of two changes.
+ */
 const minTxnOps = 2;
 
-/** A value has to be large enough for a page of the ledger with at least one entry. */
+/**
+ * Minimum size limit of a value in KB, because a value has to hold a page of the ledger with at least one
+ * entry.
+ */
 const minValueKb = Math.ceil(minPageBytes / 1024);
 
 /**
@@ -133,7 +146,7 @@
   throw new SettingsFieldError(v.getDotPath(issue) ?? '(whole file)', issue.message);
 }
 
-/** Checks conditions that involve several fields, and minimum values that depend on the implementation. */
+/** Checks conditions that involve several fields, and minimum values that the implementation requires. */
 function checkDeployment({ workers, state, quota }: DeploymentSection): void {
   if (workers.cancel_s <= workers.lease_s) {
     throw new SettingsFieldError('settings.workers.cancel_s', 'must be more than lease_s');
