--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -1,9 +1,10 @@
 /**
- * Stored form of a block's lease: the owner, the machines and the quota share of each team.
+ * Stored form of a block's lease: the owner, the machines and the quota share of each team. A block is a set
+ * of machines with the work placed on them. It is leased to one controller, the owner.
  *
- * The keys are `block/<n>` and `machines/<n>/<page>`. The leader writes them (`LeaseWriter`), and so does the
- * owner when it renews its own lease (`LeaseRenewals`); both write through `BlockWriter`. Every controller
- * reads them, in `BlockRegistry`.
+ * The keys are `block/<n>` and `machines/<n>/<page>`. The leader writes the records under these keys
+ * (`LeaseWriter`). The owner writes them too, when it renews its lease of the block (`LeaseRenewals`). Both
+ * use `BlockWriter`. Every controller reads the records (`BlockRegistry`).
  *
  * `block/<n>`:
  *
@@ -12,8 +13,8 @@
  * | `owner` | `owner` | label of a controller |
  * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `shares` | `quotaShares` | by team: [cpus, accelerators] |
- * | `machines` | `machines` | groups, see below; missing where the machines are on pages |
- * | `leaseToken` | `leaseFencingToken` | revision, 0: of the record itself; only with machines on pages |
+ * | `machines` | `machines` | groups, see below; missing if the machines are on pages |
+ * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record itself; only if machines are on pages |
  *
  * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean
  * and a list. Each machine in that list is a list of its own:
@@ -22,13 +23,13 @@
  * | --- | --- | --- |
  * | 0 | `id` | name |
  * | 1 | `fencingToken` | revision, 0: that of the record itself |
- * | 2 | `rentedAt` | time of day, stored in s, in the code in ms |
- * | 3 | `draining` | 1; missing where the machine is not draining |
+ * | 2 | `rentedAt` | wall-clock time since the epoch, stored in s, in the code in ms |
+ * | 3 | `draining` | 1; missing if the machine is not draining |
  */
 import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
 import { machinesPrefix, type StoredValue } from './keys.js';
 
-/** A machine as it is listed in the record or on a page of its block. */
+/** A machine of a block, as listed in the record of the block or on a page of the block. */
 export interface LeasedMachine {
   id: string;
   /** The revision of the commit that leased the machine to its current owner. */
@@ -36,36 +37,45 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** No further task may be placed on the machine: it is about to be released or leased to another owner. */
+  /**
+   * Whether the machine is draining: no further task may be placed on it, because it is about to be released
+   * or to be leased to another owner.
+   */
   draining: boolean;
-  /** Time of day of the machine's rental in ms, as far as known. */
+  /** Wall-clock time in ms since the epoch at which the machine was rented, as far as known. */
   rentedAt: number;
-  /** The page that lists the machine; undefined before one is assigned or if the block's record lists it. */
+  /**
+   * Number of the page that lists the machine. Undefined if no page has been assigned to the machine yet, or
+   * if the record of the block lists the machine.
+   */
   page?: number;
 }
 
-/** The resources that the tasks of each team may use in one block; a team without an entry has no limit. */
+/** The resources that the tasks of each team may use in one block. A team without an entry has no limit. */
 export type QuotaShares = Record<string, [cpus: number, accelerators: number]>;
 
-/** The lease of a block, assembled from its record and its pages. */
+/** The lease of a block, assembled from the record and the pages of the block. */
 export interface BlockRecord {
-  /** The label of the controller that places tasks on the machines and answers their heartbeats. */
+  /** Label of the controller that places tasks on the machines and responds to their heartbeats. */
   owner: string;
   /**
-   * The incarnation of the owner that holds the lease. After a process restart the new incarnation renews the
-   * lease, which also renews the fencing tokens.
+   * The incarnation of the owner that holds the lease of the block. After a process restart, the new
+   * incarnation renews the lease, which also renews the fencing tokens.
    */
   incarnation: string;
   machines: LeasedMachine[];
   quotaShares: QuotaShares;
   /**
-   * The minimum fencing token of machines on pages: the revision at which the block was leased to its current
-   * owner.
+   * The minimum fencing token of machines on pages. It is the revision at which the block was leased to its
+   * current owner.
    */
   leaseFencingToken?: number;
 }
 
-/** The stored form of machines: grouped by type, zone and spot, which are stored once for each group. */
+/**
+ * The stored form of machines. Machines are grouped by type, zone and spot flag, so that these are stored
+ * once for each group.
+ */
 export function machineGroups(machines: Iterable<LeasedMachine>): unknown[] {
   const groups = new Map<string, unknown[]>();
   for (const machine of machines) {
@@ -82,12 +92,15 @@
   return [...groups.values()];
 }
 
-/** The group of a machine in the stored form: its type, zone and spot flag joined to one key. */
+/** The key of a machine's group in the stored form: its type, zone and spot flag, joined by slashes. */
 export function machineGroupKey({ type, zone, spot }: LeasedMachine): string {
   return `${type}/${zone}/${spot}`;
 }
 
-/** The stored form with all machines in the block's record itself, which earlier versions can read. */
+/**
+ * The stored form of a block whose machines are all in the record of the block. Earlier versions can read
+ * this form.
+ */
 export function blockRecord(record: BlockRecord): unknown {
   return { ...leaseFields(record), machines: machineGroups(record.machines) };
 }
@@ -101,21 +114,24 @@
   return { owner: record.owner, boot: record.incarnation, shares: record.quotaShares };
 }
 
-/** The `leaseFencingToken` of a lease that raises the fencing token of no machine. */
+/** A `leaseFencingToken` so low that it raises the fencing token of no machine. */
 const minFencingToken = 1;
 
 /**
- * Stored in place of a fencing token that is the revision of the commit that writes it, since that revision
- * is unknown until the commit is applied.
+ * Stored in place of a fencing token that equals the revision of the commit that stores it, because this
+ * revision is unknown until the commit is applied.
  */
 export const tokenFromCommitRevision = 0;
 
-/** Whether the block's record lists the machines itself; if so, any pages of the block are ignored. */
+/** Whether the record of the block lists the machines itself. If so, any pages of the block are ignored. */
 export function hasInlineMachines(value: unknown): boolean {
   return isFieldMap(value) && Array.isArray(value['machines']);
 }
 
-/** The pages of a block's machines in order of their numbers, from the keys with the pages' prefix. */
+/**
+ * The pages of a block's machines by page number, in ascending order. `entries` are the keys and values in
+ * the store whose keys start with `machinesPrefix(block)`.
+ */
 export function machinePages(
   block: number,
   entries: Iterable<readonly [string, StoredValue]>,
@@ -126,8 +142,8 @@
 }
 
 /**
- * Parses the lease of a block; undefined if the block has no record. `version` is the version of the record,
- * `pages` are the block's pages by page number.
+ * Parses the lease of a block. Returns undefined if the block has no record. `version` is the version of the
+ * record, and `pages` are the pages of the block by page number.
  */
 export function parseBlock(
   value: unknown,
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,5 +1,6 @@
 /**
- * Encodes requests to the cloud and parses its responses; `CloudClient` sends and receives all of them.
+ * Encodes requests to the cloud and parses its responses. `CloudClient` sends the requests and receives the
+ * responses.
  *
  * A machine type (`GET /machine_types`, list `hulls`):
  *
@@ -8,7 +9,7 @@
  * | `name` | `name` | name |
  * | `cpus`, `accelerators` | the same | amount |
  * | `memoryGb` | `memoryGb` | GB |
- * | `fetchGbPerS` | `fetchGbPerS` | GB/s; 1 where it is missing |
+ * | `fetchGbPerS` | `fetchGbPerS` | GB/s; 1 if it is missing |
  * | `price` | `price` | per hour |
  * | `marketPrice` | `spotPrice` | per hour |
  * | `startupS` | `bootS` | s |
@@ -30,7 +31,7 @@
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
- * | `charter` | `name` | name of the request, never reused for another |
+ * | `charter` | `name` | name of the request, never reused for another request |
  * | `hull` | `type` | name |
  * | `berth` | `zone` | name |
  * | `loaners` | `spot` | boolean |
@@ -51,7 +52,7 @@
   failed: 'failed',
 };
 
-/** Parses the machine types that the cloud offers; empty if the response lists none. */
+/** Parses the machine types that the cloud offers. Returns an empty list if the response contains none. */
 export function parseMachineTypes(body: unknown): MachineType[] {
   return asList(isFieldMap(body) ? body['hulls'] : undefined)
     .filter(isFieldMap)
@@ -75,7 +76,7 @@
   hasMore: boolean;
 }
 
-/** Parses a page of the list of rented machines; empty if the response lists none. */
+/** Parses a page of the list of rented machines. The page is empty if the response contains no machine. */
 export function parseMachineList(body: unknown): MachineListPage {
   const fields = isFieldMap(body) ? body : {};
   return {
@@ -96,7 +97,7 @@
 
 /**
  * The request path of a page of the list of rented machines. The page starts after the machine named `after`,
- * or at the first machine if `after` is empty, and has at most `limit` machines.
+ * or at the first machine if `after` is empty, and contains at most `limit` machines.
  */
 export function machineListPath(after: string, limit: number): string {
   const since = after === '' ? '' : `since=${encodeURIComponent(after)}&`;
@@ -108,12 +109,14 @@
  * rents no further machines.
  */
 export interface RentalRequest {
-  /** Idempotency key of the request: unique across all controllers and never reused. */
+  /**
+   * Idempotency key of the request. It is unique across all controllers and never reused for another request.
+   */
   name: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** How many machines to rent; the cloud may rent fewer. */
+  /** Number of machines to rent. The cloud may rent fewer machines. */
   count: number;
 }
 
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -55,7 +55,7 @@
   assert.equal(parseHeartbeat({ host: 'vm-1', watch: 1 }), undefined);
 });
 
-test("a fencing token stored as 0 is read as the revision of the block's record", () => {
+test("a fencing token stored as 0 is read as the version of the block's record", () => {
   const machine = { type: 'c8', zone: 'a', spot: false, rentedAt: 1000 };
   const machines = [
     { ...machine, id: 'vm-1', fencingToken: 0, draining: false },
@@ -65,8 +65,8 @@
   assert.deepEqual(record?.machines, [{ ...machines[0], fencingToken: 77 }, machines[1]]);
 });
 
-// Guards against a block record that exceeds the size limit of a value in the store because the fleet has
-// grown: the lease of that block could then not be written any more.
+// The record of a block grows with the fleet. If it exceeded the size limit of a value in the store, the
+// lease of the block could not be written any more.
 test('the record of a block with all machines of a large deployment fits into a value of the store', () => {
   const machines = Array.from({ length: 700 }, (_, i) => ({
     id: `vm-${String(i).padStart(6, '0')}`,
@@ -100,7 +100,7 @@
     active: Array.from({ length: tasks }, (_, i): [number, number, string] => [99_000 + i, 12, 'vm-1234567']),
   };
   assert.ok(jsonSizeBytes(ledgerPage([entry])) <= maxPlainEntryBytes(tasks));
-  // Every other task is done, so that each done task needs a range of its own.
+  // Every other task is done, so each done task needs a range of its own.
   const done = toRanges(Array.from({ length: tasks / 2 }, (_, i) => 90_000 + i * 2));
   assert.ok(
     jsonSizeBytes(ledgerPage([{ ...entry, done, active: entry.active.slice(0, tasks / 2) }])) <=
@@ -157,10 +157,10 @@
   }
 });
 
-// Guards against pages whose write is postponed for their size although they have room. Both bounds of a
-// range of completed tasks were counted like a task each: if tasks completed out of order, the size of the
-// entry was overestimated, and no task of the page could start until others had completed.
-test('a plain entry fits into the bytes reserved for it, in whatever order its tasks complete', () => {
+// Both bounds of a range of completed tasks were counted as one task each. If tasks completed out of order,
+// the size of their entry was therefore overestimated. The write of the page was postponed although the page
+// had room, and no task of the page could start until other tasks had completed.
+test('a plain entry fits into the bytes reserved for it in any order of completion of its tasks', () => {
   const tasks = 68;
   const first = 99_000;
   const base = {
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,6 +1,6 @@
 /**
  * MessagePack encoding shared by all protocols, and readers for fields that may be missing or of an
- * unexpected type: a receiver uses the fields that it understands and does not fail on the others.
+ * unexpected type. A receiver uses the fields that it can interpret and does not fail on any others.
  */
 import { Packr, Unpackr } from 'msgpackr';
 
@@ -23,10 +23,7 @@
   return packr.pack(value);
 }
 
-/**
- * Decodes a MessagePack value. Throws if the bytes end before the value is complete or if bytes follow the
- * value.
- */
+/** Decodes a MessagePack value. Throws if the bytes end before the end of the value or continue after it. */
 export function decode(bytes: Uint8Array): unknown {
   return unpackr.unpack(bytes);
 }
@@ -45,7 +42,7 @@
   return value;
 }
 
-/** The size of a value as JSON, in bytes. All size limits are measured in that form. */
+/** The size of a value as JSON, in bytes. All size limits refer to the size as JSON. */
 export function jsonSizeBytes(value: unknown): number {
   // `stringify` returns undefined for a value that has no JSON form, which its type declaration leaves out.
   return Buffer.byteLength((JSON.stringify as (value: unknown) => string | undefined)(value) ?? 'null');
@@ -62,8 +59,8 @@
 }
 
 /**
- * Returns the value if it is a number, else the fallback. Integers of up to 2^64 may be decoded as bigint and
- * are converted to a number; every value that this program compares or stores fits a number.
+ * Returns the value if it is a number, else the fallback. Integers of up to 2^64 may be decoded as bigint,
+ * and these are converted to a number. Every value that this program compares or stores fits a number.
  */
 export function asNumber(value: unknown, fallback = 0): number {
   if (typeof value === 'bigint') return Number(value);
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -1,10 +1,11 @@
 /**
- * Stored records about the controllers: which controller leads, which are alive, and which record format each
- * of them reads.
+ * Stored records about the controllers: the current leader, the live controllers, and the record format that
+ * each controller reads.
  *
- * `lead` is written by the `Election` of a candidate and bound to the candidate's lease. Every controller
- * reads it, in `Election`, and each commit that only the leader may make is conditioned on it. The revision
- * of the commit that wrote it is the leader's fencing token.
+ * `lead` is written by the `Election` of a candidate and bound to the candidate's lease in the store. The
+ * `Election` of every controller reads it. The revision of the commit that wrote `lead` is the leader's
+ * fencing token. Each commit that only the leader may make is conditioned on `lead` still having this
+ * revision as its version.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
@@ -12,18 +13,18 @@
  * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `serial` | `candidacy` | count from 1 in one incarnation |
  *
- * `alive/<label>` is written by the `Membership` of that controller and bound to its lease. If the key is
- * absent, the controller has failed or has no contact with the store. `Membership` and the leader's
- * `BlockRegistry` read it.
+ * `alive/<label>` is written by the `Membership` of that controller and bound to the controller's lease in
+ * the store. If the key is absent, the controller has failed or has no contact with the store. `Membership`
+ * and the leader's `BlockRegistry` read it.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
  * | `boot` | `incarnation` | as above |
  * | `zone` | `zone` | name of the zone |
  *
- * `formats/<label>` is written by the `Membership` of that controller and bound to no lease; the number never
- * decreases. `Membership` and `BlockRegistry` read it: the leader uses new record formats once every
- * controller reads them.
+ * `formats/<label>` is written by the `Membership` of that controller and bound to no lease. The stored
+ * number never decreases. `Membership` and `BlockRegistry` read it, because the leader uses a new record
+ * format only after every controller can read it.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
@@ -31,16 +32,17 @@
  */
 import { asNumber, asText, isFieldMap } from './codec.js';
 
-/** The record under `lead`: the candidate that won the latest election. */
+/** The record under `lead`. It identifies the candidate that won the latest election. */
 export interface LeaderRecord {
   label: string;
   /**
-   * The incarnation that was elected: after a restart, a controller does not lead by an election won before
-   * the restart.
+   * The incarnation that was elected. If a controller restarts after its election, the new incarnation does
+   * not lead.
    */
   incarnation: string;
   /**
-   * Distinguishes the candidacies of one incarnation, for the case that the response to a candidacy was lost.
+   * Distinguishes the candidacies of one incarnation. Needed if the response to the commit of a candidacy was
+   * lost.
    */
   candidacy: number;
 }
@@ -50,7 +52,7 @@
   return { label: lead.label, boot: lead.incarnation, serial: lead.candidacy };
 }
 
-/** Parses the leader record; undefined if there is no leader. */
+/** Parses the leader record. Returns undefined if there is no leader. */
 export function parseLeader(value: unknown): LeaderRecord | undefined {
   if (!isFieldMap(value)) return undefined;
   return {
@@ -60,7 +62,7 @@
   };
 }
 
-/** The record under `alive/<label>`: a controller whose lease has not expired. */
+/** The record under `alive/<label>`: a controller whose lease in the store has not expired. */
 export interface AliveRecord {
   incarnation: string;
   zone: string;
@@ -71,7 +73,7 @@
   return { boot: alive.incarnation, zone: alive.zone };
 }
 
-/** Parses the record of a live controller; undefined if the controller is not known to be alive. */
+/** Parses the record of a live controller. Returns undefined if the controller is not known to be alive. */
 export function parseAlive(value: unknown): AliveRecord | undefined {
   if (!isFieldMap(value)) return undefined;
   return { incarnation: asText(value['boot']), zone: asText(value['zone']) };
@@ -79,17 +81,17 @@
 
 /**
  * The record format of this version. From format 2 on, a controller reads dependencies of jobs, machines on
- * pages of their own and ledger entries of any size. A controller that has stored no format reads none of
- * these.
+ * pages of their own and ledger entries of any size. A controller whose record format is not in the store
+ * reads none of these.
  */
 export const currentFormat = 2;
 
-/** The stored form of the current format. */
+/** The stored form of `currentFormat`. */
 export function formatRecord(): unknown {
   return { format: currentFormat };
 }
 
-/** Parses the stored format of a controller; 0 if the controller has stored none. */
+/** Parses the stored record format of a controller. Returns 0 if the controller has stored no format. */
 export function parseFormat(value: unknown): number {
   return asNumber(isFieldMap(value) ? value['format'] : undefined);
 }
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -1,10 +1,10 @@
 /**
  * Stored records of jobs: open jobs with the ranges of tasks that are dispatched to blocks, and the outcomes
- * of jobs.
+ * of jobs. A block is a set of machines that is leased to one controller, its owner.
  *
- * `job/<id>` is written by `Submissions` of the controller that accepts the job, later by the leader's
- * `DispatchWriter`. The commit that writes the job's outcome deletes it. Every controller reads it
- * (`JobIndex`, `BlockState`), and `Intake` reads it to answer users.
+ * `job/<id>` is written by `Submissions` of the controller that accepts the job, and later by the leader's
+ * `DispatchWriter`. The commit that writes the job's outcome deletes `job/<id>`. Every controller reads it
+ * (`JobIndex`, `BlockState`), and `Intake` reads it to respond to users.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
@@ -12,14 +12,14 @@
  * | `parts` | `taskRanges` | list of [block, first, count]: numbers of a block and a task, count of tasks |
  *
  * `end/<id>` is written once: by the controller that cancels the job or finds that its last task is done
- * (`outcomeTransaction`), or by `Submissions`, in place of the job's record, if a submitted job depends on a
- * cancelled one. Every controller reads it.
+ * (`outcomeTransaction`). If a submitted job depends on a cancelled job, `Submissions` writes `end/<id>`
+ * instead of `job/<id>`. Every controller reads it.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
  * | `end` | `outcome` | `done` or `cancelled` |
  * | `tasks` | `tasks` | count of the job's tasks |
- * | `at` | `endedAt` | time of day in ms; records of earlier versions lack it |
+ * | `at` | `endedAt` | wall-clock time in ms since the epoch; records of earlier versions lack it |
  */
 import type { JobSpec } from '../model/types.js';
 import { asList, asNumber, type Fields, isFieldMap, jsonSizeBytes } from './codec.js';
@@ -31,11 +31,14 @@
 /** The record under `end/<id>`. */
 export interface OutcomeRecord {
   outcome: Outcome;
-  /** The number of the job's tasks, stored here to answer users after the job's record has been deleted. */
+  /**
+   * Number of tasks of the job. It is stored here because responses to users need it after the record of the
+   * job has been deleted.
+   */
   tasks: number;
   /**
-   * Time of day at which the job ended, in ms; the times of dependent jobs count from it. Undefined in
-   * records of earlier versions.
+   * Wall-clock time in ms since the epoch at which the job ended. The waiting times of dependent jobs count
+   * from it. Undefined in records of earlier versions.
    */
   endedAt?: number;
 }
@@ -47,7 +50,7 @@
   return fields;
 }
 
-/** Parses the outcome of a job; undefined if the job has none. */
+/** Parses the outcome of a job. Returns undefined if the job has no outcome. */
 export function parseOutcome(value: unknown): OutcomeRecord | undefined {
   if (!isFieldMap(value)) return undefined;
   const storedOutcome = value['end'];
@@ -57,22 +60,28 @@
   return record;
 }
 
-/** Consecutive tasks of a job that are dispatched to a block; the owner of the block places them. */
+/**
+ * Consecutive tasks of a job that are dispatched to a block. The owner of the block places them on its
+ * machines.
+ */
 export interface TaskRange {
   block: number;
   first: number;
   count: number;
 }
 
-/** Bytes reserved in a job's record for the ranges of its tasks, as JSON: limits apply to that form. */
+/**
+ * Size in bytes, as JSON, that is reserved in a job's record for the ranges of its tasks. Size limits refer
+ * to the size as JSON.
+ */
 export const reservedTaskRangesBytes = 256;
 
-/** Bytes that one range takes at most, as JSON. */
+/** Maximum size of one range in bytes, as JSON. */
 const bytesPerTaskRange = 24;
 
 /**
- * How many ranges the record of a job can hold, at least 1, if a value of the state service has at most
- * `valueBytes` bytes.
+ * Maximum number of ranges that the record of a job can hold, at least 1. `valueBytes` is the maximum size of
+ * a value in the state service.
  */
 export function maxTaskRanges(spec: JobSpec, valueBytes: number): number {
   const bytes = valueBytes - jsonSizeBytes(jobRecord({ spec, taskRanges: [] }));
@@ -82,7 +91,10 @@
 /** The record under `job/<id>`: a job that has no outcome yet. */
 export interface JobRecord {
   spec: JobSpec;
-  /** The dispatched tasks. The leader has yet to dispatch all others: no block has had room for them. */
+  /**
+   * The dispatched tasks. The other tasks wait for their dispatch by the leader, because no block has had
+   * room for them yet.
+   */
   taskRanges: TaskRange[];
 }
 
@@ -94,7 +106,10 @@
   };
 }
 
-/** Parses the record of an open job; undefined if there is none, or if it names no job. */
+/**
+ * Parses the record of an open job. Returns undefined if there is no record or if the record contains no job
+ * id.
+ */
 export function parseJobRecord(value: unknown): JobRecord | undefined {
   if (!isFieldMap(value) || !isFieldMap(value['spec']) || typeof value['spec']['id'] !== 'string')
     return undefined;
--- a/src/wire/job-spec-record.test.ts
+++ b/src/wire/job-spec-record.test.ts
@@ -13,8 +13,8 @@
   assert.deepEqual(encode(jobSpecRecord(parseJobSpec(jobSpecRecord(spec)))), encode(jobSpecRecord(spec)));
 });
 
-// Guards against the loss of fields that a later version has stored in a job's record: a leader of this
-// version that dispatches the job writes the record again.
+// A later version may store fields in a job's record that this version does not define. If a leader of this
+// version then dispatches the job, it writes the record again. These fields must not be lost.
 test('unknown fields in the record of a job are kept when the record is written again', () => {
   const stored = { ...jobSpecRecord(jobSpec('req-000001', 3)), novelty: { a: [1] } };
   const job = parseJobRecord({ spec: stored, parts: [] });
@@ -22,7 +22,7 @@
   assert.deepEqual(jobRecord(job), { spec: stored, parts: [] });
 });
 
-test('a job record without the id of a job is ignored', () => {
+test('a job record without a job id is ignored', () => {
   assert.equal(parseJobRecord({ spec: { team: 'red' }, parts: [] }), undefined);
   assert.equal(parseJobRecord({ parts: [] }), undefined);
   assert.equal(parseJobRecord([1]), undefined);
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -1,8 +1,9 @@
 /**
  * Stored form of a job's specification, as the user submitted it: the field `spec` of the record under
- * `job/<id>`. `Submissions` writes it when the job is accepted. All later writes of the record keep it
- * unchanged, including fields that only later versions use. Its readers are listed in `job-records.ts`. A
- * test compares the stored form with kept samples: names in the code may change, stored names may not.
+ * `job/<id>`. `Submissions` writes it when the job is accepted. All later writes of the record keep `spec`
+ * unchanged, including fields that only later versions define. `job-records.ts` lists the readers of the
+ * record. A test compares the stored form with kept samples, because names in the code may change but stored
+ * names may not.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
@@ -20,8 +21,8 @@
  * | `checkpointS` | `checkpointIntervalS` | s |
  * | `saveS` | `checkpointSaveS` | s |
  * | `deadlineS` | `deadlineS` | s from the acceptance, or null |
- * | `acceptedAt` | `acceptedAt` | time of day in ms |
- * | `dependencies` | `dependencies` | list of ids; missing where the job has none |
+ * | `acceptedAt` | `acceptedAt` | wall-clock time in ms since the epoch |
+ * | `dependencies` | `dependencies` | list of ids; missing if the job has none |
  */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { asList, asNumber, asText, type Fields } from './codec.js';
@@ -51,8 +52,8 @@
 ]);
 
 /**
- * The stored form of a job's specification. `dependencies` is left out if there are none: earlier versions
- * lack the field.
+ * The stored form of a job's specification. A job without dependencies has no field `dependencies`, as in
+ * records of earlier versions.
  */
 export function jobSpecRecord(spec: JobSpec): Fields {
   const fields: Fields = {
@@ -114,8 +115,8 @@
 }
 
 /**
- * The fields that this version does not define; undefined if there are none. No object is allocated in that
- * case, since records are read often and hardly any record has such fields.
+ * The fields that this version does not define, or undefined if there are none. In that case no object is
+ * allocated, because records are read often and hardly any record contains such fields.
  */
 function unknownFieldsOf(fields: Fields): Fields | undefined {
   let unknownFields: Fields | undefined;
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,5 +1,5 @@
 /**
- * Parses users' submissions (`POST /v2/runs`) and builds the responses to users, both for `Intake`.
+ * Parses users' submissions (`POST /v2/runs`) and builds the responses to users. `Intake` uses both.
  *
  * A submission:
  *
@@ -42,12 +42,15 @@
 
 const jobIdPattern = /^req-\d{1,18}$/;
 
-/** Whether the text has the form of a job id. No job with an id of another form can have been submitted. */
+/** Whether the text has the form of a job id. A job whose id has another form cannot have been submitted. */
 export function isJobId(id: string): boolean {
   return jobIdPattern.test(id);
 }
 
-/** The job id of a submission that may be malformed otherwise; undefined if it has no well-formed id. */
+/**
+ * The job id of a submission whose other fields may be malformed. Undefined if the submission contains no
+ * well-formed job id.
+ */
 export function submittedJobId(body: unknown): string | undefined {
   const id = isFieldMap(body) ? asText(body['id']) : '';
   return isJobId(id) ? id : undefined;
@@ -82,9 +85,9 @@
 });
 
 /**
- * Parses a submission. Returns the job, or, if the submission is malformed, the path of the first invalid
- * field and the reason why it is invalid. `acceptedAt` is the time of day in ms. A dependency that is listed
- * twice is kept once.
+ * Parses a submission. Returns the job. If the submission is malformed, returns the path of the first invalid
+ * field and the reason why the field is invalid. `acceptedAt` is the wall-clock time in ms since the epoch. A
+ * dependency that is listed twice is kept once.
  */
 export function parseJob(body: unknown, acceptedAt: number): JobSpec | string {
   const result = v.safeParse(submissionSchema, body);
@@ -119,7 +122,9 @@
   };
 }
 
-/** The status of a job as users see it: `pending` until a task runs, then `running`, then the outcome. */
+/**
+ * The status of a job in responses to users: `pending` until a task runs, then `running`, then the outcome.
+ */
 export type JobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** The body of the response to a submission or a cancellation. */
@@ -127,7 +132,7 @@
   return { id, status };
 }
 
-/** The body of the response to a query: `done` and `running` are counts of tasks. */
+/** The body of the response to a query. `done` and `running` are counts of tasks. */
 export function jobDetailsResponse(id: string, status: JobStatus, done: number, running: number): unknown {
   return { id, status, done, running };
 }
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,6 +1,6 @@
 /**
- * The keys under which controllers store records in the state service. `state.ts` prefixes them with a common
- * root. `<n>` is the number of a block.
+ * The keys under which controllers store records in the state service. `state.ts` adds a common root as a
+ * prefix to all keys. `<n>` is the number of a block, a set of machines that is leased to one controller.
  *
  * | key | record | form in | written by |
  * | --- | --- | --- | --- |
@@ -15,9 +15,12 @@
  * | `end/<id>` | the outcome of a job | `job-records.ts` | `outcomeTransaction`, `Submissions` |
  */
 
-/** The record of the leader. Its version is the fencing token; the leader's commits are conditioned on it. */
+/**
+ * The record of the leader. The version of this record is the leader's fencing token, and the leader's
+ * commits are conditioned on this version.
+ */
 export const leaderKey = 'lead';
-/** The record of a live controller, bound to that controller's lease. */
+/** The record of a live controller, bound to the controller's lease in the store. */
 export const aliveKey = (label: string): string => `alive/${label}`;
 /** The lease record of a block. Blocks are numbered from 0. */
 export const blockKey = (block: number): string => `block/${block}`;
@@ -25,34 +28,38 @@
 export const machinesPrefix = (block: number): string => `machines/${block}/`;
 /** A page of a block's machines. Pages are numbered from 0. */
 export const machinesKey = (block: number, page: number): string => `${machinesPrefix(block)}${page}`;
-/** The record format that a controller reads and writes; kept permanently once the controller has run. */
+/**
+ * The record format that a controller reads and writes. It is kept permanently after the controller has run.
+ */
 export const formatKey = (label: string): string => `formats/${label}`;
-/** The moved thresholds of a pool; a pool is one machine type, spot or not. */
+/** The moved thresholds of a pool. A pool consists of the machines of one type, spot or not. */
 export const ladderKey = (pool: string): string => `ladder/${pool}`;
-/** The record of an open job: stored when the job is accepted, deleted when the job has an outcome. */
+/**
+ * The record of an open job. It is stored when the job is accepted and deleted when the job has an outcome.
+ */
 export const jobKey = (id: string): string => `job/${id}`;
 /** The prefix of the outcomes of jobs. */
 export const outcomePrefix = 'end/';
 /** The outcome of a job, which never changes. */
 export const outcomeKey = (id: string): string => `${outcomePrefix}${id}`;
 
-/** The id of the job whose outcome is stored under the key; undefined for other keys. */
+/** The id of the job whose outcome is stored under the key. Undefined for keys of other records. */
 export const jobOfOutcomeKey = (key: string): string | undefined =>
   key.startsWith(outcomePrefix) ? key.slice(outcomePrefix.length) : undefined;
 
-/** The prefix of the pages of a block's ledger. */
+/** The prefix of the pages of a block's ledger, which records the progress of the tasks in the block. */
 export const ledgerPrefix = (block: number): string => `run/${block}/`;
 /** A page of a block's ledger. */
 export const ledgerKey = (block: number, page: number): string => `${ledgerPrefix(block)}${page}`;
 
-/** The numbers of the block and of the page in the key of a ledger page; undefined for other keys. */
+/** The block number and the page number in the key of a ledger page. Undefined for keys of other records. */
 export function parseLedgerKey(key: string): { block: number; page: number } | undefined {
   const [root, block, page] = key.split('/');
   if (root !== 'run' || block === undefined || page === undefined) return undefined;
   return { block: Number(block), page: Number(page) };
 }
 
-/** A value in the store and its version, the revision of its last change. */
+/** A value in the store and its version, which is the store revision of its latest change. */
 export interface StoredValue {
   value: unknown;
   version: number;
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -1,31 +1,33 @@
 /**
- * Stored form of the thresholds of a pool, which consists of the machines of one type, spot or not.
+ * Stored form of the moved thresholds of a pool, which consists of the machines of one type, spot or not.
+ * Machine number m of a pool is rented when the demand in slots reaches threshold m. The leader moves
+ * thresholds away from their initial values.
  *
- * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds. The
- * `ThresholdStore` of a new leader reads it at the start of the leader's term.
+ * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds of the
+ * pool. The `ThresholdStore` of a new leader reads it at the start of the term.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
- * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], last moved one last |
+ * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], most recently moved last |
  */
 import { asList, asNumber, isFieldMap } from './codec.js';
 
-/** Bytes that one threshold takes at most, as JSON: size limits are measured in that form. */
+/** Maximum size of one threshold in bytes, as JSON, because size limits refer to the size as JSON. */
 const bytesPerThreshold = 20;
 
-/** Bytes that a record without thresholds takes at most, as JSON. */
+/** Maximum size in bytes, as JSON, of a record without thresholds. */
 const emptyRecordBytes = 20;
 
 /**
- * The stored form of the thresholds that have been moved from their start value. If there are too many for a
- * value of `valueBytes` bytes, only the most recently moved ones are stored.
+ * The stored form of the thresholds that have been moved from their initial values. If a value of
+ * `valueBytes` bytes cannot hold all of them, only the most recently moved thresholds are stored.
  */
 export function ladderRecord(moved: [number, number][], valueBytes = Infinity): unknown {
   const maxThresholds = Math.floor((valueBytes - emptyRecordBytes) / bytesPerThreshold);
   return { moved: moved.slice(-maxThresholds) };
 }
 
-/** Parses the moved thresholds of a pool; empty if the pool has no record. */
+/** Parses the moved thresholds of a pool. Returns an empty list if the pool has no record. */
 export function parseLadder(value: unknown): [number, number][] {
   return asList(isFieldMap(value) ? value['moved'] : undefined).map((entry) => {
     const [machineNumber, slots] = asList(entry);
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -1,10 +1,11 @@
 /**
- * Stored form of the pages of a block's ledger, in which the owner of the block records the progress of
- * tasks, and the sizes of their entries in bytes.
+ * Stored form of the pages of a block's ledger, and the sizes of ledger entries in bytes. A block is a set of
+ * machines that is leased to one controller, its owner. The owner records the progress of the block's tasks
+ * in the ledger.
  *
- * `run/<n>/<page>` is written by the block's owner (`LedgerWriter`): each attempt is recorded before its
- * start command is sent. Every controller reads the pages, in `LedgerIndex`, and a new owner of the block
- * reads them when it takes over.
+ * `run/<n>/<page>` is written by the owner of the block (`LedgerWriter`). The owner records each task attempt
+ * before it sends the start command of the attempt. Every controller reads the pages (`LedgerIndex`). A new
+ * owner of the block reads the pages when it takes over the block.
  *
  * A page is a list of entries, and each entry is a list. Both forms of an entry begin with:
  *
@@ -33,7 +34,7 @@
  * | 8 | `waiting` | task, last attempt, and so on |
  * | 9 | `done` | as in the plain form |
  * | 10 | `chunkTasks` | count of tasks |
- * | 11 | form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
+ * | 11 | form of machine names | [prefix, count of digits]; a number in place of a machine stands for such a name |
  *
  * Tasks are numbered from 0 within their job, attempts from 1.
  */
@@ -41,14 +42,14 @@
 
 /**
  * The recorded state of one chunk of a job's tasks in a block. A chunk is a range of consecutive task numbers
- * that fits into one entry. A task of the chunk that is in none of the lists has never been started.
+ * that fits into one entry. A task of the chunk that is in none of the three lists has never been started.
  */
 export interface LedgerEntry {
   id: string;
   chunk: number;
   /**
-   * Team and resources are stored here so that tasks still on machines count after the job's record has been
-   * deleted.
+   * Team and resources are stored here so that tasks still on machines count towards the usage of the team
+   * after the record of the job has been deleted.
    */
   team: string;
   cpus: number;
@@ -56,19 +57,22 @@
   memoryGb: number;
   /** Tasks that are or may be on a machine: [index, attempt, machine]. */
   active: [number, number, string][];
-  /** Tasks that wait for a retry after an earlier attempt: [index, last attempt]. */
+  /** Tasks that wait for a retry after an earlier attempt: [index, number of the latest attempt]. */
   waiting: [number, number][];
-  /** Completed tasks as ranges: first, last, first, last… */
+  /** Completed tasks as ranges: first, last, first, last, … */
   done: number[];
   /**
-   * The number of tasks in a chunk; undefined if the chunks have the size that earlier versions use. If
-   * entries with different chunk sizes cover a task, the entry with the smallest size is the newest, and all
-   * others are ignored for this task.
+   * Number of tasks in a chunk. Undefined if the chunks have the size that earlier versions use. If entries
+   * with different chunk sizes cover a task, the entry with the smallest chunk size is the newest, and all
+   * other entries are ignored for this task.
    */
   chunkTasks?: number;
 }
 
-/** The stored form of a page. It holds entries of many jobs, so that one write records a placement round. */
+/**
+ * The stored form of a page. A page holds entries of many jobs, so that one write can record all starts of a
+ * placement round, that is, of one pass of the scheduler over the waiting tasks.
+ */
 export function ledgerPage(entries: LedgerEntry[]): unknown {
   return entries.map(ledgerEntry);
 }
@@ -83,8 +87,9 @@
 }
 
 /**
- * Parses the entries of a page; empty if there is no page. The items of the lists are not validated: every
- * controller reads every page of all other controllers, and only controllers write pages.
+ * Parses the entries of a page. Returns an empty list if there is no page. The items of the lists are not
+ * validated, because every controller reads every page of all other controllers, and only controllers write
+ * pages.
  */
 export function parseLedgerPage(value: unknown): LedgerEntry[] {
   return asList(value)
@@ -105,7 +110,9 @@
 
 type EntryTasks = Pick<LedgerEntry, 'active' | 'waiting' | 'done' | 'chunkTasks'>;
 
-/** Number of lists at the end of a plain entry: active, waiting and done tasks. A compact entry has more. */
+/**
+ * Number of lists at the end of a plain entry: active, waiting and done tasks. A compact entry contains more.
+ */
 const plainListCount = 3;
 
 function parsePlainTasks([active, waiting, done]: unknown[]): EntryTasks {
@@ -116,7 +123,10 @@
   };
 }
 
-/** The form of machine names that are stored as a number: a prefix and the count of digits that follow it. */
+/**
+ * The form of the machine names that are stored as a number: a prefix and the count of digits after the
+ * prefix.
+ */
 type MachineNameForm = [prefix: string, digits: number];
 
 const numberedNamePattern = /^(.*?)([0-9]{1,15})$/;
@@ -137,9 +147,9 @@
 }
 
 /**
- * The compact form of an entry's tasks. The lists are flat to save space, since each change writes a whole
+ * The compact form of an entry's tasks. The lists are flat to save space, because each change writes a whole
  * page: first attempts as pairs of task and machine, later attempts as triples of task, attempt and machine,
- * waiting tasks as pairs of task and last attempt, completed tasks as ranges.
+ * waiting tasks as pairs of task and latest attempt, completed tasks as ranges.
  */
 function compactTasks({ active, waiting, done, chunkTasks }: LedgerEntry): unknown[] {
   const nameForm = nameFormOf(active[0]?.[2] ?? '');
@@ -181,31 +191,36 @@
   return Array.from({ length: Math.floor(all.length / size) }, (_, i) => all.slice(i * size, (i + 1) * size));
 }
 
-/** Bytes that a task or a range of completed tasks takes at most, as JSON: limits apply to that form. */
+/**
+ * Maximum size in bytes, as JSON, of a task or of a range of completed tasks. Size limits refer to the size
+ * as JSON.
+ */
 const bytesPerTask = 28;
 
-/** Bytes that an entry without tasks takes at most, as JSON. */
+/** Maximum size in bytes, as JSON, of an entry without tasks. */
 const bytesPerEntry = 120;
 
-/** An entry takes at most this share of a page, so that little of a page stays unused. */
+/** Maximum share of a page that one entry may use, so that little of a page stays unused. */
 const maxEntryShareOfPage = 1 / 4;
 
-/** The minimum size of a page in bytes: an entry with a single task must fit into its share of the page. */
+/**
+ * Minimum size of a page in bytes, because an entry with a single task has to fit into its share of the page.
+ */
 export const minPageBytes = Math.ceil((bytesPerEntry + bytesPerTask) / maxEntryShareOfPage);
 
-/** How many tasks a plain entry can hold, at least 1, if a page has at most `valueBytes` bytes. */
+/** Maximum number of tasks in a plain entry, at least 1, if a page has at most `valueBytes` bytes. */
 export function plainTasksPerChunk(valueBytes: number): number {
   return Math.max(1, Math.floor((valueBytes * maxEntryShareOfPage - bytesPerEntry) / bytesPerTask));
 }
 
-/** Bytes that a plain entry with this number of tasks takes at most. */
+/** Maximum size in bytes of a plain entry with this number of tasks. */
 export function maxPlainEntryBytes(tasks: number): number {
   return bytesPerEntry + tasks * bytesPerTask;
 }
 
 /**
- * Bytes that an entry takes at most with its current tasks. The size of a plain entry is estimated. A compact
- * entry is measured, since compact entries may fill a page to the last byte.
+ * Maximum size in bytes of an entry with its current tasks. The size of a plain entry is estimated. The size
+ * of a compact entry is measured, because compact entries may fill a page to the last byte.
  */
 export function maxEntryBytes(entry: LedgerEntry): number {
   if (entry.chunkTasks !== undefined) return jsonSizeBytes(ledgerEntry(entry)) + 1;
@@ -214,18 +229,23 @@
   return bytesPerEntry + (active.length + waiting.length + doneRanges) * bytesPerTask;
 }
 
-/** Bytes that a task of a compact entry takes at most while the task is on no machine, as JSON. */
+/** Maximum size in bytes, as JSON, of a task in a compact entry if the task is on no machine. */
 const bytesPerIdleTask = 11;
 
-/** Bytes that a compact entry without tasks takes in most cases, as JSON. */
+/** Usual size in bytes, as JSON, of a compact entry without tasks. */
 const bytesPerCompactEntry = 80;
 
-/** How many tasks a compact entry is given, at least 1, if a page has at most `pageBytes` bytes. */
+/**
+ * Number of tasks in a chunk that is stored as a compact entry, at least 1, if a page has at most `pageBytes`
+ * bytes.
+ */
 export function compactTasksPerChunk(pageBytes: number): number {
   return Math.max(1, Math.floor((pageBytes * maxEntryShareOfPage - bytesPerCompactEntry) / bytesPerIdleTask));
 }
 
-/** Bytes that a compact entry with this number of tasks takes at most while no task is on a machine. */
+/**
+ * Maximum size in bytes of a compact entry with this number of tasks if none of the tasks is on a machine.
+ */
 export function maxIdleCompactEntryBytes(entry: LedgerEntry, tasks: number): number {
   return maxEntryBytes({ ...entry, active: [], waiting: [], done: [] }) + tasks * bytesPerIdleTask;
 }
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -1,6 +1,6 @@
 /**
  * Compares the messages sent to and received from the state service, the cloud, users and workers with kept
- * samples. Guards against a change of the wire format. Peer statuses are compared in
+ * samples, so that a change of the wire format is detected. Peer statuses are compared in
  * `peers/peer-links.test.ts`, over a real connection.
  */
 import assert from 'node:assert/strict';
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -1,6 +1,6 @@
 /**
  * Wire form of the status messages that controllers send to each other. The `PeerLinks` of one controller
- * sends a status; the `PeerLinks` of the other receives it and passes it to `PeerStatusHandler`. Statuses are
+ * sends a status. The `PeerLinks` of the receiving controller passes it to `PeerStatusHandler`. Statuses are
  * not stored.
  *
  * | wire | in the code | unit |
@@ -8,11 +8,11 @@
  * | `from` | `from` | label of the sender |
  * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `serial` | `sequence` | count from 1 in one incarnation |
- * | `echo` | `echoedSequence` | the receiver's `serial` last received, else 0 |
+ * | `echo` | `echoedSequence` | the latest `serial` received from the receiver, else 0 |
  * | `echoBoot` | `echoedIncarnation` | the receiver's `boot` in the same message, else empty |
  * | `knows` | `storeRevision` | revision of the state service |
  * | `contactAge` | `storeContactAgeMs` | ms |
- * | `token` | `fencingToken` | revision of the state service, 0 while the sender does not lead |
+ * | `token` | `fencingToken` | revision of the state service, 0 if the sender does not lead |
  * | `gone` | `terminatedMachines` | list of names |
  * | `up` | `bootedMachines` | list of names |
  * | `since` | `cancelledSince` | revision of the state service |
@@ -23,31 +23,42 @@
 /** A cancelled job and the revision at which its outcome was stored. */
 export type CancelledJob = [id: string, version: number];
 
-/** The cancellations that a controller lists for a peer; the list is complete after `cancelledSince`. */
+/**
+ * The cancellations that a controller lists for a peer. The list is complete for all revisions after
+ * `cancelledSince`.
+ */
 export interface CancellationList {
-  /** A revision: the list has every later cancellation that the sender has confirmed to a user. */
+  /**
+   * A revision of the store. The list contains every cancellation with a later revision that the sender has
+   * confirmed to a user.
+   */
   cancelledSince: number;
   cancelled: CancelledJob[];
 }
 
-/** The status that a controller sends to each of the others, several times per heartbeat interval. */
+/** The status that a controller sends to each of its peers, several times per heartbeat interval. */
 export interface PeerStatus extends CancellationList {
   /** The label of the sender. */
   from: string;
   incarnation: string;
   /** Increases with each status that the incarnation sends. */
   sequence: number;
-  /** How long the sender has had no contact with the store, in ms. */
+  /** Time in ms since the sender's latest contact with the store. */
   storeContactAgeMs: number;
-  /** The sender's fencing token while it leads, else 0. */
+  /** The fencing token of the sender if it is the leader, else 0. */
   fencingToken: number;
-  /** The last sequence number that the sender has received from this incarnation of the receiver, else 0. */
+  /**
+   * The latest sequence number that the sender has received from the receiver's incarnation
+   * `echoedIncarnation`, else 0.
+   */
   echoedSequence: number;
-  /** The incarnation of the receiver that sent the echoed sequence number; empty if there is none. */
+  /**
+   * The incarnation of the receiver that sent the echoed sequence number. Empty if there is no such number.
+   */
   echoedIncarnation: string;
-  /** The revision that the sender's replica of the store has reached. */
+  /** The latest store revision that the sender's replica of the store contains. */
   storeRevision: number;
-  /** Machines that the sender has recently proven to be terminated. */
+  /** Machines whose termination the sender has recently proven. */
   terminatedMachines: string[];
   /** Machines whose first heartbeat the sender has recently received. */
   bootedMachines: string[];
@@ -72,8 +83,8 @@
 }
 
 /**
- * Parses a status; undefined if the message does not name its sender or lacks one of the lists. The items of
- * the lists are not validated, since only controllers send statuses.
+ * Parses a status. Returns undefined if the message lacks the label of the sender or one of the lists. The
+ * items of the lists are not validated, because only controllers send statuses.
  */
 export function parsePeerStatus(message: unknown): PeerStatus | undefined {
   if (!isFieldMap(message)) return undefined;
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,13 +1,13 @@
 /**
- * Encodes requests to the state service and parses its responses. `transactions.ts` handles those of commits,
- * `StoreClient` and `ChangeWatch` all others. Keys in the code have no root; on the wire, all keys start with
- * one common root.
+ * Encodes requests to the state service and parses its responses. `transactions.ts` handles the requests and
+ * responses of commits. `StoreClient` and `ChangeWatch` handle all others. Keys in the code have no root. On
+ * the wire, all keys start with one common root.
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
  * | `path`, `set`, `drop` | `key` | key, prefixed with the root |
  * | `value` | `value` | a record |
- * | `stamp` | `version` | revision of the key's last change; in a condition 0: no such key |
+ * | `stamp` | `version` | revision of the key's latest change; in a condition 0: no such key |
  * | `logline` | `revision` | count of all changes in the store so far |
  * | `tenure` | `lease` | number of a lease |
  *
@@ -44,7 +44,7 @@
  */
 import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
 
-/** A condition of a commit: the commit is applied only if the key has this version. */
+/** A condition of a commit. The commit is applied only if the key has this version. */
 export interface Condition {
   key: string;
   /** 0: the key does not exist. */
@@ -52,7 +52,7 @@
 }
 
 /**
- * A write of a commit: puts the value of a key or deletes the key. A value that is put without a lease is
+ * A write of a commit. It puts the value of a key or deletes the key. A value that is put without a lease is
  * kept until it is deleted, even if the key was bound to a lease before.
  */
 export type Write = { put: string; value: unknown; lease?: number } | { drop: string };
@@ -62,17 +62,20 @@
   return 'drop' in write ? write.drop : write.put;
 }
 
-/** Bytes of JSON for a transaction's writes and conditions: the service's limit less room for framing. */
+/**
+ * Maximum size in bytes, as JSON, of the writes and conditions of a transaction: the limit of the state
+ * service minus room for framing.
+ */
 export const maxTransactionBytes = 60 * 1024;
 
-/** A key with its value and the revision of its last change. */
+/** A key with its value and the revision of its latest change. */
 export interface Item {
   key: string;
   value: unknown;
   version: number;
 }
 
-/** A change reported by a watch; `value` is undefined if the key was deleted. */
+/** A change that a watch reported. `value` is undefined if the key was deleted. */
 export interface Change {
   key: string;
   value: unknown;
@@ -98,14 +101,14 @@
 }
 
 /**
- * The request path for watching all keys below the root. The service responds once a key has changed after
- * the revision `since`, or after `waitMs`.
+ * The request path for watching all keys below the root. The service responds as soon as there is a change
+ * after the revision `since`, or after `waitMs` if there is none.
  */
 export function watchPath(since: number, waitMs: number): string {
   return `/changes?prefix=${encodeURIComponent(keyRoot)}&since=${since}&holdMs=${waitMs}`;
 }
 
-/** The request body of a commit; a commit without writes only checks its conditions. */
+/** The request body of a commit. A commit without writes only checks its conditions. */
 export function commitBody(conditions: Condition[], writes: Write[]): unknown {
   const body: Fields = {
     when: conditions.map((condition) => ({ path: keyRoot + condition.key, stamp: condition.version })),
@@ -121,7 +124,10 @@
   return body;
 }
 
-/** Parses the response to a commit: the revision and, if it was refused, the keys whose conditions failed. */
+/**
+ * Parses the response to a commit: the revision of the store and, if the commit was refused, the keys whose
+ * conditions failed.
+ */
 export function parseCommit(body: unknown): { revision: number; failed: string[] } {
   const fields = isFieldMap(body) ? body : {};
   return {
@@ -130,7 +136,7 @@
   };
 }
 
-/** The revision of the store at the time of a response; undefined if the response does not contain it. */
+/** The revision of the store at the time of a response. Undefined if the response does not contain it. */
 export function revisionOf(body: unknown): number | undefined {
   const revision = isFieldMap(body) ? body['logline'] : undefined;
   return typeof revision === 'number' ? revision : undefined;
@@ -145,7 +151,7 @@
   };
 }
 
-/** Parses the response to a read of one key; undefined if it holds no item. */
+/** Parses the response to a read of one key. Returns undefined if the response contains no item. */
 export function parseRead(body: unknown): Item | undefined {
   return parseItem(body);
 }
@@ -170,7 +176,10 @@
   };
 }
 
-/** Parses the response to a watch: the changes in order, and the revision that includes all of them. */
+/**
+ * Parses the response to a watch: the changes in order, and a revision of the store that includes all of
+ * them.
+ */
 export function parseChanges(body: unknown): { changes: Change[]; revision: number } {
   const fields = isFieldMap(body) ? body : {};
   return {
@@ -189,17 +198,17 @@
   };
 }
 
-/** The request body for creating a lease; the time to live is rounded to whole ms. */
+/** The request body for creating a lease. The time to live is rounded to whole ms. */
 export function createLeaseBody(ttlMs: number): unknown {
   return { lifeMs: Math.round(ttlMs) };
 }
 
-/** Parses the id of a new lease; -1 if the response contains none. */
+/** Parses the id of a new lease. Returns -1 if the response contains no id. */
 export function parseLeaseId(body: unknown): number {
   return asNumber(isFieldMap(body) ? body['tenure'] : undefined, -1);
 }
 
-/** The request path of a lease; with `/touch` appended, the path for renewing the lease. */
+/** The request path of a lease. If `/touch` is appended, it is the path for renewing the lease. */
 export function leasePath(id: number): string {
   return `/grants/${id}`;
 }
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -1,6 +1,6 @@
 /**
  * Compares every stored record form with samples that an earlier version wrote, for writing and for reading.
- * Guards against a change of a stored form, which other versions of the controller could then not read.
+ * If a stored form changed, other versions of the controller could not read the records.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -53,7 +53,7 @@
 
 const samples = new Samples('stored.json');
 
-/** The revision at which a sample was stored. */
+/** The version with which the samples are read: the store revision of their latest change. */
 const version = 412;
 
 const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
@@ -216,7 +216,7 @@
   }
 });
 
-test('the record of a block that lists its machines matches the kept sample', () => {
+test('the record of a block with its machines in the record matches the kept sample', () => {
   samples.assertWritten('block, machines', blockRecord(block));
   samples.assertRead('block, machines', (value) => parseBlock(value, version), {
     ...block,
@@ -224,7 +224,7 @@
   });
 });
 
-test('a fencing token of 0, which stands for the revision of the record, matches the kept sample', () => {
+test('a fencing token of 0, which stands for the version of the record, matches the kept sample', () => {
   const [first] = firstPage;
   const fresh = { ...block, machines: [{ ...first, fencingToken: 0 } as LeasedMachine] };
   samples.assertWritten('block, fresh machine', blockRecord(fresh));
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,6 +1,6 @@
 /**
- * Parses the heartbeats of workers (`POST /hello`) and builds the responses to them, both for
- * `HeartbeatHandler`.
+ * Parses the heartbeats of workers (`POST /hello`) and builds the responses to them. `HeartbeatHandler` uses
+ * both.
  *
  * A heartbeat:
  *
@@ -45,7 +45,7 @@
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
- * | `skipper` | `label` | name of the controller to report to; missing if there is none to name |
+ * | `skipper` | `label` | name of the controller to report to; missing if no controller can be named |
  */
 import type { Heartbeat, ReportedTask, TaskRef, TaskState, WorkerCommand } from '../model/types.js';
 import { asList, asNumber, asText, type Fields, isFieldMap } from './codec.js';
@@ -79,8 +79,8 @@
 }
 
 /**
- * Parses a worker's heartbeat; undefined if the machine, epoch, sequence or list of tasks is missing. Tasks
- * whose name is malformed are left out.
+ * Parses a worker's heartbeat. Returns undefined if the machine, epoch, sequence or list of tasks is missing.
+ * Tasks whose name is malformed are left out.
  */
 export function parseHeartbeat(body: unknown): Heartbeat | undefined {
   if (!isFieldMap(body)) return undefined;
@@ -116,14 +116,17 @@
 }
 
 /**
- * The body of a 200 response. If the worker has already received a higher fencing token, it ignores the
- * response; otherwise the response renews the worker's lease.
+ * The body of a response with status 200. If the worker has already received a higher fencing token, it
+ * ignores the response. Otherwise the response renews the worker's lease.
  */
 export function heartbeatResponse(fencingToken: number, commands: WorkerCommand[]): unknown {
   return { helm: fencingToken, orders: commands.map(encodeCommand) };
 }
 
-/** The body of a 421 or 503 response: the label of the controller to report to, or empty without one. */
+/**
+ * The body of a response with status 421 or 503: the label of the controller to which the worker has to
+ * report. The body is empty if `label` is undefined.
+ */
 export function redirectResponse(label: string | undefined): unknown {
   return label === undefined ? {} : { skipper: label };
 }
