--- a/src/base/direct-connections.test.ts
+++ b/src/base/direct-connections.test.ts
@@ -175,8 +175,8 @@
     stop.signal,
   );
   const clients = await Promise.all(Array.from({ length: 8 }, () => client(port + 1)));
-  for (const one of clients) one.send(request('/up', encode({})));
-  const checked = await Promise.all(clients.map((one) => one.receive(1)));
+  for (const openClient of clients) openClient.send(request('/up', encode({})));
+  const checked = await Promise.all(clients.map((openClient) => openClient.receive(1)));
   for (const text of checked) assert.doesNotMatch(text, /connection: close/i);
   const [first, second] = clients;
   assert.ok(first && second);
--- a/src/base/event-loop-saturation.ts
+++ b/src/base/event-loop-saturation.ts
@@ -19,18 +19,18 @@
  * long delay, so only the utilization of the event loop shows it.
  */
 export class EventLoopSaturation {
-  private lastSample: EventLoopUtilization;
+  private previousSample: EventLoopUtilization;
 
   constructor(private readonly probe: UtilizationProbe = performance.eventLoopUtilization) {
-    this.lastSample = probe();
+    this.previousSample = probe();
   }
 
   /**
    * Whether the event loop was saturated since the previous call. The first call measures from construction.
    */
   measureSaturated(): boolean {
-    const { utilization } = this.probe(this.lastSample);
-    this.lastSample = this.probe();
+    const { utilization } = this.probe(this.previousSample);
+    this.previousSample = this.probe();
     return utilization >= saturatedUtilization;
   }
 }
--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -56,14 +56,14 @@
 
 describe('an HTTP exchange', () => {
   const server = new Worker(serverSource, { eval: true, workerData: slots });
-  let peer: HttpClient;
+  let client: HttpClient;
   before(async () => {
     const [port] = (await once(server, 'message')) as [number];
-    peer = new HttpClient(`127.0.0.1:${port}`, 2);
-    await peer.exchange('GET', '/warm-up', undefined, { timeoutMs: maxWaitMs });
+    client = new HttpClient(`127.0.0.1:${port}`, 2);
+    await client.exchange('GET', '/warm-up', undefined, { timeoutMs: maxWaitMs });
   });
   after(async () => {
-    peer.close();
+    client.close();
     await server.terminate();
   });
 
@@ -73,7 +73,7 @@
   test('reads a response that arrived before the deadline while the event loop was blocked', async () => {
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
-      const exchange = peer.exchange('GET', '/held', undefined, { timeoutMs });
+      const exchange = client.exchange('GET', '/held', undefined, { timeoutMs });
       while (Atomics.load(slots, received) === 0) await nextEventLoopIteration();
       blockUntilAnswered();
       // The deadline passes in the same event-loop iteration, so the response has arrived but was not read
@@ -88,7 +88,7 @@
   test('times out at its deadline if no response arrives', async () => {
     const startedAt = performance.now();
     await assert.rejects(
-      peer.exchange('GET', '/silent', undefined, { timeoutMs }),
+      client.exchange('GET', '/silent', undefined, { timeoutMs }),
       /no response within the time-out/,
     );
     assert.ok(performance.now() - startedAt >= timeoutMs * 0.9);
@@ -100,7 +100,7 @@
     signal?: AbortSignal,
   ): Promise<ExchangeFailure> => {
     try {
-      await peer.exchange('GET', path, undefined, { timeoutMs: deadlineMs, signal });
+      await client.exchange('GET', path, undefined, { timeoutMs: deadlineMs, signal });
     } catch (error) {
       assert.ok(error instanceof ExchangeError);
       return error.failure;
--- a/src/base/process-pause-detector.ts
+++ b/src/base/process-pause-detector.ts
@@ -13,14 +13,14 @@
  * machine therefore has to subtract the delay from this time.
  */
 export class ProcessPauseDetector {
-  private measuredAt: number;
+  private previousCheckAt: number;
 
   /** `intervalMs`: the usual time between two calls of `measureDelayMs`, in milliseconds. */
   constructor(
     private readonly clock: Clock,
     private readonly intervalMs: number,
   ) {
-    this.measuredAt = clock();
+    this.previousCheckAt = clock();
   }
 
   /**
@@ -29,8 +29,8 @@
    */
   measureDelayMs(): number {
     const now = this.clock();
-    const passedMs = now - this.measuredAt;
-    this.measuredAt = now;
-    return passedMs > this.intervalMs * delayedRatio ? passedMs - this.intervalMs : 0;
+    const elapsedMs = now - this.previousCheckAt;
+    this.previousCheckAt = now;
+    return elapsedMs > this.intervalMs * delayedRatio ? elapsedMs - this.intervalMs : 0;
   }
 }
--- a/src/base/time-sliced-queue.ts
+++ b/src/base/time-sliced-queue.ts
@@ -1,4 +1,7 @@
-/** A work queue with a time budget per event-loop iteration, so that other sockets are served in between. */
+/**
+ * A work queue with a time budget per event-loop iteration, so that the event loop can serve other sockets
+ * between two iterations.
+ */
 import type { Clock } from './clock.js';
 
 /** A unit of work, for example the handling of one request. */
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -58,7 +58,7 @@
  * `machineTypes` and `listMachines` throw a `CloudError`. `rent` and `release` never throw.
  */
 export class CloudClient {
-  private readonly peer: HttpClient;
+  private readonly httpClient: HttpClient;
   private readonly pacer: TokenBucket;
   /**
    * Prefix of the names of rental requests. It is unique across all controllers and process restarts, because
@@ -73,16 +73,16 @@
     clock: Clock,
     private readonly signal: AbortSignal,
   ) {
-    this.peer = new HttpClient(settings.cloudAddress, maxConnections);
+    this.httpClient = new HttpClient(settings.cloudAddress, maxConnections);
     const ratePerS = settings.cloud.rps * requestRateShare;
     this.pacer = new TokenBucket(ratePerS, ratePerS, clock);
   }
 
   /** Returns the machine types that the cloud offers. Throws a `CloudError` if there is no result. */
   async machineTypes(): Promise<MachineType[]> {
-    const answer = await this.request('machine types', 'GET', '/machine_types', undefined);
-    requireOk('machine types', answer);
-    return parseMachineTypes(answer.body);
+    const response = await this.request('machine types', 'GET', '/machine_types', undefined);
+    requireOk('machine types', response);
+    return parseMachineTypes(response.body);
   }
 
   /**
@@ -94,9 +94,9 @@
     let after = '';
     for (;;) {
       const path = machineListPath(after, maxMachinesPerPage);
-      const answer = await this.request('machine list', 'GET', path, undefined);
-      requireOk('machine list', answer);
-      const page = parseMachineList(answer.body);
+      const response = await this.request('machine list', 'GET', path, undefined);
+      requireOk('machine list', response);
+      const page = parseMachineList(response.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.hasMore || !last) return machines;
@@ -119,8 +119,8 @@
     });
     for (let attempt = 0; attempt < maxRentalAttempts; attempt++) {
       try {
-        const answer = await this.request('rental', 'POST', '/rentals', body);
-        return rentalOutcome(answer);
+        const response = await this.request('rental', 'POST', '/rentals', body);
+        return rentalOutcome(response);
       } catch {
         if (this.signal.aborted) break;
       }
@@ -135,8 +135,8 @@
    */
   async release(machines: string[]): Promise<boolean> {
     try {
-      const answer = await this.request('release', 'POST', '/rentals/release', releaseBody(machines));
-      return answer.status === 200;
+      const response = await this.request('release', 'POST', '/rentals/release', releaseBody(machines));
+      return response.status === 200;
     } catch {
       return false;
     }
@@ -150,7 +150,7 @@
   ): Promise<HttpResponse> {
     await sleep(this.pacer.reserve(1), this.signal);
     try {
-      return await this.peer.exchange(method, path, body, {
+      return await this.httpClient.exchange(method, path, body, {
         timeoutMs: requestTimeoutMs,
         signal: this.signal,
       });
@@ -160,16 +160,16 @@
   }
 }
 
-function requireOk(operation: CloudOperation, answer: HttpResponse): void {
-  if (answer.status !== 200) throw new CloudStatusError(operation, answer.status);
+function requireOk(operation: CloudOperation, response: HttpResponse): void {
+  if (response.status !== 200) throw new CloudStatusError(operation, response.status);
 }
 
-function rentalOutcome(answer: HttpResponse): RentalOutcome {
-  switch (answer.status) {
+function rentalOutcome(response: HttpResponse): RentalOutcome {
+  switch (response.status) {
     case 200:
-      return { kind: 'rented', machines: parseMachineNames(answer.body) };
+      return { kind: 'rented', machines: parseMachineNames(response.body) };
     case 503:
-      return isCapacityRefusal(answer) ? { kind: 'no-capacity' } : { kind: 'busy' };
+      return isCapacityRefusal(response) ? { kind: 'no-capacity' } : { kind: 'busy' };
     case 429:
       return { kind: 'busy' };
     default:
@@ -177,7 +177,7 @@
   }
 }
 
-function isCapacityRefusal(answer: HttpResponse): boolean {
-  const body = answer.body as { error?: unknown } | undefined;
+function isCapacityRefusal(response: HttpResponse): boolean {
+  const body = response.body as { error?: unknown } | undefined;
   return body?.error === 'no capacity';
 }
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -110,7 +110,8 @@
  * @throws SettingsError that names the wrong element, or the line at which the XML is not well-formed.
  */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
-  // Loaded only if there is an operators' file, because start-up uses up the controller's share of a core.
+  // Loaded only if there is an operators' file, because start-up alone uses up the controller's share of a
+  // core.
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -14,7 +14,7 @@
  * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `shares` | `quotaShares` | by team: [cpus, accelerators] |
  * | `machines` | `machines` | groups, see below; missing if the machines are on pages |
- * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record itself; only if machines are on pages |
+ * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record; only if machines are on pages |
  *
  * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean
  * and a list. Each machine in that list is a list of its own:
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -32,7 +32,7 @@
 });
 
 test('a heartbeat without required fields is refused; malformed tasks and unknown fields are dropped', () => {
-  const report = parseHeartbeat({
+  const heartbeat = parseHeartbeat({
     host: 'vm-1',
     endpoint: 'e',
     hull: 'c8',
@@ -47,9 +47,9 @@
       { piece: 'nonsense', try: 1, status: 'running' },
     ],
   });
-  assert.ok(report);
-  assert.equal(report.preemptionNoticeS, null);
-  assert.deepEqual(report.tasks, [
+  assert.ok(heartbeat);
+  assert.equal(heartbeat.preemptionNoticeS, null);
+  assert.deepEqual(heartbeat.tasks, [
     { job: 'req-000412', index: 3, attempt: 2, state: 'ended', cause: 'done' },
   ]);
   assert.equal(parseHeartbeat({ host: 'vm-1', watch: 1 }), undefined);
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -41,8 +41,8 @@
    */
   incarnation: string;
   /**
-   * Distinguishes the candidacies of one incarnation. Needed if the response to the commit of a candidacy was
-   * lost.
+   * Distinguishes the candidacies of one incarnation. It shows which candidacy won if the response to a
+   * candidacy was lost.
    */
   candidacy: number;
 }
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -11,7 +11,7 @@
  * | `spec` | `spec` | see `job-spec-record.ts` |
  * | `parts` | `taskRanges` | list of [block, first, count]: numbers of a block and a task, count of tasks |
  *
- * `end/<id>` is written once: by the controller that cancels the job or finds that its last task is done
+ * `end/<id>` is written once, by the controller that cancels the job or finds that its last task is done
  * (`outcomeTransaction`). If a submitted job depends on a cancelled job, `Submissions` writes `end/<id>`
  * instead of `job/<id>`. Every controller reads it.
  *
--- a/src/wire/job-spec-record.test.ts
+++ b/src/wire/job-spec-record.test.ts
@@ -14,7 +14,7 @@
 });
 
 // A later version may store fields in a job's record that this version does not define. If a leader of this
-// version then dispatches the job, it writes the record again. These fields must not be lost.
+// version then dispatches the job, it writes the record again, and must not lose these fields.
 test('unknown fields in the record of a job are kept when the record is written again', () => {
   const stored = { ...jobSpecRecord(jobSpec('req-000001', 3)), novelty: { a: [1] } };
   const job = parseJobRecord({ spec: stored, parts: [] });
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -8,7 +8,7 @@
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
- * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], most recently moved last |
+ * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], latest move last |
  */
 import { asList, asNumber, isFieldMap } from './codec.js';
 
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -34,7 +34,7 @@
  * | 8 | `waiting` | task, last attempt, and so on |
  * | 9 | `done` | as in the plain form |
  * | 10 | `chunkTasks` | count of tasks |
- * | 11 | form of machine names | [prefix, count of digits]; a number in place of a machine stands for such a name |
+ * | 11 | form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
  *
  * Tasks are numbered from 0 within their job, attempts from 1.
  */
@@ -70,8 +70,8 @@
 }
 
 /**
- * The stored form of a page. A page holds entries of many jobs, so that one write can record all starts of a
- * placement round, that is, of one pass of the scheduler over the waiting tasks.
+ * The stored form of a page. A page holds entries of many jobs, so that one write can record a whole
+ * placement round, that is, one pass of the scheduler over the waiting tasks.
  */
 export function ledgerPage(entries: LedgerEntry[]): unknown {
   return entries.map(ledgerEntry);
--- a/src/wire/message-samples.test.ts
+++ b/src/wire/message-samples.test.ts
@@ -165,13 +165,13 @@
 
 test('responses to workers match the kept samples', () => {
   const task: Pick<WorkerCommand, 'job' | 'index' | 'attempt'> = { job: 'req-000017', index: 3, attempt: 2 };
-  const orders: WorkerCommand[] = [
+  const commands: WorkerCommand[] = [
     { kind: 'forget', ...task },
     { kind: 'start', ...task, attempt: 300 },
     { kind: 'stop', ...task, graceS: 12.5 },
     { kind: 'stop', ...task },
   ];
-  sent.assertWritten('worker, orders', heartbeatResponse(4321, orders));
+  sent.assertWritten('worker, orders', heartbeatResponse(4321, commands));
   sent.assertWritten('worker, no orders', heartbeatResponse(0, []));
   sent.assertWritten('worker, redirect', redirectResponse('keel-2'));
   sent.assertWritten('worker, nowhere else', redirectResponse(undefined));
@@ -179,7 +179,7 @@
 
 test('a kept heartbeat of a worker is parsed unchanged', () => {
   const task: Pick<ReportedTask, 'job' | 'cause'> = { job: 'req-000017', cause: '' };
-  const report: Heartbeat = {
+  const heartbeat: Heartbeat = {
     machine: 'vm-000001',
     address: '10.0.0.1:7000',
     type: 'c8',
@@ -197,7 +197,7 @@
       { ...task, index: 4, attempt: 1, state: 'other' },
     ],
   };
-  assert.deepEqual(parseHeartbeat(received.plainValue('worker, report')), report);
+  assert.deepEqual(parseHeartbeat(received.plainValue('worker, report')), heartbeat);
 });
 
 test('responses to users match the kept samples', () => {
--- a/src/wire/stored-samples.test.ts
+++ b/src/wire/stored-samples.test.ts
@@ -56,10 +56,10 @@
 /** The version with which the samples are read: the store revision of their latest change. */
 const version = 412;
 
-const boot = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
+const incarnation = '0b9c6d1e-7a42-4d0e-9a55-3f1f6f1f2a10';
 
-const leader: LeaderRecord = { label: 'keel-1', incarnation: boot, candidacy: 3 };
-const alive: AliveRecord = { incarnation: boot, zone: 'zone-b' };
+const leader: LeaderRecord = { label: 'keel-1', incarnation: incarnation, candidacy: 3 };
+const alive: AliveRecord = { incarnation: incarnation, zone: 'zone-b' };
 
 const minimalSpec: JobSpec = {
   id: 'req-000017',
@@ -148,7 +148,7 @@
 
 const block: BlockRecord = {
   owner: 'keel-2',
-  incarnation: boot,
+  incarnation: incarnation,
   quotaShares: { red: [12.5, 0], blue: [1234.25, 3] },
   machines: [...firstPage, ...secondPage],
 };
