--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -37,7 +37,7 @@
   label: string;
   /**
    * The incarnation that was elected. If a controller restarts after its election, the new incarnation does
-   * not lead.
+   * not lead by this election.
    */
   incarnation: string;
   /**
