--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,5 +1,6 @@
 /**
- * Client of the cloud's HTTP interface: lists machine types and rented machines, rents and releases machines.
+ * Client of the cloud's HTTP interface. Lists machine types and rented machines, and rents and releases
+ * machines.
  */
 import { randomUUID } from 'node:crypto';
 
@@ -26,23 +27,24 @@
   /** The zone has no machine of the requested type left. */
   | { kind: 'no-capacity' }
   /**
-   * The cloud refused the request because of the request rate (429) or for another reason with status 503.
+   * The cloud refused the request: with status 429 because of the request rate, or with status 503 for a
+   * reason other than missing capacity.
    */
   | { kind: 'busy' }
   /**
-   * No response arrived, or a response without a result. Machines may have been rented; if so, the machine
-   * list will contain them.
+   * No response arrived, or the response contained no result. Machines may have been rented. If so, the
+   * machine list will contain them.
    */
   | { kind: 'unknown' };
 
 const requestTimeoutMs = 6000;
 const maxConnections = 4;
 /**
- * Share of the cloud's rate limit that one controller uses. Controllers that do not lead request only the
+ * The share of the cloud's rate limit that one controller uses. Controllers that do not lead request only the
  * machine types, so the leader may use most of the limit.
  */
 const requestRateShare = 0.8;
-/** A rental request without a response is sent once more. */
+/** Maximum number of attempts per rental request. A request without a response is retried once. */
 const maxRentalAttempts = 2;
 /** Maximum number of machines on one page of the machine list; a limit of the cloud. */
 export const maxMachinesPerPage = 500;
@@ -52,15 +54,15 @@
 export const maxMachinesPerRental = 50;
 
 /**
- * Sends requests to the cloud and delays them to stay within its rate limit. `machineTypes` and
- * `listMachines` throw a `CloudError` if there is no result; `rent` and `release` never throw.
+ * Sends requests to the cloud and delays them to stay within its rate limit. If a request has no result,
+ * `machineTypes` and `listMachines` throw a `CloudError`. `rent` and `release` never throw.
  */
 export class CloudClient {
-  private readonly peer: HttpClient;
+  private readonly httpClient: HttpClient;
   private readonly pacer: TokenBucket;
   /**
-   * Unique across all controllers and process restarts, because a request name that got a 200 must never be
-   * used for another rental.
+   * Prefix of the names of rental requests. It is unique across all controllers and process restarts, because
+   * a request name that received a response with status 200 must never be used for another rental.
    */
   private readonly requestNamePrefix = randomUUID();
   private rentalCount = 0;
@@ -71,27 +73,30 @@
     clock: Clock,
     private readonly signal: AbortSignal,
   ) {
-    this.peer = new HttpClient(settings.cloudAddress, maxConnections);
+    this.httpClient = new HttpClient(settings.cloudAddress, maxConnections);
     const ratePerS = settings.cloud.rps * requestRateShare;
     this.pacer = new TokenBucket(ratePerS, ratePerS, clock);
   }
 
   /** Returns the machine types that the cloud offers. Throws a `CloudError` if there is no result. */
   async machineTypes(): Promise<MachineType[]> {
-    const answer = await this.request('machine types', 'GET', '/machine_types', undefined);
-    requireOk('machine types', answer);
-    return parseMachineTypes(answer.body);
+    const response = await this.request('machine types', 'GET', '/machine_types', undefined);
+    requireOk('machine types', response);
+    return parseMachineTypes(response.body);
   }
 
-  /** Returns all rented machines, read page by page. Throws a `CloudError` if any page has no result. */
+  /**
+   * Returns all rented machines, read page by page. Throws a `CloudError` if the request for any page has no
+   * result.
+   */
   async listMachines(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
     let after = '';
     for (;;) {
       const path = machineListPath(after, maxMachinesPerPage);
-      const answer = await this.request('machine list', 'GET', path, undefined);
-      requireOk('machine list', answer);
-      const page = parseMachineList(answer.body);
+      const response = await this.request('machine list', 'GET', path, undefined);
+      requireOk('machine list', response);
+      const page = parseMachineList(response.body);
       machines.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.hasMore || !last) return machines;
@@ -100,8 +105,8 @@
   }
 
   /**
-   * Rents up to `count` machines, at most `maxMachinesPerRental`. If no response arrives, the request is
-   * retried under the same request name, which makes the rental idempotent.
+   * Rents up to `count` machines, at most `maxMachinesPerRental`. If no response arrives, retries the request
+   * under the same request name, which makes the rental idempotent.
    */
   async rent(type: string, zone: string, spot: boolean, count: number): Promise<RentalOutcome> {
     const requestName = `${this.requestNamePrefix}-${++this.rentalCount}`;
@@ -114,8 +119,8 @@
     });
     for (let attempt = 0; attempt < maxRentalAttempts; attempt++) {
       try {
-        const answer = await this.request('rental', 'POST', '/rentals', body);
-        return rentalOutcome(answer);
+        const response = await this.request('rental', 'POST', '/rentals', body);
+        return rentalOutcome(response);
       } catch {
         if (this.signal.aborted) break;
       }
@@ -124,13 +129,14 @@
   }
 
   /**
-   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated, with
-   * everything that ran on them. Returns false if they may or may not have been terminated.
+   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated,
+   * including everything that ran on them. Returns false if it is unknown whether the machines were
+   * terminated.
    */
   async release(machines: string[]): Promise<boolean> {
     try {
-      const answer = await this.request('release', 'POST', '/rentals/release', releaseBody(machines));
-      return answer.status === 200;
+      const response = await this.request('release', 'POST', '/rentals/release', releaseBody(machines));
+      return response.status === 200;
     } catch {
       return false;
     }
@@ -144,7 +150,7 @@
   ): Promise<HttpResponse> {
     await sleep(this.pacer.reserve(1), this.signal);
     try {
-      return await this.peer.exchange(method, path, body, {
+      return await this.httpClient.exchange(method, path, body, {
         timeoutMs: requestTimeoutMs,
         signal: this.signal,
       });
@@ -154,16 +160,16 @@
   }
 }
 
-function requireOk(operation: CloudOperation, answer: HttpResponse): void {
-  if (answer.status !== 200) throw new CloudStatusError(operation, answer.status);
+function requireOk(operation: CloudOperation, response: HttpResponse): void {
+  if (response.status !== 200) throw new CloudStatusError(operation, response.status);
 }
 
-function rentalOutcome(answer: HttpResponse): RentalOutcome {
-  switch (answer.status) {
+function rentalOutcome(response: HttpResponse): RentalOutcome {
+  switch (response.status) {
     case 200:
-      return { kind: 'rented', machines: parseMachineNames(answer.body) };
+      return { kind: 'rented', machines: parseMachineNames(response.body) };
     case 503:
-      return isCapacityRefusal(answer) ? { kind: 'no-capacity' } : { kind: 'busy' };
+      return isCapacityRefusal(response) ? { kind: 'no-capacity' } : { kind: 'busy' };
     case 429:
       return { kind: 'busy' };
     default:
@@ -171,7 +177,7 @@
   }
 }
 
-function isCapacityRefusal(answer: HttpResponse): boolean {
-  const body = answer.body as { error?: unknown } | undefined;
+function isCapacityRefusal(response: HttpResponse): boolean {
+  const body = response.body as { error?: unknown } | undefined;
   return body?.error === 'no capacity';
 }
