--- a/src/dependencies/cancellation-cascade.ts
+++ b/src/dependencies/cancellation-cascade.ts
@@ -12,16 +12,19 @@
 /** The part of the job index that the cascade reads. */
 export interface OpenJobs {
   readonly dependencies: Pick<DependencyGraph, 'unresolved' | 'upstreamCancelled'>;
-  /** Whether the replica holds the record of the job. */
+  /** Whether the replica of the store contains the record of the job. */
   isOpen(id: string): boolean;
-  /** The record of an open job with the record's version in the store; undefined if the job is not open. */
+  /**
+   * The record of an open job, with the store revision of the record's latest change as its version;
+   * undefined if the job is not open.
+   */
   openJob(id: string): { spec: { tasks: number }; version: number } | undefined;
 }
 
 /** The parts of the controller that the cascade uses. */
 export interface CancellationCascadePorts {
   clock: Clock;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   log: Log;
   settings: Settings;
@@ -32,24 +35,24 @@
   commits: CommitQueue;
   isLeading: () => boolean;
   /**
-   * Reads the outcome of a job from the store into the replica; leaves the replica unchanged if it cannot be
-   * read.
+   * Reads the outcome of a job from the store and records it in the replica. If the outcome cannot be read,
+   * the replica stays unchanged.
    */
   readOutcome: (id: string) => Promise<void>;
 }
 
-/** Number of scans for unknown outcomes and for jobs to cancel in one heartbeat interval. */
+/** Number of scans per heartbeat interval. A scan looks for unknown outcomes and for jobs to cancel. */
 const scansPerHeartbeatInterval = 10;
 /**
- * The leader cancels a dependent without delay. The other controllers cancel it only if it is still open
- * after this many heartbeat intervals.
+ * The leader cancels a job with a cancelled dependency without delay. If the job is still open after this
+ * many heartbeat intervals, the other controllers cancel it too.
  */
 const followerDelayHeartbeatIntervals = 2;
 
 /**
- * Cancels jobs with a cancelled dependency. The set of these jobs depends only on stored records and
- * outcomes, so every controller may run the cascade at any time. A job's outcome is written once; the store
- * refuses a second write.
+ * Cancels jobs with a cancelled dependency. The set of these jobs depends only on the job records and
+ * outcomes in the store, so every controller may run the cascade at any time. If two controllers commit an
+ * outcome of the same job, the store refuses the second commit.
  */
 export class CancellationCascade {
   /** Cancellation commits in flight, by job id. */
@@ -59,7 +62,7 @@
 
   /**
    * Cancels a job with a cancelled dependency. Concurrent calls for the same job share one commit. The
-   * promise resolves whether or not the commit was applied; the caller then reads the outcome from the
+   * returned promise resolves even if the commit fails, so the caller has to look up the job's outcome in the
    * replica.
    */
   async cancel(id: string): Promise<void> {
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Scans periodically until the signal is aborted. Skips a scan while the store fails or the replica is not
-   * ready.
+   * Scans periodically until the signal is aborted. A scan is skipped if the store is failing or the replica
+   * is not ready.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { settings, store, replica } = this.ports;
@@ -86,8 +89,8 @@
   }
 
   /**
-   * Reads the outcomes of dependencies that the replica does not hold, then cancels the jobs that are due, at
-   * most one transaction's worth.
+   * Reads the missing outcomes of dependencies into the replica, then cancels jobs that are due. One scan
+   * cancels no more jobs than fit into one transaction.
    */
   private async resolveAndCancel(): Promise<void> {
     const { jobIndex, readOutcome } = this.ports;
--- a/src/dependencies/dependency-graph.test.ts
+++ b/src/dependencies/dependency-graph.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('the dependency graph', () => {
-  test('a job is ready once all its dependencies are done, in whichever order their outcomes arrive', () => {
+  test('a job becomes ready when its last open dependency is done, in any order of the outcomes', () => {
     const graph = new DependencyGraph(() => 0);
     addDiamond(graph);
     assert.deepEqual(graph.recordOutcome('first', done), ['left', 'right']);
@@ -34,18 +34,18 @@
     assert.equal(graph.stateOf('last', allOpen), 'ready');
   });
 
-  test('waiting time counts from the last outcome of a dependency or from acceptance, whichever is later', () => {
+  test('waiting time counts from the latest end of a dependency or from acceptance, whichever is later', () => {
     const graph = new DependencyGraph(() => 0);
     const job = jobWithDependencies('b', ['a', 'z'], { acceptedAt: 1000 });
     graph.add(job);
     graph.recordOutcome('a', { ...done, endedAt: 9000 });
-    // Outcome records of earlier versions have no `endedAt`.
+    // Outcome records that were written by earlier versions of the program have no `endedAt`.
     graph.recordOutcome('z', { outcome: 'done', tasks: 1 });
     assert.equal(graph.readyAt(job), 9000);
     assert.equal(graph.readyAt(jobWithDependencies('c', ['z'], { acceptedAt: 1000 })), 1000);
   });
 
-  test('a cancellation marks all transitive dependents, whether they are added before or after it', () => {
+  test('a cancellation marks all transitive dependents, whether they are added before or after the cancellation', () => {
     let now = 1;
     const graph = new DependencyGraph(() => now);
     addDiamond(graph);
@@ -65,7 +65,7 @@
     assert.deepEqual([...graph.upstreamCancelled()], []);
   });
 
-  test('a chain of ten jobs added in reverse order and its fan-out of a hundred become due for cancellation together', () => {
+  test('cancelling the first job marks a chain added in reverse order and the hundred dependents of its last job', () => {
     const graph = new DependencyGraph(() => 0);
     for (let i = 9; i > 0; i--) graph.add(jobWithDependencies(`chain-${i}`, [`chain-${i - 1}`]));
     for (let i = 0; i < 100; i++) graph.add(jobWithDependencies(`wide-${i}`, ['chain-9']));
@@ -73,7 +73,7 @@
     assert.equal(graph.upstreamCancelled().size, 109);
   });
 
-  test('a job is unresolved while neither the record nor the outcome of an upstream job is known', () => {
+  test('a job is unresolved if neither the record nor the outcome of some upstream job is known', () => {
     const graph = new DependencyGraph(() => 0);
     graph.add(jobWithDependencies('last', ['middle']));
     graph.add(jobWithDependencies('middle', ['first']));
@@ -85,7 +85,7 @@
     assert.equal(graph.unresolved(isOpen).size, 0);
   });
 
-  test('outcomes that were known before a job is added apply as soon as it is added', () => {
+  test('a job whose dependencies already have outcomes is ready or due for cancellation when it is added', () => {
     const knownOutcomes = new Map([
       ['a', done],
       ['z', cancelled],
@@ -102,11 +102,12 @@
     assert.equal(graph.areDone(['a']), true);
   });
 
-  test('urgency and the latest end time propagate upstream, and the path with the longest run time decides the end time', () => {
+  test('a job inherits the highest urgency of its dependents, and its latest end time from the longest path', () => {
     const graph = new DependencyGraph(() => 0);
     addDiamond(graph);
     assert.deepEqual(graph.downstreamDemand(jobSpec('left', 1)), { urgency: 'high', endBy: 92_000 });
-    // 100 s, less the 8 s of `last` and the 25 s of `left`, which is on the longer path.
+    // The deadline of `last` (100 s) less the run times of `last` (8 s) and `left` (25 s). The run time of
+    // `right` is 20 s, so the path through `left` is the longest.
     assert.deepEqual(graph.downstreamDemand(jobSpec('first', 1)), { urgency: 'high', endBy: 67_000 });
     assert.deepEqual(graph.downstreamDemand(jobSpec('alone', 1)), { urgency: 'standard', endBy: undefined });
     graph.remove('last');
--- a/src/dependencies/dependency-graph.ts
+++ b/src/dependencies/dependency-graph.ts
@@ -1,6 +1,6 @@
 /**
- * The dependency graph (DAG) of open jobs. Derives from it which jobs are ready, which have to be cancelled,
- * and which urgency and latest end time a job inherits from its dependents.
+ * The dependency graph (DAG) of open jobs. Determines which jobs are ready to run, which jobs have to be
+ * cancelled, and which urgency and latest end time a job inherits from its dependents.
  */
 import type { JobSpec, Urgency } from '../model/types.js';
 import { moreUrgent } from '../model/urgency.js';
@@ -13,7 +13,7 @@
  * - `upstream-cancelled`: an upstream job (a direct or transitive dependency) is cancelled, so this job has
  *   to be cancelled too.
  * - `unresolved`: this controller knows neither the record nor the outcome of some upstream job.
- * - `waiting`: none of these.
+ * - `waiting`: some dependency is not done yet, and none of the other states applies.
  */
 export type DependencyState = 'ready' | 'upstream-cancelled' | 'unresolved' | 'waiting';
 
@@ -22,8 +22,8 @@
   /** The highest urgency of the job and its dependents. */
   urgency: Urgency;
   /**
-   * Time of day in ms by which the job has to end so that its dependents can meet their deadlines; undefined
-   * if no dependent has a deadline.
+   * Wall-clock time in ms since the epoch by which the job has to end so that its dependents can meet their
+   * deadlines; undefined if no dependent has a deadline.
    */
   endBy: number | undefined;
 }
@@ -31,8 +31,8 @@
 type OutcomeLookup = (id: string) => OutcomeRecord | undefined;
 
 /**
- * The open jobs with dependencies. Outcomes never change, so a job that is ready or due for cancellation
- * stays so until it is removed.
+ * The open jobs with dependencies. The outcome of a job never changes, so a job in state `ready` or
+ * `upstream-cancelled` keeps that state until the job is removed.
  */
 export class DependencyGraph {
   /** Open jobs with dependencies, by id. */
@@ -42,15 +42,16 @@
   /** Outcomes of dependencies. An outcome is kept while a direct dependent is open. */
   private readonly outcomes = new Map<string, OutcomeRecord>();
   /**
-   * Open jobs with a cancelled upstream job, and the clock's time in ms when this controller learned of it.
+   * Open jobs with a cancelled upstream job, by id, with the monotonic time in ms at which this controller
+   * received the cancellation.
    */
   private readonly upstreamCancelledSince = new Map<string, number>();
-  /** Results of `downstreamDemand` by job; cleared by every change of the graph. */
+  /** Results of `downstreamDemand` by job id; cleared by every change of the graph. */
   private readonly demandCache = new Map<string, DownstreamDemand>();
 
   /**
-   * @param clock steady time in ms
-   * @param outcomeOf looks up the outcome of any job, as far as this controller knows it
+   * @param clock monotonic time in ms
+   * @param outcomeOf looks up the outcome of any job; undefined if this controller does not know the outcome
    */
   constructor(
     private readonly clock: () => number,
@@ -90,9 +91,10 @@
     for (const dependency of spec.dependencies ?? []) this.removeDependent(dependency, id);
   }
 
-  /** Records the outcome of a job and returns the ids of the jobs that became ready by it. */
+  /** Records the outcome of a job and returns the ids of the dependents that are ready because of it. */
   recordOutcome(id: string, outcome: OutcomeRecord): string[] {
-    // A job with an outcome needs no cancellation, even if the replica still holds the job's record.
+    // A job with an outcome needs no cancellation, even if the replica of the store still contains the job's
+    // record.
     this.upstreamCancelledSince.delete(id);
     const dependents = this.dependents.get(id);
     if (!dependents || this.outcomes.has(id)) return [];
@@ -105,7 +107,7 @@
     return [...dependents].filter((dependent) => this.isReady(dependent));
   }
 
-  /** Whether all dependencies of the job are done; also true for a job without dependencies. */
+  /** Whether all dependencies of the job are done. Also true for a job without dependencies. */
   isReady(id: string): boolean {
     return (this.openJobs.get(id)?.dependencies ?? []).every((dependency) => this.isDone(dependency));
   }
@@ -131,12 +133,15 @@
     return this.unresolvedUpstream(id, isOpen, new Set()).next().done === true ? 'waiting' : 'unresolved';
   }
 
-  /** Open jobs that have to be cancelled, with the clock's time in ms when this controller learned of it. */
+  /**
+   * Returns the open jobs that have to be cancelled because an upstream job is cancelled, by id, with the
+   * monotonic time in ms at which this controller received the cancellation.
+   */
   upstreamCancelled(): ReadonlyMap<string, number> {
     return this.upstreamCancelledSince;
   }
 
-  /** Dependencies of open jobs for which this controller knows neither the record nor the outcome. */
+  /** Returns the dependencies of open jobs for which this controller has neither a record nor an outcome. */
   unresolved(isOpen: (id: string) => boolean): Set<string> {
     const unresolved = new Set<string>();
     for (const id of this.dependents.keys()) {
@@ -145,7 +150,7 @@
     return unresolved;
   }
 
-  /** All open jobs that depend on this job, directly or transitively. */
+  /** Returns the ids of all open jobs that depend on this job, directly or transitively. */
   transitiveDependents(id: string): string[] {
     const found = new Set<string>();
     const pending = [id];
@@ -160,8 +165,8 @@
   }
 
   /**
-   * Time of day in ms from which the waiting time of a ready job counts: its acceptance or the end of its
-   * last dependency, whichever is later.
+   * Returns the wall-clock time in ms since the epoch from which the waiting time of a ready job counts. This
+   * is the time of the job's acceptance or the latest end of a dependency, whichever is later.
    */
   readyAt(spec: JobSpec): number {
     const endTimes = (spec.dependencies ?? []).map(
@@ -176,8 +181,8 @@
     if (cached) return cached;
     const demand: DownstreamDemand = { urgency: spec.urgency, endBy: undefined };
     if (!this.dependents.has(spec.id)) return demand;
-    // A job can only depend on jobs accepted before it, so the graph has no cycles. If it had one, this cache
-    // entry would end the recursion.
+    // A job can depend only on jobs accepted before it, so the graph has no cycles. If there were a cycle,
+    // this cache entry would end the recursion.
     this.demandCache.set(spec.id, demand);
     for (const id of this.dependents.get(spec.id) ?? []) {
       const dependent = this.openJobs.get(id);
@@ -204,7 +209,7 @@
     return this.outcomes.get(id)?.outcome === 'done';
   }
 
-  /** Whether the job is cancelled or has to be cancelled. */
+  /** Whether the job is cancelled, or has to be cancelled because of an upstream job. */
   private isCancelledOrDue(id: string): boolean {
     return this.knownOutcome(id)?.outcome === 'cancelled' || this.upstreamCancelledSince.has(id);
   }
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -1,12 +1,12 @@
-/** Validates a submitted job against the settings and the machine types, without access to the store. */
+/** Checks a submitted job against the settings and the machine types. Does not access the store. */
 import { type JobSpec, type MachineType, withinLimit } from '../model/types.js';
 import type { Team } from '../settings/settings.js';
 import { jsonSizeBytes } from '../wire/codec.js';
 import { jobRecord, reservedTaskRangesBytes } from '../wire/job-records.js';
 
 /**
- * Returns the reason why the job's record is too large for a stored value of `valueBytes`; undefined if it
- * fits.
+ * Returns the reason for refusing a job whose record would exceed `valueBytes`, the store's limit of the size
+ * of a value; undefined if the record fits.
  */
 export function tooLargeReason(job: JobSpec, valueBytes: number): string | undefined {
   const bytes = jsonSizeBytes(jobRecord({ spec: job, taskRanges: [] })) + reservedTaskRangesBytes;
@@ -14,8 +14,8 @@
 }
 
 /**
- * Returns the reason why a well-formed job can never run, given its team's quota and the machine types;
- * undefined if it can run.
+ * Returns the reason why a well-formed job can never run with the limits of its team and the machine types;
+ * undefined if the job can run.
  */
 export function impossibleReason(
   job: JobSpec,
--- a/src/intake/cancellations.test.ts
+++ b/src/intake/cancellations.test.ts
@@ -4,7 +4,7 @@
 
 import { Cancellations } from './cancellations.js';
 
-test('a controller lists the cancellations that are newer than the revision its peer has reached', () => {
+test('a list for a peer contains the cancellations after the revision that the replica of the peer has reached', () => {
   const cancellations = new Cancellations(() => 10);
   cancellations.record('req-1', 12);
   cancellations.record('req-2', 11);
@@ -19,9 +19,9 @@
   assert.deepEqual(cancellations.listSince(20), { cancelledSince: 20, cancelled: [] });
 });
 
-// Guards against a restarted controller that sends a list as complete although an earlier incarnation has
-// confirmed cancellations that are not on it.
-test('a list is not complete for revisions before the one at which its incarnation first read the store', () => {
+// A controller confirms a cancellation and restarts. If the new incarnation then sent its list of
+// cancellations as complete, the peer would continue the cancelled job, because the job is not on the list.
+test('a list is complete only after the revision at which this incarnation first read the store', () => {
   const replica: { firstRevision?: number } = {};
   const cancellations = new Cancellations(() => replica.firstRevision);
   assert.equal(cancellations.listSince(5).cancelledSince, Infinity);
@@ -30,13 +30,14 @@
   assert.deepEqual(cancellations.listSince(5), { cancelledSince: 10, cancelled: [] });
 });
 
-// Guards against a list that lacks its oldest entries but claims to be complete.
-test('a truncated list gives the revision of its newest omitted entry as the one after which it is complete', () => {
+// A controller has more cancellations than fit into one list and omits the oldest. If `cancelledSince` did
+// not reflect this, the peer would treat the list as complete and continue the omitted jobs.
+test('the `cancelledSince` of a truncated list is the revision of the newest omitted cancellation', () => {
   const cancellations = new Cancellations(() => 0);
   for (let i = 1; i <= 5000; i++) cancellations.record(`req-${i}`, i);
   const listed = cancellations.listSince(0);
   assert.deepEqual([listed.cancelledSince, listed.cancelled.length], [4500, 500]);
   assert.ok(listed.cancelled.every(([, version]) => version > listed.cancelledSince));
-  // A list that starts at a revision within the tracked and listed range is not truncated.
+  // The list after revision 4990 has 10 entries. These are within the limit, so the list is not truncated.
   assert.deepEqual(cancellations.listSince(4990).cancelled.length, 10);
 });
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -3,30 +3,34 @@
  */
 import type { CancellationList } from '../wire/peer-status.js';
 
-/** Maximum number of cancellations to track; more than users request during an outage. */
+/** Limit of tracked cancellations. Users request fewer cancellations than this during an outage. */
 const maxTrackedCancellations = 4000;
-/** Maximum number of cancellations listed in one peer status; the list is truncated beyond it. */
+/** Limit of cancellations in one status message to a peer. A longer list is truncated. */
 const maxListedCancellations = 500;
 
 /**
- * All cancellations that this incarnation of the controller knows of. The controller confirms a cancellation
- * to a user only if it is recorded here, so a peer without access to the store may continue every job that is
- * not listed. Cancellations confirmed by an earlier incarnation were in the store before this incarnation
- * first read it, so a list is complete only for peers whose replica has reached that revision.
+ * The cancellations that this incarnation of the controller knows of. The controller confirms a cancellation
+ * to a user only if the cancellation is recorded here. Therefore a peer without access to the store may
+ * continue every job that is not on a complete list.
+ *
+ * A list is complete only after the revision at which this incarnation first read the store. Cancellations
+ * that an earlier incarnation confirmed were in the store before that, and may be missing from the list.
  */
 export class Cancellations {
   /** Store revision of each cancelled job's outcome, by job id, in the order of recording. */
   private readonly versionsByJob = new Map<string, number>();
-  /** The highest version among the entries that were dropped because the limit was reached. */
+  /** The highest store revision among the cancellations that were dropped because of the limit. */
   private highestDroppedVersion = 0;
+  /** The highest store revision among all recorded cancellations. */
   private highestVersion = 0;
 
   /**
-   * `firstRevision`: the store's revision when this incarnation first read the store; undefined before that.
+   * @param firstRevision returns the store revision at which this incarnation first read the store; undefined
+   *   before that
    */
   constructor(private readonly firstRevision: () => number | undefined) {}
 
-  /** Records a cancelled job with the store revision at which its outcome was committed. */
+  /** Records a cancelled job. `version` is the store revision at which the job's outcome was committed. */
   record(id: string, version: number): void {
     this.versionsByJob.set(id, version);
     this.highestVersion = Math.max(this.highestVersion, version);
@@ -39,14 +43,14 @@
   }
 
   /**
-   * Returns the list for a peer whose replica has reached `revision`. The list is complete for cancellations
-   * after the revision `cancelledSince`, which is above `revision` if older entries are missing from the
-   * list.
+   * Returns the list for a peer whose replica of the store has reached `revision`. The list contains every
+   * cancellation after the revision `cancelledSince`. If older cancellations are missing from the list,
+   * `cancelledSince` is higher than `revision`.
    */
   listSince(revision: number): CancellationList {
     const cancelledSince = Math.max(this.firstRevision() ?? Infinity, this.highestDroppedVersion, revision);
-    // Fast path: this runs for every status sent to every peer, and most peers already have all
-    // cancellations.
+    // Fast path: this method runs for every status message to every peer, and the replicas of most peers
+    // already contain all cancellations.
     if (this.highestVersion <= cancelledSince) return { cancelledSince, cancelled: [] };
     const cancelled = [...this.versionsByJob].filter(([, version]) => version > cancelledSince);
     if (cancelled.length <= maxListedCancellations) return { cancelledSince, cancelled };
--- a/src/intake/dependencies.test.ts
+++ b/src/intake/dependencies.test.ts
@@ -1,4 +1,4 @@
-/** Tests submissions, queries and cancel requests of jobs with dependencies. */
+/** Tests submissions, status queries and cancel requests for jobs with dependencies. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
@@ -22,14 +22,14 @@
 const statusIn = ({ body }: Reply): string => (body as { status: string }).status;
 
 describe('submissions with dependencies', () => {
-  test('a dependency list that is not a list, or has an entry that is not a job id, is malformed', async () => {
+  test('are refused with 400 if `moorings` is not a list or contains an entry that is not a job id', async () => {
     const { controller } = await createControllers();
     for (const moorings of ['req-000001', [1], ['x'], [null], { 0: firstJob }]) {
       assert.equal((await controller.submit({ moorings }, secondJob)).status, 400);
     }
   });
 
-  test('null and an empty list mean no dependencies, and repeated ids count once', async () => {
+  test('are accepted without dependencies if `moorings` is null or empty, and repeated ids count once', async () => {
     const { controller } = await createControllers();
     await controller.submit();
     assert.equal((await controller.submit({ moorings: null }, secondJob)).status, 201);
@@ -38,15 +38,15 @@
     assert.equal((await controller.submit({ moorings: repeated }, 'req-000004')).status, 201);
   });
 
-  test('a job that depends on itself or on a job that was never accepted is refused with 422', async () => {
+  test('are refused with 422 if the job depends on itself or on a job that was never accepted', async () => {
     const { controller } = await createControllers();
     assert.equal((await controller.submit({ moorings: [firstJob] }, secondJob)).status, 422);
     assert.equal((await controller.submit({ moorings: [secondJob] }, secondJob)).status, 422);
   });
 
-  // Guards against 422 from a controller whose replica lags: another controller has just accepted the
-  // dependency.
-  test('a dependency that another controller accepted, or that ended there, is accepted', async () => {
+  // Controller A accepts the dependency. The replica of controller B does not contain the dependency yet when
+  // B receives the dependent. If B relied on its replica, it would refuse the dependent with 422.
+  test('are accepted if another controller accepted or cancelled the dependency', async () => {
     const { controller, otherController } = await createControllers();
     await controller.submit();
     assert.equal((await otherController.submit({ moorings: [firstJob] }, secondJob)).status, 201);
@@ -54,14 +54,14 @@
     assert.equal((await otherController.submit({ moorings: [firstJob] }, thirdJob)).status, 201);
   });
 
-  test('more dependencies than fit into a job record are refused with the reason', async () => {
+  test('are refused with the reason if the dependencies do not fit into a job record', async () => {
     const { controller } = await createControllers();
     const moorings = Array.from({ length: 4000 }, (_, i) => `req-${i}`);
     const { status, body } = await controller.submit({ moorings }, secondJob);
     assert.deepEqual([status, body], [422, { error: 'the description of the job is too large' }]);
   });
 
-  test('a repetition of an accepted submission is accepted, whichever dependencies it lists', async () => {
+  test('of an accepted job are answered with 200 when the client retries with other dependencies', async () => {
     const { controller, otherController } = await createControllers();
     await controller.submit();
     for (const target of [controller, otherController]) {
@@ -70,16 +70,16 @@
     }
   });
 
-  // Guards against tasks that start before their dependencies are done (the checker's `too_early`): a
-  // controller of an earlier version ignores dependencies and would start the job at once.
-  test('are refused at once with 503 while some controller may not support dependencies', async () => {
+  // A controller of an earlier version ignores dependencies. If a job with dependencies were accepted, that
+  // controller could start tasks of the job before the dependencies are done (`too_early` in the checker).
+  test('are refused immediately with 503 if some controller may not support dependencies', async () => {
     const { controller } = await createControllers({ supportsDependencies: false });
     await controller.submit();
     const { status, retryAfterS } = await controller.submit({ moorings: [firstJob] }, secondJob);
     assert.deepEqual([status, retryAfterS], [503, 1]);
   });
 
-  test('are refused at once with 503 while this controller may not know all cancellations', async () => {
+  test('are refused immediately with 503 if cancellations may be missing from the replica', async () => {
     const { controller } = await createControllers({ knowsCancellations: false });
     await controller.submit();
     assert.equal((await controller.submit({ moorings: [firstJob] }, secondJob)).status, 503);
@@ -87,7 +87,7 @@
 });
 
 describe('a job with a cancelled dependency', () => {
-  test('is cancelled together with it, whether the dependent is direct or transitive', async () => {
+  test('is cancelled together with the dependency, both as a direct and as a transitive dependent', async () => {
     const { controller } = await createControllers();
     await controller.submit();
     await controller.submit({ moorings: [firstJob] }, secondJob);
@@ -98,7 +98,7 @@
     assert.equal(statusIn(await controller.query(thirdJob)), 'cancelled');
   });
 
-  test('is accepted and cancelled at once when it is submitted after the cancellation', async () => {
+  test('is accepted and immediately cancelled if it is submitted after the cancellation', async () => {
     const { controller } = await createControllers();
     await controller.submit();
     await controller.cancel();
@@ -107,10 +107,10 @@
     assert.equal(statusIn(await controller.submit({ moorings: [firstJob] }, secondJob)), 'cancelled');
   });
 
-  // Guards against a dependent that stays open after its dependency was cancelled (the checker's `orphaned`):
-  // the controller learns of the cancellation after the dependent was accepted, and no controller has
-  // cancelled it yet.
-  test('is cancelled by a query for it if no controller has cancelled it yet', async () => {
+  // Controller B accepts a dependent. Then controller A cancels the dependency, but not the dependent, which
+  // is missing from A's replica. If B did not check the dependency on a query, B would report the dependent
+  // as open (`orphaned` in the checker).
+  test('is cancelled by a status query if no controller has cancelled the job yet', async () => {
     const { controller, otherController } = await createControllers();
     await controller.submit();
     await otherController.submit({ moorings: [firstJob] }, secondJob);
@@ -120,7 +120,7 @@
     assert.equal(statusIn(await controller.query(secondJob)), 'cancelled');
   });
 
-  test('is not reported as open while its cancellation may be unknown; a known cancellation is reported', async () => {
+  test('is not reported as open if cancellations may be missing from the replica; a known cancellation is reported', async () => {
     const { store, controller, otherController } = await createControllers();
     await controller.submit();
     await controller.submit({ moorings: [firstJob] }, secondJob);
@@ -141,8 +141,8 @@
   });
 });
 
-// Guards against dependents that stay open because the controller that handled the cancel request stopped:
-// any other controller must continue the cascade, for any number of dependents.
+// A controller commits the outcome of a cancelled job, and stops before it cancels the dependents. If no
+// other controller continued the cascade, the dependents would stay open.
 test('another controller cancels a chain of ten jobs and the hundred dependents of its last job', async () => {
   const { controller, store } = await createControllers();
   const chain = Array.from({ length: 10 }, (_, i) => `req-${100 + i}`);
@@ -150,8 +150,8 @@
   await controller.submit({}, chain[0]);
   for (const [i, id] of chain.slice(1).entries()) await controller.submit({ moorings: [chain[i]] }, id);
   for (const id of fanOut) await controller.submit({ moorings: [chain[9]] }, id);
-  // The outcome of the first job is committed; the controller that received the cancel request stops before
-  // it cancels any dependent.
+  // Only the outcome of the first job is committed, as if the controller had stopped before it cancelled any
+  // dependent.
   await store.endAsCancelled(chain[0] ?? '');
   const otherController = await UserApiFixture.create(store, firstJob, { loadsOpenJobs: true });
   const stop = new AbortController();
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -1,4 +1,4 @@
-/** Tests submissions at the store's rate limit and queries after a restart. */
+/** Tests submissions at the store's rate limit, and status queries after a restart of the controller. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
@@ -8,9 +8,9 @@
 const id = 'req-000001';
 
 describe('submissions while the store commits slowly', () => {
-  // Guards against a commit queue that stays long because repeated submissions are queued too: in one day of
-  // the larger fleet, only 361 of 1431 jobs were accepted.
-  test('a repetition that arrives while the first attempt is in flight causes no second commit', async () => {
+  // Clients retry submissions that wait in the commit queue. If the retries were queued too, the queue would
+  // stay long. When this happened, only 361 of 1431 jobs were accepted in one day of the larger fleet.
+  test('a client retry that arrives while the first attempt is in flight causes no second commit', async () => {
     const store = new InMemoryStore();
     const controller = await UserApiFixture.create(store, id);
     store.holdsAnswers = true;
@@ -23,14 +23,14 @@
       (await Promise.all(replies)).map(({ status }) => status),
       [201, 200],
     );
-    // The first attempt's result shows only that the job is accepted, so the repetition reads the status
-    // separately.
+    // The result of the first attempt shows only that the job is accepted, so the status for the retry is
+    // read in a separate transaction.
     assert.deepEqual(store.executed, { writing: 1, comparing: 1, listing: 0 });
   });
 
-  // Guards against refusing a valid submission because of the content of an earlier submission with the same
-  // id.
-  test('a repetition that differs from the first attempt is validated by its own content', async () => {
+  // A submission that can never run is in flight when a valid submission with the same id arrives. If the
+  // second submission shared the result of the first, it would be refused although it is valid.
+  test('a client retry that differs from the first attempt is validated by its own content', async () => {
     const store = new InMemoryStore();
     const controller = await UserApiFixture.create(store, id);
     store.holdsAnswers = true;
@@ -44,7 +44,7 @@
     assert.deepEqual([(await tooLarge).status, (await valid).status], [422, 201]);
   });
 
-  test('a submission whose commit would wait longer than its user does is refused at once with Retry-After', async () => {
+  test('a submission is refused immediately with Retry-After if its commit would outlast the time-out of the user', async () => {
     const store = new InMemoryStore();
     const controller = await UserApiFixture.create(store, id, { writeWaitMs: 7000 });
     const reply = await controller.submit();
@@ -52,22 +52,22 @@
   });
 });
 
-describe('queries for jobs that ended before the controller restarted', () => {
+describe('status queries for jobs that ended before the controller restarted', () => {
   const ids = Array.from({ length: 60 }, (_, i) => `req-${(7 * i).toString().padStart(6, '0')}`);
 
   async function endedJobs(): Promise<{ store: InMemoryStore; restarted: UserApiFixture }> {
     const store = new InMemoryStore();
-    const earlier = await UserApiFixture.create(store, id);
+    const controllerBeforeRestart = await UserApiFixture.create(store, id);
     for (const job of ids) {
-      await earlier.submit({}, job);
-      await earlier.cancel(job);
+      await controllerBeforeRestart.submit({}, job);
+      await controllerBeforeRestart.cancel(job);
     }
     return { store, restarted: await UserApiFixture.create(store, id) };
   }
 
-  // Guards against queries without an answer (the checker's `forgotten`): after all controllers had
-  // restarted, one store request for each query used up the rate limit, and no controller was healthy for
-  // minutes.
+  // All controllers restart, and users query the jobs that ended before. If each query caused a store
+  // request, the requests would use up the rate limit. No controller would be healthy for minutes, and
+  // queries would get no answer (`forgotten` in the checker).
   test('share one list request to the store', async () => {
     const { store, restarted } = await endedJobs();
     const replies = await Promise.all(ids.map((job) => restarted.query(job)));
@@ -76,13 +76,13 @@
       ['cancelled'],
     );
     assert.equal(store.executed.listing, 1);
-    const before = store.executed.comparing;
+    const comparisonsBefore = store.executed.comparing;
     for (const job of ids) await restarted.submit({}, job);
-    assert.equal(store.executed.comparing, before);
+    assert.equal(store.executed.comparing, comparisonsBefore);
   });
 
-  // Guards against queries that wait for a store that does not respond.
-  test('are refused at once with 503 when the outcomes cannot be read', async () => {
+  // The store does not respond to list requests. The queries must not wait for it.
+  test('are refused immediately with 503 if the outcomes cannot be read', async () => {
     const { store, restarted } = await endedJobs();
     store.failsLists = true;
     const replies = await Promise.all(ids.map((job) => restarted.query(job)));
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -1,4 +1,4 @@
-/** HTTP routes for user requests (submit, query, cancel) and for the health check. */
+/** HTTP routes for user requests (submit a job, query its status, cancel it) and for the health check. */
 import type { FastPathRoute, Reply, Route } from '../base/replies.js';
 import type { JobIndex } from '../placement/job-index.js';
 import {
@@ -65,7 +65,7 @@
           body: jobStatusResponse(job.id, this.statuses.knownOutcome(job.id)?.outcome ?? 'pending'),
         };
       case 'accepted-before':
-        return this.replyToRepetition(job.id, await this.statuses.read(job.id));
+        return this.replyToRetry(job.id, await this.statuses.read(job.id));
       case 'impossible':
         return this.refuseUnlessAccepted(job.id, { status: 422, body: { error: result.reason } });
       case 'overloaded':
@@ -76,16 +76,17 @@
   }
 
   /**
-   * Returns `refusal` only if the job was never accepted. A repetition of an accepted job is never refused,
-   * whatever it contains and whichever machine types exist now.
+   * Returns `refusal` if the job was never accepted, else the reply with the job's status. A retried
+   * submission of an accepted job is never refused, even if its content differs or the machine types have
+   * changed.
    */
   private async refuseUnlessAccepted(id: string | undefined, refusal: Reply): Promise<Reply> {
     if (id === undefined) return refusal;
     const result = await this.statuses.read(id);
-    return result.kind === 'never-accepted' ? refusal : this.replyToRepetition(id, result);
+    return result.kind === 'never-accepted' ? refusal : this.replyToRetry(id, result);
   }
 
-  private replyToRepetition(id: string, result: JobStatusResult): Reply {
+  private replyToRetry(id: string, result: JobStatusResult): Reply {
     switch (result.kind) {
       case 'ended':
         return { status: 200, body: jobStatusResponse(id, result.outcome) };
@@ -130,8 +131,8 @@
   }
 
   /**
-   * Returns the status of a job that a status read found open. The progress in it may lag behind the leader
-   * by one or two commits.
+   * Returns the status of a job that was found open in the store. The number of running tasks comes from the
+   * job index and may be one or two commits older than that of the leader.
    */
   private statusOfOpenJob(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
     const endedJob = this.statuses.knownOutcome(id);
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -1,4 +1,4 @@
-/** Cancels a job and its dependents at the user's request. */
+/** Handles cancel requests of users: cancels a job and the jobs that depend on it. */
 import type { JobIndex } from '../placement/job-index.js';
 import type { Settings } from '../settings/settings.js';
 import type { StoreClient } from '../store/client.js';
@@ -16,7 +16,7 @@
 /** The parts of the controller that the canceller uses. */
 export interface JobCancellerPorts {
   store: Pick<StoreClient, 'failing' | 'read'>;
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   settings: Settings;
   replica: StoreReplica;
@@ -26,23 +26,26 @@
 }
 
 /**
- * The result of a cancel request. It never shows an open job: if the job is still open, the result is
- * `unavailable` and the user has to retry.
+ * The result of a cancel request. If the job is still open, the result is `unavailable` and the user has to
+ * retry.
  */
 export type CancelResult = Exclude<JobStatusResult, { kind: 'open' }>;
 
 /**
  * The result of committing a cancellation. `gone`: the job has no record, or already has an outcome.
- * `changed`: the job's record has a newer version in the store.
+ * `changed`: the job's record has changed in the store since it was read.
  */
 type AttemptResult = 'cancelled' | 'gone' | 'changed' | 'unavailable';
 
-/** Maximum number of commits for one cancel request, each on a newer version of the job's record. */
+/**
+ * Limit of commit attempts for one cancel request. The first attempt uses the job record in the replica, each
+ * retry a record that was read from the store after the conflict.
+ */
 const maxAttempts = 3;
 
 /**
- * Cancels a job by writing its outcome `cancelled` in a transaction on the current version of the job's
- * record.
+ * Cancels a job by committing the outcome `cancelled`, on the condition that the job's record has not changed
+ * since it was read.
  */
 export class JobCanceller {
   constructor(
@@ -51,7 +54,8 @@
   ) {}
 
   /**
-   * Cancels a job and returns its outcome. Reports a cancellation only once it is committed; never throws.
+   * Cancels a job and returns its outcome. A cancellation is reported only after it is committed. Never
+   * throws.
    */
   async cancel(id: string): Promise<CancelResult> {
     const endedJob = this.statuses.knownOutcome(id);
@@ -65,8 +69,8 @@
 
   /**
    * Commits the cancellation. If the leader writes the job's record at the same time, the commit fails with a
-   * conflict; the new version of the record is then read and the commit is retried. Cancellations are
-   * accepted even while submissions are refused because of overload.
+   * conflict. The record is then read from the store, and the commit is retried with its new version.
+   * Cancellations are accepted even if submissions are refused because of overload.
    */
   private async commitWithRetries(id: string): Promise<AttemptResult> {
     const { replica, store } = this.ports;
@@ -118,8 +122,8 @@
   }
 
   /**
-   * Cancellations of as many dependents as fit into the transaction; `CancellationCascade` cancels the
-   * others.
+   * Returns the cancellations of the dependents that fit into the same transaction. `CancellationCascade`
+   * cancels the other dependents.
    */
   private cancellationsOfDependents(id: string): OutcomeTransaction[] {
     const { jobIndex, settings } = this.ports;
--- a/src/intake/job-status-reader.ts
+++ b/src/intake/job-status-reader.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads of job statuses. Every job status in a reply to a user comes from here. */
+/** Linearizable reads of job statuses, for all replies to users that contain a job status. */
 import type { DependencyState } from '../dependencies/dependency-graph.js';
 import type { StoreClient } from '../store/client.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -24,45 +24,50 @@
   /** The status cannot be determined now; the user has to retry. */
   | { kind: 'unavailable' };
 
-/** Whether a job was ever accepted, independent of its current status. */
+/** Whether a job was ever accepted, independent of its current status; `unavailable` if that is not known. */
 export type Acceptance = 'accepted' | 'never-accepted' | 'unavailable';
 
 /** The parts of the controller that the reader uses. */
 export interface JobStatusPorts {
   store: Pick<StoreClient, 'failing' | 'read'>;
   replica: StoreReplica;
-  /** Commit queue for transactions that only compare versions and write nothing. */
+  /** Commit queue for transactions that check conditions on versions and write nothing (comparisons). */
   comparisons: CommitQueue;
   outcomeReader: OutcomeReader;
   jobIndex: { dependencyState: (id: string) => DependencyState };
   /** Cancels jobs that depend on a cancelled job. */
   cascade: { cancel: (id: string) => Promise<void> };
-  /** Whether this controller knows every cancellation whose dependents must be cancelled by now. */
+  /**
+   * Whether the replica is recent enough to contain every cancellation whose dependents must be cancelled by
+   * now.
+   */
   knowsCancellations: () => boolean;
 }
 
 /**
- * Reads job statuses linearizably across all controllers. Each read sends a comparison to the store after the
- * read was called, so its result was true at some moment after the user's request had arrived. Concurrent
- * reads may share a transaction that is still in the commit queue, but never a transaction in flight: the
- * store may already have executed that transaction, and another controller may have confirmed an outcome
- * since.
+ * Reads job statuses linearizably across all controllers. After the user's request has arrived, each read
+ * sends a transaction that checks versions in the store and writes nothing (a comparison). Therefore the
+ * reported status was true at some moment after the arrival of the request.
+ *
+ * Concurrent reads may share a comparison that is still in the commit queue. They never share a comparison
+ * in flight, because the store may already have executed it, and another controller may have confirmed an
+ * outcome of the job since.
  */
 export class JobStatusReader {
   constructor(private readonly ports: JobStatusPorts) {}
 
-  /** Returns the status that the job had at some moment after this call; never throws. */
+  /** Returns a status that the job had at some moment after this call. Never throws. */
   async read(id: string): Promise<JobStatusResult> {
     const endedJob = this.knownOutcome(id);
     if (endedJob) return endedJob;
     const comparedStatus = await this.compareWithStore(id);
     const result = comparedStatus.kind === 'open' ? await this.checkDependencies(id) : comparedStatus;
-    // An outcome that reached the replica while the store's response was in flight is newer than that
-    // response.
+    // If the replica received an outcome while the store's response was in flight, the outcome is newer than
+    // the response.
     return this.knownOutcome(id) ?? result;
   }
 
-  /** Returns whether a job was ever accepted; never throws. */
+  /** Returns whether a job was ever accepted. Never throws. */
   async acceptance(id: string): Promise<Acceptance> {
     if (this.isRecorded(id) || this.knownOutcome(id)) return 'accepted';
     const { kind } = await this.compareWithStore(id);
@@ -70,14 +75,18 @@
   }
 
   /**
-   * The outcome of a job if the replica holds it. Outcomes never change, so no read from the store is needed.
+   * Returns the outcome of a job if the replica contains it. Outcomes never change, so the store need not be
+   * read.
    */
   knownOutcome(id: string): EndedJob | undefined {
     const outcomeRecord = this.ports.replica.outcomeOf(id);
     return outcomeRecord && { kind: 'ended', outcome: outcomeRecord.outcome, tasks: outcomeRecord.tasks };
   }
 
-  /** Whether the replica holds the job's record. A job has a record only until it has an outcome. */
+  /**
+   * Whether the replica contains the job's record. The transaction that commits a job's outcome deletes the
+   * record.
+   */
   isRecorded(id: string): boolean {
     return this.ports.replica.version(jobKey(id)) > 0;
   }
@@ -117,8 +126,8 @@
   }
 
   /**
-   * Whether the job has dependencies; undefined if its record cannot be read. An open job that is missing
-   * from the replica was either just written or has just ended.
+   * Whether the job has dependencies; undefined if its record cannot be read. If the record of an open job is
+   * missing from the replica, the job was either just accepted or has just ended.
    */
   private async hasDependencies(id: string): Promise<boolean | undefined> {
     const { replica, store } = this.ports;
@@ -131,8 +140,8 @@
   }
 
   /**
-   * Reads the outcome of a job that is known to have one. If the outcome cannot be read, the result is
-   * `unavailable` and the user has to retry.
+   * Reads the outcome of a job that has ended. If the outcome cannot be read, the result is `unavailable` and
+   * the user has to retry.
    */
   private async readOutcome(id: string): Promise<JobStatusResult> {
     if (!this.knownOutcome(id)) await this.ports.outcomeReader.read(id);
--- a/src/intake/linearizability.test.ts
+++ b/src/intake/linearizability.test.ts
@@ -1,4 +1,4 @@
-/** Tests that replies to users reflect a state of the store at some moment after the request had arrived. */
+/** Tests that a reply to a user reflects a state of the store at some moment after the request arrived. */
 import assert from 'node:assert/strict';
 import { describe, test } from 'node:test';
 
@@ -22,7 +22,7 @@
   };
 }
 
-/** Releases the held store responses one by one until the reply has arrived. */
+/** Releases the held store responses one by one until the reply has arrived, and returns its body. */
 async function replyOf(store: InMemoryStore, reply: Promise<Reply>): Promise<unknown> {
   const replies: Reply[] = [];
   void reply.then((settledReply) => replies.push(settledReply));
@@ -33,9 +33,9 @@
 
 describe('a job that was reported as cancelled is never reported with another status', () => {
   /**
-   * Submits a job at `firstController`, lets `secondController` confirm its cancellation while that
-   * submission is in flight, and submits the job to `firstController` again. Returns the reply to the last
-   * submission.
+   * Submits a job to `firstController`. While that submission is in flight, cancels the job through
+   * `secondController` and then submits the job to `firstController` again. Returns the body of the reply to
+   * the final submission.
    */
   async function submitAfterCancellation(
     store: InMemoryStore,
@@ -43,43 +43,45 @@
     secondController: UserApiFixture,
   ): Promise<unknown> {
     store.holdsAnswers = true;
-    const earlier = firstController.submit();
+    const earlierReply = firstController.submit();
     await runPendingCallbacks();
     store.holdsAnswers = false;
     assert.deepEqual((await secondController.cancel()).body, cancelled);
-    const later = firstController.submit();
+    const laterReply = firstController.submit();
     await runPendingCallbacks();
-    await replyOf(store, earlier);
-    return replyOf(store, later);
+    await replyOf(store, earlierReply);
+    return replyOf(store, laterReply);
   }
 
-  // Guards against a status that goes back from cancelled to open (the checker's `went_back`): a repetition
-  // used the comparison of an earlier repetition that was still in flight.
-  test('a repetition after the confirmed cancellation, while an earlier repetition is in flight', async () => {
+  // A client retries a submission, and the store executes the status read of the retry. Then another
+  // controller confirms a cancellation, and the client retries again. If the second retry shared the status
+  // read in flight, the status would go back from cancelled to open (`went_back` in the checker).
+  test('a client retry after the confirmed cancellation, while the status read of an earlier retry is in flight', async () => {
     const { store, firstController, secondController } = await twoControllers();
     assert.equal((await firstController.submit()).status, 201);
     assert.deepEqual(await submitAfterCancellation(store, firstController, secondController), cancelled);
   });
 
-  // Guards against the same fault with the first submission, whose commit was executed before the
-  // cancellation.
-  test('a repetition after the confirmed cancellation, while the first submission is in flight', async () => {
+  // The same sequence with the first submission in place of the first retry: the store executes the commit of
+  // the submission before the cancellation.
+  test('a client retry after the confirmed cancellation, while the first submission is in flight', async () => {
     const { store, firstController, secondController } = await twoControllers();
     assert.deepEqual(await submitAfterCancellation(store, firstController, secondController), cancelled);
   });
 
-  // Guards against a controller that ignores an outcome it has committed itself and replies from an older
-  // store response that was still in flight.
+  // The store executes a status read, and its response is held. Then the same controller commits a
+  // cancellation of the job. When the held response arrives, it is older than the cancellation, and a
+  // controller that relied on it would report the job as open.
   for (const request of ['query', 'submit'] as const) {
-    test(`a ${request} whose comparison was executed before a cancellation that the same controller confirms`, async () => {
+    test(`a ${request} whose status read was executed before a cancellation that the same controller confirms`, async () => {
       const { store, firstController } = await twoControllers();
       await firstController.submit();
       store.holdsAnswers = true;
-      const earlier = firstController[request]();
+      const earlierReply = firstController[request]();
       await runPendingCallbacks();
       store.holdsAnswers = false;
       assert.deepEqual((await firstController.cancel()).body, cancelled);
-      const { status } = (await replyOf(store, earlier)) as { status: string };
+      const { status } = (await replyOf(store, earlierReply)) as { status: string };
       assert.equal(status, 'cancelled');
     });
   }
@@ -90,8 +92,8 @@
     const acceptance = firstController.submit();
     await runPendingCallbacks();
     store.holdsAnswers = false;
-    // Submissions and cancellations share one commit queue, so the cancellation is sent only after the
-    // response to the submission has arrived.
+    // Submissions and cancellations share one commit queue, so the cancellation is sent after the response to
+    // the submission has arrived.
     const cancel = firstController.cancel();
     await runPendingCallbacks();
     await store.releaseOldestAnswer();
@@ -101,14 +103,14 @@
   });
 });
 
-// Guards against load that grows with repetitions: forty repetitions must not cause forty requests to the
-// state service.
-test('concurrent repetitions share a comparison that is sent after all of them have arrived', async () => {
+// If each client retry caused a status read of its own, the load on the store would grow with the number of
+// retries: forty retries would cause forty requests.
+test('concurrent client retries share a status read that is sent after all of them have arrived', async () => {
   const { store, firstController } = await twoControllers();
   await firstController.submit();
   const { writing, comparing } = store.executed;
-  const repetitions = 40;
-  const replies = await Promise.all(Array.from({ length: repetitions }, () => firstController.submit()));
+  const retries = 40;
+  const replies = await Promise.all(Array.from({ length: retries }, () => firstController.submit()));
   assert.ok(replies.every(({ status }) => status === 200));
   assert.equal(store.executed.writing, writing);
   assert.ok(store.executed.comparing - comparing <= 2);
--- a/src/intake/outcome-reader.ts
+++ b/src/intake/outcome-reader.ts
@@ -1,4 +1,4 @@
-/** Reads job outcomes that the replica does not hold from the store, in batches. */
+/** Reads job outcomes that are missing from the replica, page by page, from the store. */
 import type { StoreClient } from '../store/client.js';
 import type { StoreReplica } from '../store/store-replica.js';
 import { outcomeKey, outcomePrefix } from '../wire/keys.js';
@@ -10,16 +10,16 @@
 }
 
 /**
- * Outcomes per page: the requested outcomes and those with neighbouring ids, which users are likely to query
- * next.
+ * Number of outcomes per page. Besides the requested outcomes, a page contains outcomes of jobs with
+ * neighbouring ids, which users are likely to query next.
  */
 const outcomesPerPage = 200;
 
 /**
- * Reads outcomes into the replica. After a restart a controller holds no earlier outcomes, and users query
- * all of them. One store request per outcome would use up the store's rate limit, so at most one request is
- * in flight at a time, and it reads a whole page. Outcomes never change, so an outcome may be used whenever
- * it was read.
+ * Reads outcomes into the replica. After a restart of the controller, the replica contains no outcomes of
+ * jobs that ended before, and users query all these jobs. One store request per outcome would use up the
+ * store's rate limit, so each request reads a whole page, and at most one request is in flight at a time.
+ * Outcomes never change, so an outcome that has been read stays valid.
  */
 export class OutcomeReader {
   private readonly requestedKeys = new Set<string>();
@@ -28,8 +28,8 @@
   constructor(private readonly ports: OutcomeReaderPorts) {}
 
   /**
-   * Resolves once the outcome is in the replica or cannot be read now; the caller looks it up in the replica.
-   * Never throws.
+   * Reads the outcome of a job into the replica. The returned promise resolves even if the outcome cannot be
+   * read, so the caller has to look it up in the replica. Never throws.
    */
   async read(id: string): Promise<void> {
     const key = outcomeKey(id);
@@ -41,7 +41,8 @@
   }
 
   /**
-   * Reads the page that begins with the first requested key, so that each request completes at least one key.
+   * Reads the page that begins with the smallest requested key. Therefore each request completes the read of
+   * at least one outcome.
    */
   private async readPage(): Promise<void> {
     const { store, replica } = this.ports;
@@ -57,7 +58,7 @@
       for (const { key } of items) this.requestedKeys.delete(key);
       this.requestedKeys.delete(firstKey);
     } catch {
-      // Completes all waiting reads, so that no user waits for a store that does not respond: their callers
+      // Ends all waiting reads, so that no user request waits for a store that does not respond. The callers
       // reply that the user has to retry.
       this.requestedKeys.clear();
     } finally {
@@ -67,9 +68,9 @@
 }
 
 /**
- * Returns a list cursor that sorts before `key` and after every smaller outcome key. It decrements the last
- * character of `key` and appends `:`, because job ids end with a digit and `:` sorts directly after the
- * digits.
+ * Returns a list cursor that sorts before `key` and after every smaller outcome key. The cursor is `key` with
+ * its final character decremented and a `:` appended. Job ids end with a digit, and `:` sorts directly after
+ * the digits.
  */
 function cursorJustBefore(key: string): string {
   const afterDigits = ':';
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -1,4 +1,4 @@
-/** Accepts submissions: validates a new job and commits its record to the store. */
+/** Handles submissions of jobs: validates a new job and commits its record to the store. */
 import type { DependencyGraph } from '../dependencies/dependency-graph.js';
 import type { JobSpec, MachineType } from '../model/types.js';
 import type { Settings } from '../settings/settings.js';
@@ -12,7 +12,7 @@
 
 /** The parts of the controller that submissions use. */
 export interface SubmissionPorts {
-  /** Time of day in ms. */
+  /** Wall-clock time in ms since the epoch. */
   wallClock: () => number;
   settings: Settings;
   store: Pick<StoreClient, 'failing' | 'writeWaitMs'>;
@@ -21,48 +21,57 @@
   writes: CommitQueue;
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /**
-   * The initial task ranges of a new job, each with its block; empty if the leader has to dispatch the job.
+   * Returns the task ranges of a new job and the block to which each range is dispatched (a block is a set of
+   * machines managed by one controller). Empty if the leader has to dispatch the job.
    */
   initialRanges: (spec: JobSpec) => TaskRange[];
   jobIndex: { dependencies: Pick<DependencyGraph, 'hasCancelledUpstream'> };
   /**
-   * Whether all controllers support dependencies. A controller of an earlier version would ignore them and
-   * start the job at once.
+   * Whether all controllers support dependencies. A controller of an earlier version would ignore the
+   * dependencies of a job and start the job immediately.
    */
   supportsDependencies: () => boolean;
-  /** Whether this controller knows every cancellation whose dependents must be cancelled by now. */
+  /**
+   * Whether the replica is recent enough to contain every cancellation whose dependents must be cancelled by
+   * now.
+   */
   knowsCancellations: () => boolean;
 }
 
 /** The result of a submission. */
 export type SubmissionResult =
-  /** This submission committed the job. */
+  /** The job was accepted by this submission. */
   | { kind: 'created' }
-  /** The job was accepted by an earlier submission; its status has to be read. */
+  /** The job was accepted by an earlier submission; the caller has to read its status. */
   | { kind: 'accepted-before' }
   | { kind: 'impossible'; reason: string }
   | { kind: 'overloaded'; retryAfterS: number }
   | { kind: 'unavailable' };
 
 /**
- * Limit of the replica's keys, per MB of the controller's memory quota, beyond which submissions are refused.
- * It bounds the open jobs that a controller keeps track of.
+ * Submissions are refused if the replica has more keys than this per MB of the controller's memory quota. The
+ * limit bounds the number of open jobs of which a controller keeps track.
  */
 const maxOpenJobsPerMb = 20;
 /** Lower bound of `Retry-After`, in seconds, in the reply of an overloaded controller. */
 const minOverloadRetryS = 3;
-/** A submission is refused if its commit would wait longer than this; users time out after 5 s. */
+/**
+ * A submission is refused if its commit would wait longer than this before it is sent. User requests time out
+ * after 5 s.
+ */
 const maxWriteWaitMs = 2000;
 /**
- * Upper bound of `Retry-After`, in seconds, of an overloaded controller; users respect values of up to 30 s.
+ * Upper bound of `Retry-After`, in seconds, in the reply of an overloaded controller. Users respect values of
+ * up to 30 s.
  */
 const maxOverloadRetryS = 20;
 
 /**
- * Makes submissions idempotent: each job id is accepted once, whichever controllers receive its repetitions.
+ * Accepts each job id once, even if users retry the submission at several controllers, so that submissions
+ * are idempotent.
  */
 export class Submissions {
-  /** Commits of new jobs in flight, by job id. */
+  /** Pending commits of new jobs, by job id. */
   private readonly commitsInFlight = new Map<string, Promise<SubmissionResult>>();
 
   constructor(
@@ -71,9 +80,9 @@
   ) {}
 
   /**
-   * Validates and commits a job. A repetition that arrives while the first attempt is in flight waits for the
-   * result of the first attempt. That result shows only that the job was accepted: the status has to be read
-   * again, because the first attempt may have been executed before the repetition arrived. Never throws.
+   * Validates and commits a job. If the client retries the submission while the first attempt is in flight,
+   * the retry waits for the result of the first attempt. The caller then has to read the job's status,
+   * because the store may have executed the first attempt before the retry arrived. Never throws.
    */
   async submit(job: JobSpec): Promise<SubmissionResult> {
     const { store, replica, machineTypes, settings } = this.ports;
@@ -86,7 +95,7 @@
     const refusal = await this.checkDependencies(job);
     if (refusal) return refusal;
     const firstAttempt = this.commitsInFlight.get(job.id);
-    if (firstAttempt) return asRepetition(await firstAttempt);
+    if (firstAttempt) return resultForRetry(await firstAttempt);
     if (store.failing) return { kind: 'unavailable' };
     const retryAfterS = this.overloadRetryAfterS();
     if (retryAfterS !== undefined) return { kind: 'overloaded', retryAfterS };
@@ -100,8 +109,9 @@
   }
 
   /**
-   * Returns the result that ends the submission because of the job's dependencies; undefined if they allow
-   * the job to be committed. Compares with the store for dependencies that the replica does not hold.
+   * Returns the result of a submission that must not be committed because of its dependencies; undefined if
+   * the dependencies allow the commit. Dependencies that are missing from the replica are looked up in the
+   * store.
    */
   private async checkDependencies({ id, dependencies = [] }: JobSpec): Promise<SubmissionResult | undefined> {
     if (dependencies.length === 0) return undefined;
@@ -111,7 +121,7 @@
     const acceptances = await Promise.all(
       dependencies.map((dependency) => this.statuses.acceptance(dependency)),
     );
-    // A repetition of an accepted job is never refused because of the dependencies that it lists.
+    // A retried submission of an accepted job is never refused because of its dependencies.
     if (this.isKnownAccepted(id)) return { kind: 'accepted-before' };
     if (acceptances.includes('unavailable') || !knowsCancellations()) return { kind: 'unavailable' };
     const unknownDependency = dependencies[acceptances.indexOf('never-accepted')];
@@ -126,8 +136,8 @@
   }
 
   /**
-   * Returns the seconds after which the user should retry if the job is refused as overload; undefined if it
-   * is not.
+   * Returns after how many seconds the user should retry if the submission has to be refused because of
+   * overload; undefined if there is no overload.
    */
   private overloadRetryAfterS(): number | undefined {
     const { replica, settings, store, writes } = this.ports;
@@ -149,7 +159,8 @@
   }
 
   /**
-   * Accepts a job with a cancelled dependency by committing its outcome `cancelled` instead of its record.
+   * Accepts a job with a cancelled dependency. Instead of the job's record, its outcome `cancelled` is
+   * committed.
    */
   private async commitAsCancelled(job: JobSpec): Promise<SubmissionResult> {
     const { replica, wallClock } = this.ports;
@@ -158,7 +169,10 @@
     return this.commitAsNew(job.id, key, value, (version) => replica.recordOutcome(key, { value, version }));
   }
 
-  /** Commits the first entry of a job on the condition that the job has neither a record nor an outcome. */
+  /**
+   * Commits the record or outcome of a new job, on the condition that the store contains neither a record nor
+   * an outcome of the job.
+   */
   private async commitAsNew(
     id: string,
     key: string,
@@ -174,6 +188,6 @@
   }
 }
 
-function asRepetition(firstAttempt: SubmissionResult): SubmissionResult {
+function resultForRetry(firstAttempt: SubmissionResult): SubmissionResult {
   return firstAttempt.kind === 'created' ? { kind: 'accepted-before' } : firstAttempt;
 }
