--- a/src/store/adaptive-share.test.ts
+++ b/src/store/adaptive-share.test.ts
@@ -3,8 +3,9 @@
 
 import { AdaptiveShare, type PacedCommit } from './adaptive-share.js';
 
-// Guards against submissions that wait because of a fixed share while other controllers leave theirs unused.
-test('a share grows while users wait, shrinks while no user waits, and halves on a refusal', () => {
+// If each controller's share of the write limit were fixed, submissions at one controller would wait although
+// the other controllers leave their shares unused.
+test('the share grows while users wait, shrinks while no user waits, and halves on a refusal', () => {
   const adaptiveShare = new AdaptiveShare(0);
   const factorAfter = (commit: PacedCommit, times: number, startMs: number): number => {
     for (let i = 1; i <= times; i++) adaptiveShare.recordCommit(commit, startMs + i * 1000);
@@ -19,9 +20,9 @@
   assert.equal(factorAfter({ refused: true, waited: false }, 9, 82_000), 1);
 });
 
-// Guards against a controller that keeps the present request rate after lower limits take effect, and whose
-// commits are then refused forever.
-test('refusals reduce an even share to what announced limits leave, and it recovers slowly', () => {
+// The state service lowers its limits, as announced. If a controller kept its previous write rate, its
+// commits would be refused forever.
+test('refusals reduce the share below the even share if lower limits are announced, and it recovers slowly', () => {
   const adaptiveShare = new AdaptiveShare(0, 0.7);
   for (let i = 0; i < 3; i++) adaptiveShare.recordCommit({ refused: true, waited: false }, i * 100);
   assert.equal(adaptiveShare.factor.toFixed(3), '0.729');
--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -1,4 +1,7 @@
-/** Adapts a controller's share of the state service's write limit to demand and to refusals. */
+/**
+ * Adapts a controller's share of the state service's write limit to the demand and to refused commits. The
+ * even share is the part of the limit that the pacing assigns to the controller.
+ */
 
 /** Growth of a share above the even share while users wait, as a fraction of the even share per second. */
 const growthPerSecond = 0.5;
@@ -6,45 +9,46 @@
  * Decay of a share towards the even share while no user waits, as a fraction of the even share per second.
  */
 const decayPerSecond = 0.1;
-/** The largest share, as a multiple of the even share. */
+/** Upper bound of the share, as a multiple of the even share. */
 const maxFactor = 4;
 /**
- * Growth of a share below the even share, as a fraction of the even share per second. It is so slow that the
- * share reaches the even share only if the limits were raised again.
+ * Growth of a share below the even share, as a fraction of the even share per second. Growth is so slow that
+ * the share reaches the even share only if the limits have been raised again.
  */
 const recoveryPerSecond = 0.01;
 /** Each refusal multiplies a share above the even share by this factor. */
 const refusalFactorAboveEven = 1 / 2;
 /** Each refusal multiplies a share equal to or below the even share by this factor. */
 const refusalFactorBelowEven = 0.9;
-/** The time between two commits counts as at most this many seconds of growth or decay. */
+/** Upper bound, in seconds, of the time between two commits for which the share grows or decays. */
 const maxElapsedS = 1;
 
-/** The result of a commit, as far as the share depends on it. */
+/** The properties of a completed commit from which the share is adapted. */
 export interface PacedCommit {
-  /** The service refused the commit because a rate limit was exceeded. */
+  /** Whether the service refused the commit because a rate limit was exceeded. */
   refused: boolean;
   /**
-   * A user had to wait until the commit was sent. Waiting of other work is not reported here: that work can
-   * be batched, so its waiting is no reason for a larger share.
+   * Whether a user had to wait until the commit was sent. Always false for commits of the controller's own
+   * work, because this work can be batched and needs no larger share if it waits.
    */
   waited: boolean;
 }
 
 /**
- * The controller's share of the store's write limit, relative to an even share. The other controllers seldom
- * need all of their shares at the same time, and no message reports how much of them is unused. Therefore the
- * share grows while users wait and the service refuses nothing. Each refusal halves the share, down to the
- * even share. If lower limits are announced, refusals reduce the share further, down to the part that the
- * lower limits will leave.
+ * The controller's share of the store's write limit, relative to its even share. The other controllers seldom
+ * use their full shares at the same time, and no message reports the unused part. Therefore the share grows
+ * while users wait and the service refuses no commit. Each refusal halves the share, down to the even share.
+ *
+ * If lower limits are announced, refusals reduce the share further, down to the fraction that remains under
+ * the lower limits.
  */
 export class AdaptiveShare {
   private updatedAt: number;
   private currentFactor = 1;
 
   /**
-   * @param now the clock, in milliseconds
-   * @param minFactor the part of its even share below which no refusal reduces the share, 0 to 1
+   * @param now monotonic time in ms
+   * @param minFactor lower bound of the share, as a fraction of the even share, 0 to 1
    */
   constructor(
     now: number,
@@ -53,14 +57,14 @@
     this.updatedAt = now;
   }
 
-  /** The present share, as a multiple of the even share. */
+  /** The current share, as a multiple of the even share. */
   get factor(): number {
     return this.currentFactor;
   }
 
   /**
-   * Adapts the share to a commit that ended at `now`, a reading of the clock in milliseconds. Returns true if
-   * the factor has changed.
+   * Adapts the share to a commit that was completed at `now`, a monotonic time in ms. Returns true if the
+   * share has changed.
    */
   recordCommit({ refused, waited }: PacedCommit, now: number): boolean {
     const elapsedS = Math.min(maxElapsedS, (now - this.updatedAt) / 1000);
--- a/src/store/change-watch.ts
+++ b/src/store/change-watch.ts
@@ -1,4 +1,4 @@
-/** Receives changes from the state service by long polling. */
+/** Receives changes of the stored keys from the state service by long polling. */
 import { onAbort } from '../base/abort-callbacks.js';
 import type { Clock } from '../base/clock.js';
 import { HttpClient, type HttpResponse } from '../base/http.js';
@@ -6,7 +6,7 @@
 import { StoreConnectionError, StoreStatusError } from './errors.js';
 import type { StoreContact } from './store-contact.js';
 
-/** How long the service may hold a watch request open while there are no changes. */
+/** How long the service may hold a watch request open if there are no changes. */
 const watchHoldMs = 10_000;
 const watchTimeoutMs = watchHoldMs * 2;
 const compactedStatus = 410;
@@ -14,11 +14,11 @@
 /** The changes in the answer to one watch request, in the order of their revisions. */
 export interface ChangeBatch {
   changes: Change[];
-  /** The batch contains every change up to this revision. */
+  /** The batch contains every change after the requested revision, up to this revision. */
   revision: number;
 }
 
-/** What a watch requires from the rest of the client. */
+/** The parts of the store client that the watch uses. */
 export interface ChangeWatchPorts {
   /** `host:port` of the state service. */
   address: string;
@@ -29,24 +29,25 @@
 }
 
 /**
- * Sends one watch request at a time, on a connection of its own. Watch requests take no part in request
- * pacing, and their answers do not count as proof of contact.
+ * Sends one watch request at a time, on a separate connection. Watch requests are exempt from request pacing,
+ * and their answers do not count as proof of contact with the service.
  */
 export class ChangeWatch {
-  private readonly peer: HttpClient;
+  private readonly httpClient: HttpClient;
   private openWatch: AbortController | undefined;
 
   constructor(private readonly ports: ChangeWatchPorts) {
-    this.peer = new HttpClient(ports.address, 1);
+    this.httpClient = new HttpClient(ports.address, 1);
   }
 
   /**
-   * Waits for changes after a revision. The batch is empty if there was no change while the service held the
-   * watch.
+   * Waits for changes after a revision. The batch is empty if no key changed while the service held the watch
+   * request open.
    *
-   * @returns undefined if the service no longer has these changes and all keys must be read again
+   * @returns undefined if the service no longer has the changes after this revision, so that all keys must be
+   *   read again
    * @throws {StoreConnectionError} when no answer arrives in time, or the watch was restarted
-   * @throws {StoreStatusError} when the answer has any other status than 200 and 410
+   * @throws {StoreStatusError} when the answer has a status other than 200 and 410
    */
   async next(sinceRevision: number): Promise<ChangeBatch | undefined> {
     const { clock, contact } = this.ports;
@@ -59,8 +60,8 @@
   }
 
   /**
-   * Aborts the open watch request, since a network partition may have dropped it. The pending call of `next`
-   * then throws.
+   * Aborts the open watch request, because a network partition may have dropped it. As a result, the pending
+   * call of `next` throws.
    */
   restart(): void {
     this.openWatch?.abort();
@@ -71,7 +72,7 @@
     const stopListening = onAbort(this.ports.signal, () => stop.abort());
     this.openWatch = stop;
     try {
-      return await this.peer.exchange('GET', watchPath(sinceRevision, watchHoldMs), undefined, {
+      return await this.httpClient.exchange('GET', watchPath(sinceRevision, watchHoldMs), undefined, {
         timeoutMs: watchTimeoutMs,
         signal: stop.signal,
       });
--- a/src/store/client.test.ts
+++ b/src/store/client.test.ts
@@ -11,9 +11,10 @@
 
 const neverAborted = new AbortController().signal;
 
-// Guards against a controller that regains contact after a network partition but for seconds receives no
-// changes, so that it does not see that its block has a new owner.
-test('a watch lost in a network partition is restarted once the store serves requests again', async () => {
+// A network partition drops the open watch request of a controller. After the partition, the store serves
+// other requests of the controller. If the watch were not restarted, the controller would receive no changes
+// for seconds, and would not notice that its block has a new owner.
+test('a watch request lost in a network partition is restarted when the store serves requests again', async () => {
   const statuses = [503, 200];
   const server = createServer((request, response) => {
     // The server never answers the watch request.
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,6 +1,6 @@
 /**
- * The state service client of a controller: reads, a watch, transactions and leases within the controller's
- * share of the service's limits.
+ * The controller's client of the state service: sends reads, watch requests, transactions and lease requests
+ * within the controller's share of the service's rate limits.
  */
 import type { Clock } from '../base/clock.js';
 import type { Settings } from '../settings/settings.js';
@@ -23,13 +23,13 @@
 import { type ChangeCounts, type CommitOutcome, Transactions } from './transactions.js';
 
 const requestSockets = 6;
-/** Only one of these is in use unless answers take longer than the interval between renewals. */
+/** Only one renewal is in flight at a time, unless answers take longer than the interval between renewals. */
 const renewalSockets = 4;
 const itemsPerPage = 500;
 
 /**
- * A controller's client of the state service. Unless stated otherwise, its methods reject with a `StoreError`
- * if the result of a request is not known. Times are readings of the clock, in milliseconds.
+ * A controller's client of the state service. Unless stated otherwise, the methods that send a request reject
+ * with a `StoreError` if the result of the request is not known. Times are monotonic times in ms.
  */
 export class StoreClient {
   private readonly contact: StoreContact;
@@ -41,13 +41,13 @@
 
   /**
    * @param settings the address and limits of the service
-   * @param clock reads the time
+   * @param clock monotonic time in ms
    * @param signal aborts all pending requests and pauses
    */
   constructor(settings: Settings, clock: Clock, signal: AbortSignal) {
     const address = settings.stateAddress;
-    // The last contact is assumed to be one cancellation deadline ago: before the service has answered for
-    // the first time, no decision may rely on contact.
+    // Until the service has served the first request, the latest contact is assumed to be one cancellation
+    // deadline ago, so that nothing relies on recent contact.
     this.contact = new StoreContact(clock, clock() - settings.cancelDeadlineMs, () => this.restartWatch());
     this.pacing = new RequestPacing(settings, clock);
     const { contact, pacing } = this;
@@ -58,59 +58,64 @@
     this.leases = new Leases(this.connection, new StoreConnection(ports, renewalSockets));
   }
 
-  /** Adapts this controller's share of the limits to its present role. */
+  /** Adapts this controller's share of the limits to its current role. */
   setRole(role: ControllerRole): void {
     this.pacing.setRole(role);
   }
 
   /**
-   * The pause between two watch requests, in milliseconds, which keeps the watches of all controllers
-   * together within their share of the request limit.
+   * The pause between two watch requests in ms. With this pause, the watch requests of all controllers
+   * together stay within the part of the request limit that is reserved for them.
    */
   get watchGapMs(): number {
     return this.pacing.watchGapMs;
   }
 
   /**
-   * How many milliseconds the pacing would delay a commit of this class.
+   * Returns how many milliseconds the pacing would delay a commit of this class.
    *
    * @param trafficClass the class of the commit
-   * @param writesAhead writes that are sent before the commit; ignored for `duty`
+   * @param writesAhead number of writes that are sent before the commit; ignored for `duty`
    */
   writeWaitMs(trafficClass: TrafficClass, writesAhead = 0): number {
     return this.pacing.writeWaitMs(trafficClass, writesAhead);
   }
 
-  /** A replica that has reached this revision contains every change committed before the returned time. */
+  /**
+   * Returns the time before which every committed change is contained in a replica that has reached this
+   * revision.
+   */
   knownUntil(revision: number): number {
     return this.contact.knownUntil(revision);
   }
 
-  /** The send time of the latest request whose answer contained a revision of the store. */
+  /** The time at which the latest request was sent whose answer contained a revision of the store. */
   get lastRevisionSeenAt(): number {
     return this.contact.lastRevisionSeenAt;
   }
 
   /**
-   * The send time of the latest request that the service served. It does not show how recent the replica is.
+   * The time at which the latest request was sent that the service served. This time does not show how recent
+   * the replica is.
    */
   get lastContactAt(): number {
     return this.contact.lastContactAt;
   }
 
-  /** How many milliseconds before `now` the latest request that the service served was sent. */
+  /** Returns the time in ms from the sending of the latest served request until `now`. */
   contactAgeMs(now: number): number {
     return now - this.contact.lastContactAt;
   }
 
   /**
-   * True after the service has refused a request with 503 or left it unanswered, until it serves one again.
+   * True after the service refused a request with 503 or a request got no answer, until the service serves a
+   * later request.
    */
   get failing(): boolean {
     return this.contact.failing;
   }
 
-  /** The item under a key; undefined if the key does not exist. */
+  /** Reads a key with its value and version; undefined if the key does not exist. */
   async read(key: string, trafficClass: TrafficClass = 'duty'): Promise<Item | undefined> {
     const answer = await this.connection.sendPaced(trafficClass, {
       operation: 'read',
@@ -123,8 +128,8 @@
   }
 
   /**
-   * Reads all items with a key prefix, page by page. Returns them with the revision of the first page:
-   * changes after this revision may be missing.
+   * Reads all items with a key prefix, page by page. Returns the items with the revision of the first page.
+   * Changes after this revision may be missing, because later pages are read at later revisions.
    */
   async list(prefix: string): Promise<{ items: Item[]; revision: number }> {
     const items: Item[] = [];
@@ -140,7 +145,7 @@
     }
   }
 
-  /** One page of the items with a key prefix, in the order of their keys, starting behind the key `after`. */
+  /** Reads one page of the items with a key prefix in key order, starting after the key `after`. */
   async listPage(
     prefix: string,
     after: string,
@@ -157,16 +162,16 @@
   }
 
   /**
-   * Waits for changes after a revision. Returns undefined if the service no longer has them and all keys must
-   * be read again.
+   * Waits for changes after a revision. Returns undefined if the service no longer has these changes, so that
+   * all keys must be read again.
    */
   watch(sinceRevision: number): Promise<ChangeBatch | undefined> {
     return this.changeWatch.next(sinceRevision);
   }
 
   /**
-   * Aborts the open watch request, since a network partition may have dropped it. The pending call of `watch`
-   * then rejects.
+   * Aborts the open watch request, because a network partition may have dropped it. As a result, the pending
+   * call of `watch` rejects.
    */
   restartWatch(): void {
     this.changeWatch.restart();
@@ -180,7 +185,7 @@
     return this.transactions.commit(trafficClass, conditions, writes);
   }
 
-  /** Returns the counts of this controller's writes since the previous call, and resets them. */
+  /** Returns the counts of this controller's writes since the previous call, and resets the counts. */
   takeChangeCounts(): ChangeCounts {
     return this.transactions.takeCounts();
   }
@@ -191,13 +196,17 @@
   }
 
   /**
-   * Renews a lease for its full time to live; false if it has expired or was revoked. Not delayed by pacing.
+   * Renews a lease for its full time to live. Returns false if the lease has expired or was revoked. Not
+   * delayed by pacing.
    */
   renewLease(leaseId: number): Promise<boolean> {
     return this.leases.renewLease(leaseId);
   }
 
-  /** Revokes a lease, which deletes the keys written under it at once. Not delayed by pacing. */
+  /**
+   * Revokes a lease. The service then immediately deletes the keys that were written under the lease. Not
+   * delayed by pacing.
+   */
   revokeLease(leaseId: number): Promise<void> {
     return this.leases.revokeLease(leaseId);
   }
--- a/src/store/commit-queue.test.ts
+++ b/src/store/commit-queue.test.ts
@@ -25,14 +25,14 @@
 
 const put = (key: string): [Condition[], Write[]] => [[{ key, version: 0 }], [{ put: key, value: 1 }]];
 
-test('operations queued during a transaction are sent together in the next one', async () => {
+test('operations that are queued while a transaction is in flight are sent together in the next one', async () => {
   const { queue, sent } = createQueue(() => ({ kind: 'applied', revision: 9 }));
   const outcomes = await Promise.all(['a', 'b', 'c', 'd'].map((key) => queue.commit(...put(key))));
   assert.deepEqual(sent, [1, 3]);
   assert.ok(outcomes.every(({ kind }) => kind === 'applied'));
 });
 
-test('a conflict of one operation does not fail the others in its transaction', async () => {
+test('a conflict of one operation does not fail the other operations in its transaction', async () => {
   const { queue } = createQueue((conditions) =>
     conditions.some((c) => c.key === 'b')
       ? { kind: 'conflict', failed: ['b'], revision: 3 }
@@ -45,7 +45,7 @@
   );
 });
 
-test('a transaction over the rate limits is retried, one refused during an outage is not', async () => {
+test('a transaction is retried if the rate limits refuse it, but not if an outage does', async () => {
   let refusalsLeft = 2;
   const rateLimited = createQueue(() =>
     refusalsLeft-- > 0 ? { kind: 'refused', rateLimited: true } : { kind: 'applied', revision: 1 },
@@ -56,9 +56,10 @@
   assert.equal(outage.sent.length, 1);
 });
 
-// Guards against a block that makes no progress: the service refuses a transaction as malformed if one key is
-// named in several conditions.
-test('a condition shared by several operations is sent once', async () => {
+// Commits of several ledger pages of a block have the condition on the block's record in common. If the queue
+// sent this condition several times in one transaction, the service would refuse the transaction as
+// malformed, and the block would make no progress.
+test('a condition that several operations have in common is sent once', async () => {
   const sent: string[][] = [];
   const { queue } = createQueue((conditions) => {
     sent.push(conditions.map((c) => c.key));
@@ -75,7 +76,7 @@
   ]);
 });
 
-test('a malformed operation does not fail the others in its transaction', async () => {
+test('a malformed operation does not fail the other operations in its transaction', async () => {
   const { queue, sent } = createQueue((conditions) =>
     conditions.some(({ key }) => key === 'b') ? { kind: 'malformed' } : { kind: 'applied', revision: 4 },
   );
@@ -87,7 +88,7 @@
   assert.deepEqual(sent, [1, 3, 1, 1, 1]);
 });
 
-test('operations still queued when the process stops are refused', async () => {
+test('operations that are still queued when the process stops are refused', async () => {
   const stop = new AbortController();
   const sent: Write[][] = [];
   const client = {
--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Group commit: operations that are queued while a transaction is in progress are sent together in the next
- * one.
+ * Group commit: operations that are queued while a transaction is in flight are sent together in the next
+ * transaction.
  */
 import { Writable } from 'node:stream';
 
@@ -13,27 +13,26 @@
 import { type BatchedOperation, takeBatch } from './transaction-batch.js';
 import type { CommitOutcome } from './transactions.js';
 
-/** The conditions and writes of one caller, which are executed together or not at all. */
+/** The conditions and writes of one call of `commit`. The writes are executed together or not at all. */
 interface Operation extends BatchedOperation {
   settle: (outcome: CommitOutcome) => void;
 }
 
-/** Largest size of a key with its version in JSON, the form in which the service measures transactions. */
+/** Upper bound of the size of a key with its version, in bytes of JSON, in which the service measures it. */
 const bytesPerKey = 64;
-/** How often a transaction that exceeds the rate limits is retried. */
+/** Limit of retries of a transaction that is refused because of the rate limits. */
 const maxRetries = 5;
 
 /**
- * A queue of operations with one transaction in progress at a time. The high-water mark of the stream is the
- * bound of the queue. The queue accepts operations beyond this bound, so callers must check `full` and hold
- * back themselves.
+ * A queue of operations with one transaction in flight at a time. The bound of the queue is the high-water
+ * mark of the stream. The queue accepts operations beyond this bound, so callers have to check `full`.
  */
 export class CommitQueue extends Writable {
   /**
    * @param client sends the transactions
    * @param trafficClass the traffic class of all transactions
    * @param settings the limits of a transaction
-   * @param signal when it fires, the operations still queued are settled as refused
+   * @param signal when aborted, operations that are still queued are settled as refused
    * @param maxQueued the number of queued operations at which the queue is full
    */
   constructor(
@@ -52,13 +51,13 @@
   }
 
   /**
-   * Executes the writes together if all conditions hold. An operation of another caller never makes this one
-   * fail.
+   * Executes the writes together if all conditions hold. The operation may share a transaction with
+   * operations of other callers, but does not fail because another operation conflicts or is malformed.
    *
    * @param conditions versions that keys must have
    * @param writes keys to put or delete
-   * @param valueBytes an upper bound of the size of the values in JSON, if it is known without measuring them
-   * @returns the operation's own outcome; never rejects
+   * @param valueBytes upper bound of the size of the values in JSON; measured if it is not given
+   * @returns the outcome of this operation; never rejects
    */
   commit(conditions: Condition[], writes: Write[], valueBytes?: number): Promise<CommitOutcome> {
     return new Promise((settle) => {
@@ -68,7 +67,7 @@
     });
   }
 
-  /** Called by the stream with all operations queued while the previous transactions were in progress. */
+  /** Called by the stream with all operations that were queued during the previous call. */
   override _writev(chunks: { chunk: Operation }[], done: (error?: Error | null) => void): void {
     this.flush(chunks.map(({ chunk }) => chunk)).then(
       () => done(),
@@ -100,8 +99,8 @@
       if (outcome.kind === 'conflict' && batch.length > 1) {
         remaining = [...settleConflicting(batch, outcome), ...rest];
       } else if (outcome.kind === 'malformed' && batch.length > 1) {
-        // One of the operations is malformed, and the service does not report which one. The others must not
-        // fail with it, so each operation is sent in a transaction of its own.
+        // The service does not report which operation is malformed. Each operation is sent in a separate
+        // transaction, so that the other operations do not fail.
         await this.flushOneByOne(batch);
       } else settleAll(batch, outcome);
     }
@@ -112,7 +111,8 @@
   }
 
   /**
-   * The time in ms after which the rate limits admit the batch again, multiplied by the number of the retry.
+   * Returns the back-off in ms before a retry of the batch: the time in which the rate limits admit one such
+   * transaction, multiplied by the number of the retry.
    */
   private retryDelayMs(batch: Operation[], retries: number): number {
     const { writeRps, rps } = this.settings.state;
@@ -122,8 +122,8 @@
 }
 
 /**
- * The conditions of a batch, each key once. The service counts every condition of a transaction, including
- * repetitions of a condition that several operations share.
+ * Returns the conditions of a batch, with each key once. The service counts every condition of a transaction,
+ * so a condition that several operations have in common would be counted several times.
  */
 function distinctConditions(batch: Operation[]): Condition[] {
   return [
@@ -134,8 +134,8 @@
 }
 
 /**
- * Settles the operations whose own conditions failed, and returns the others, which are retried without
- * these.
+ * Settles the operations whose conditions did not hold. Returns the other operations of the batch, which can
+ * be retried.
  */
 function settleConflicting(
   batch: Operation[],
@@ -146,7 +146,7 @@
     operation.conditions.some((condition) => failed.has(condition.key));
   const conflicting = batch.filter(hasFailed);
   if (conflicting.length === 0) {
-    // The answer names no key of the batch, so it does not show which of the operations could be retried.
+    // The answer contains no key of the batch, so it does not show which operations could be retried.
     settleAll(batch, { kind: 'unknown' });
     return [];
   }
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -1,17 +1,18 @@
 /** Errors of requests to the state service. */
 
-/** The operation that a request to the state service asks for. */
+/** The operation that a request to the state service performs. */
 export type StoreOperation =
   'read' | 'list' | 'watch' | 'commit' | 'create-lease' | 'renew-lease' | 'revoke-lease';
 
 /**
- * The result of a request to the state service is not known. Catch this class to handle all reasons alike.
+ * Thrown if the result of a request to the state service is not known. This is the base class of all store
+ * errors.
  */
 export class StoreError extends Error {
   /**
-   * @param operation the operation that the request asked for
+   * @param operation the operation of the request
    * @param message the reason, for logs
-   * @param options the error that caused this one, if any
+   * @param options may contain the cause of the error
    */
   constructor(
     readonly operation: StoreOperation,
@@ -24,12 +25,12 @@
 }
 
 /**
- * The state service answered with a status without a result, such as 429 when a rate limit is exceeded or 503
- * during an outage.
+ * Thrown if the state service answers with a status that gives no result, such as 429 when a rate limit is
+ * exceeded or 503 during an outage.
  */
 export class StoreStatusError extends StoreError {
   /**
-   * @param operation the operation that the request asked for
+   * @param operation the operation of the request
    * @param status the HTTP status of the answer
    */
   constructor(
@@ -41,13 +42,13 @@
 }
 
 /**
- * No readable answer arrived: the request timed out, the connection broke, the answer could not be decoded,
- * or the process is stopping. The request may have been executed, or may still be executed later. `cause`
- * holds the error of the connection.
+ * Thrown if no readable answer arrived: the request timed out, the connection broke, the answer could not be
+ * decoded, or the process is stopping. The service may have executed the request, or may still execute it
+ * later. `cause` is the error of the connection.
  */
 export class StoreConnectionError extends StoreError {
   /**
-   * @param operation the operation that the request asked for
+   * @param operation the operation of the request
    * @param cause the error of the connection
    */
   constructor(operation: StoreOperation, cause: unknown) {
--- a/src/store/freshness-bound.ts
+++ b/src/store/freshness-bound.ts
@@ -1,29 +1,32 @@
-/** Computes how recent a replica of the state service's keys is. */
+/** Computes how recent the replica of the store is. */
 
 /**
- * Largest number of stored observations of revisions that the replica has not reached yet. Further ones are
- * dropped, which can only make the replica appear less recent than it is.
+ * Limit of stored observations of revisions that the replica has not reached yet. Observations beyond the
+ * limit are dropped. As a result, the replica can appear less recent than it is, but never more recent.
  */
 const maxPendingObservations = 64;
 
-/** The answer to a request sent at `sentAt` contained this revision. */
+/** An answer of the store that contained a revision, with the time at which the request was sent. */
 interface RevisionObservation {
   sentAt: number;
   revision: number;
 }
 
 /**
- * Computes the time up to which the replica contains all changes. An answer that contains a revision proves
- * that every change committed before its request was *sent* is at or below that revision. When the replica
- * has reached the revision, it contains all these changes. Other answers, refusals and open watches prove
- * nothing, however recent they are. Times are readings of one clock, in milliseconds.
+ * Computes the time up to which the replica contains all changes. If the answer to a request contains a
+ * revision, every change that was committed before the request was *sent* is at or below this revision. When
+ * the replica has reached the revision, it contains all these changes. Answers without a revision, refusals
+ * and open watch requests prove nothing, even if they are recent. Times are monotonic times in ms.
  */
 export class FreshnessBound {
   private pendingObservations: RevisionObservation[] = [];
   private provenUntil = -Infinity;
   private newestSentAt = -Infinity;
 
-  /** The send time of the latest request whose answer contained a revision; `-Infinity` before the first. */
+  /**
+   * The time at which the latest request was sent whose answer contained a revision; `-Infinity` before the
+   * first such answer.
+   */
   get lastRevisionSeenAt(): number {
     return this.newestSentAt;
   }
@@ -38,12 +41,12 @@
   }
 
   /**
-   * A replica that has reached this revision contains every change committed before the returned time;
-   * `-Infinity` if no answer has proven a time yet.
+   * Returns the time before which every committed change is contained in a replica that has reached this
+   * revision. The time is `-Infinity` until the replica has reached the revision of some answer.
    */
   knownUntil(revision: number): number {
-    // Fast path: this method is called with every heartbeat, and usually no pending observation has been
-    // reached.
+    // Fast path: this method is called with every heartbeat, and usually the replica has reached no further
+    // observed revision.
     if (this.pendingObservations.every((observation) => observation.revision > revision))
       return this.provenUntil;
     this.pendingObservations = this.pendingObservations.filter((observation) => {
--- a/src/store/leases.test.ts
+++ b/src/store/leases.test.ts
@@ -6,8 +6,8 @@
 import type { StoreRequest } from './store-connection.js';
 
 /**
- * Leases whose requests are all answered with `status`, and the requests in the order in which they were
- * sent.
+ * Creates a lease client whose requests are all answered with `status`, and records the requests in the order
+ * in which they are sent.
  */
 function createLeases(status: number): { leases: Leases; sent: string[] } {
   const sent: string[] = [];
@@ -24,7 +24,7 @@
   return { leases, sent };
 }
 
-test('creating a lease is paced, renewals use separate connections, revoking is immediate', async () => {
+test('creations are paced, renewals use separate connections, and revocations are sent immediately', async () => {
   const { leases, sent } = createLeases(200);
   assert.equal(await leases.createLease(6000), 5);
   assert.equal(await leases.renewLease(5), true);
@@ -32,13 +32,13 @@
   assert.deepEqual(sent, ['in turn POST /grants', 'renewal POST /grants/5/touch', 'ahead DELETE /grants/5']);
 });
 
-test('a renewal distinguishes an expired lease from an answer without a result', async () => {
+test('a renewal returns false for an expired lease, and throws if the answer gives no result', async () => {
   assert.equal(await createLeases(404).leases.renewLease(5), false);
   const failure = { name: 'StoreStatusError', operation: 'renew-lease', status: 503 };
   await assert.rejects(createLeases(503).leases.renewLease(5), failure);
 });
 
-test('a failed creation of a lease throws an error with the status', async () => {
+test('a refused lease creation throws an error with the HTTP status', async () => {
   const failure = { name: 'StoreStatusError', operation: 'create-lease', status: 429 };
   await assert.rejects(createLeases(429).leases.createLease(6000), failure);
 });
--- a/src/store/leases.ts
+++ b/src/store/leases.ts
@@ -1,6 +1,6 @@
 /**
- * Leases of the state service: the service deletes the keys written under a lease when it expires or is
- * revoked.
+ * Client of the state service's leases. When a lease expires or is revoked, the service deletes the keys that
+ * were written under it.
  */
 import { createLeaseBody, leasePath, parseLeaseId } from '../wire/state.js';
 import { StoreStatusError } from './errors.js';
@@ -9,8 +9,8 @@
 /** Creates, renews and revokes leases. */
 export class Leases {
   /**
-   * @param connection creates and revokes leases
-   * @param renewalConnection carries only renewals, so that they do not wait for other requests
+   * @param connection sends requests that create or revoke a lease
+   * @param renewalConnection reserved for renewals, so that renewals do not wait for other requests
    */
   constructor(
     private readonly connection: Pick<StoreConnection, 'sendPaced' | 'sendImmediately'>,
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Renews a lease for its full time to live. Renewals wait neither for the pacing nor for a connection: a
-   * leader that sends many commits must not lose its lease because of them.
+   * Renews a lease for its full time to live. Renewals wait neither for the pacing nor for a connection,
+   * because a leader that sends many commits would otherwise lose its lease.
    *
    * @returns false if the lease has expired or was revoked
    * @throws {StoreError} when it is not known whether the lease still exists
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Revokes a lease. The service deletes the keys written under it at once.
+   * Revokes a lease. The service then immediately deletes the keys that were written under the lease.
    *
    * @throws {StoreConnectionError} when no answer arrives in time; the status of an answer is ignored
    */
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -1,58 +1,58 @@
-/** Keeps a controller's requests and writes within its share of the state service's limits. */
+/** Paces a controller's requests and writes, to stay within its share of the state service's limits. */
 import type { Clock } from '../base/clock.js';
 import { TokenBucket } from '../base/token-bucket.js';
 import type { Settings } from '../settings/settings.js';
 import { AdaptiveShare } from './adaptive-share.js';
 
 /**
- * `intake`: submissions and cancellations of users. `confirm`: requests that confirm the answers to status
- * queries of users. `duty`: the controller's own work. The requests of each class are paced separately, so
- * that a burst in one class does not delay another.
+ * `intake`: submissions and cancellations of users. `confirm`: requests that check in the store a job status
+ * before it is reported to a user. `duty`: the controller's own work. The requests of each class are paced
+ * separately, so that a burst in one class does not delay another class.
  */
 export type TrafficClass = 'intake' | 'confirm' | 'duty';
 
-/** The state of a controller that determines its share of the limits. */
+/** The properties of a controller that determine its share of the limits. */
 export interface ControllerRole {
   isLeader: boolean;
   /** The number of controllers that share the limits, including this one. */
   aliveControllers: number;
-  /** The part of all machines that belongs to this controller, 0 to 1. */
+  /** The fraction of all machines that this controller manages, 0 to 1. */
   machineShare: number;
 }
 
 /**
- * Parts of the request limit, which applies to all controllers together. The parts of each limit add up to
- * less than 1, so that all controllers together stay below the limit.
+ * Fractions of the request limit, which applies to all controllers together. The fractions of each limit add
+ * up to less than 1, so that all controllers together stay below the limit.
  */
 const requestShares = { intake: 0.12, confirm: 0.23, leader: 0.08, duty: 0.32 };
 /**
- * Parts of the write limit, which all traffic classes share. Writes of `intake` have precedence, but never
- * take more than their part.
+ * Fractions of the write limit, which all traffic classes share. Writes of `intake` have precedence, but only
+ * up to the fraction `maxForIntake` of the controller's write rate.
  */
 const writeShares = { leader: 0.14, even: 0.37, byMachines: 0.43, maxForIntake: 0.5 };
 /**
- * The part of the `duty` requests that is divided evenly among the controllers. The rest is divided in
- * proportion to their machines.
+ * The fraction of the `duty` requests that is divided evenly among the controllers. The rest is divided in
+ * proportion to the numbers of machines that the controllers manage.
  */
 const evenRequestShare = 0.3;
 /**
- * The part of a burst that `duty` leaves unused, so that submissions that arrive together need not wait for
- * each other.
+ * The fraction of a burst that commits of class `duty` leave unused, so that submissions that arrive together
+ * need not wait for each other.
  */
 const intakeBurstShare = 0.5;
 /**
- * The part of the request limit that is reserved for watches. Each watch request that returns with changes is
- * followed by another.
+ * The fraction of the request limit that is reserved for watch requests. After a watch request returns, the
+ * controller sends another.
  */
 const watchRequestShare = 0.2;
-/** The size of a burst, as the number of seconds in which the limit admits it. */
+/** The size of a burst, as the number of seconds in which the limit admits this many requests or writes. */
 const burstS = 0.5;
 const minRequestBurst = 2;
 const minWriteBurst = 4;
 const minWatchGapMs = 200;
 /**
- * The pause between watches is at least this part of a heartbeat interval. A shorter pause has no benefit, as
- * neither task starts nor heartbeats wait for a watch.
+ * Lower bound of the pause between watch requests, as a fraction of the heartbeat interval. A shorter pause
+ * has no benefit, because neither task starts nor heartbeats wait for the watch.
  */
 const watchGapHeartbeats = 0.1;
 
@@ -61,9 +61,9 @@
  * are requests and written keys.
  */
 export class RequestPacing {
-  private readonly requests: Record<TrafficClass, TokenBucket>;
-  private readonly writes: TokenBucket;
-  private readonly intakeWrites: TokenBucket;
+  private readonly requestBuckets: Record<TrafficClass, TokenBucket>;
+  private readonly writeBucket: TokenBucket;
+  private readonly intakeWriteBucket: TokenBucket;
   private readonly writeBurst: number;
   private readonly adaptiveShare: AdaptiveShare;
   private role: ControllerRole;
@@ -74,23 +74,24 @@
     private readonly clock: Clock,
   ) {
     const { state, controllers } = settings;
-    this.requests = {
+    this.requestBuckets = {
       intake: new TokenBucket(1, 1, clock),
       confirm: new TokenBucket(1, 1, clock),
       duty: new TokenBucket(1, 1, clock),
     };
     this.adaptiveShare = new AdaptiveShare(clock(), state.nextRateShare);
     this.writeBurst = Math.max(minWriteBurst, state.writeRps * burstS);
-    // All controllers may start at the same time, so none starts with a larger burst than `duty` can use.
-    this.writes = new TokenBucket(1, this.intakeReserve, clock);
-    this.intakeWrites = new TokenBucket(1, this.intakeReserve, clock);
+    // All controllers may start at the same time, so each starts with `intakeReserve` writes instead of a
+    // full burst.
+    this.writeBucket = new TokenBucket(1, this.intakeReserve, clock);
+    this.intakeWriteBucket = new TokenBucket(1, this.intakeReserve, clock);
     this.role = { isLeader: false, aliveControllers: controllers, machineShare: 1 / controllers };
     this.applyRates();
   }
 
   /**
-   * The pause between two watch requests, in milliseconds, which keeps the watches of all controllers
-   * together within their share of the request limit.
+   * The pause between two watch requests in ms. With this pause, the watch requests of all controllers
+   * together stay within the part of the request limit that is reserved for them.
    */
   get watchGapMs(): number {
     const { state, controllers, heartbeatIntervalMs } = this.settings;
@@ -98,7 +99,7 @@
     return Math.max(minWatchGapMs, heartbeatIntervalMs * watchGapHeartbeats, sharedGapMs);
   }
 
-  /** Adapts the rates to the present role of this controller. */
+  /** Adapts the rates to the current role of this controller. */
   setRole(role: ControllerRole): void {
     this.role = role;
     this.applyRates();
@@ -106,27 +107,27 @@
 
   /** Reserves one request of this class and returns how many milliseconds to wait before it is sent. */
   reserveRequest(trafficClass: TrafficClass): number {
-    return this.requests[trafficClass].reserve(1);
+    return this.requestBuckets[trafficClass].reserve(1);
   }
 
   /**
-   * How many milliseconds a commit of this class would have to wait at present.
+   * Returns how many milliseconds a commit of this class would currently have to wait.
    *
    * @param trafficClass the class of the commit
-   * @param writesAhead writes that are sent before the commit; ignored for `duty`
+   * @param writesAhead number of writes that are sent before the commit; ignored for `duty`
    */
   writeWaitMs(trafficClass: TrafficClass, writesAhead = 0): number {
-    if (trafficClass === 'duty') return this.writes.msUntilAvailable(this.intakeReserve);
+    if (trafficClass === 'duty') return this.writeBucket.msUntilAvailable(this.intakeReserve);
     return Math.max(
-      this.writes.msUntilAvailable(writesAhead),
-      this.intakeWrites.msUntilAvailable(writesAhead),
+      this.writeBucket.msUntilAvailable(writesAhead),
+      this.intakeWriteBucket.msUntilAvailable(writesAhead),
     );
   }
 
-  /** Takes the writes of a commit from the token buckets, which may go into debt. */
+  /** Takes one token per write of a commit from the token buckets. The buckets may go into debt. */
   reserveWrites(trafficClass: TrafficClass, count: number): void {
-    this.writes.reserve(count);
-    if (trafficClass === 'intake') this.intakeWrites.reserve(count);
+    this.writeBucket.reserve(count);
+    if (trafficClass === 'intake') this.intakeWriteBucket.reserve(count);
   }
 
   /**
@@ -137,7 +138,7 @@
     if (this.adaptiveShare.recordCommit(result, this.clock())) this.applyRates();
   }
 
-  /** The number of writes of a burst that `duty` leaves to submissions. */
+  /** The number of writes in a burst that commits of class `duty` leave to submissions. */
   private get intakeReserve(): number {
     return this.writeBurst * intakeBurstShare;
   }
@@ -151,14 +152,14 @@
   private applyRequestRates(sharingControllers: number): void {
     const { rps } = this.settings.state;
     const { isLeader, machineShare } = this.role;
-    // Bursts of several controllers seldom coincide. If they do, the service refuses requests of one of them,
-    // which are then retried.
+    // Bursts of several controllers seldom coincide. If they do, the service refuses some of the requests,
+    // and the controllers retry them.
     const burst = Math.max(minRequestBurst, rps * burstS);
     const dutyWeight = evenRequestShare / sharingControllers + (1 - evenRequestShare) * machineShare;
     const leaderShare = isLeader ? requestShares.leader : 0;
-    this.requests.intake.setRate((rps * requestShares.intake) / sharingControllers, burst);
-    this.requests.confirm.setRate((rps * requestShares.confirm) / sharingControllers, burst);
-    this.requests.duty.setRate(rps * (requestShares.duty * dutyWeight + leaderShare), burst);
+    this.requestBuckets.intake.setRate((rps * requestShares.intake) / sharingControllers, burst);
+    this.requestBuckets.confirm.setRate((rps * requestShares.confirm) / sharingControllers, burst);
+    this.requestBuckets.duty.setRate(rps * (requestShares.duty * dutyWeight + leaderShare), burst);
   }
 
   private applyWriteRates(sharingControllers: number): void {
@@ -166,7 +167,7 @@
     const leaderShare = isLeader ? writeShares.leader : 0;
     const share = writeShares.even / sharingControllers + writeShares.byMachines * machineShare + leaderShare;
     const rate = this.settings.state.writeRps * Math.min(1, share * this.adaptiveShare.factor);
-    this.writes.setRate(rate, this.writeBurst);
-    this.intakeWrites.setRate(rate * writeShares.maxForIntake, this.writeBurst);
+    this.writeBucket.setRate(rate, this.writeBurst);
+    this.intakeWriteBucket.setRate(rate * writeShares.maxForIntake, this.writeBurst);
   }
 }
--- a/src/store/store-connection.ts
+++ b/src/store/store-connection.ts
@@ -1,6 +1,6 @@
 /**
- * Sends requests to the state service. Each request is paced, has a time-out, and is recorded as evidence of
- * contact or of its loss.
+ * Sends requests to the state service with a time-out. Each request counts towards the request pacing, and
+ * its answer or failure is recorded as presence or loss of contact with the service.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import { HttpClient, type HttpResponse } from '../base/http.js';
@@ -10,7 +10,7 @@
 
 const requestTimeoutMs = 1500;
 
-/** One request of the state service's protocol. */
+/** A request to the state service. */
 export interface StoreRequest {
   operation: StoreOperation;
   method: 'GET' | 'POST' | 'DELETE';
@@ -18,7 +18,7 @@
   body?: unknown;
 }
 
-/** What a connection requires from the rest of the client. */
+/** The parts of the store client that a connection uses. */
 export interface StoreConnectionPorts {
   /** `host:port` of the state service. */
   address: string;
@@ -31,17 +31,17 @@
 
 /** A pool of persistent connections to the state service. */
 export class StoreConnection {
-  private readonly peer: HttpClient;
+  private readonly httpClient: HttpClient;
 
   /**
    * @param ports the dependencies of the connection
-   * @param sockets the largest number of concurrent requests; further requests wait until one has ended
+   * @param sockets limit of concurrent requests; further requests wait until another request has ended
    */
   constructor(
     private readonly ports: StoreConnectionPorts,
     sockets: number,
   ) {
-    this.peer = new HttpClient(ports.address, sockets);
+    this.httpClient = new HttpClient(ports.address, sockets);
   }
 
   /**
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Sends the request without waiting for the pacing. It still counts towards the pacing and delays later
-   * requests.
+   * Sends the request without waiting for the pacing. The request still counts towards the pacing and so
+   * delays later requests.
    *
    * @throws {StoreConnectionError} when no answer arrives in time
    */
@@ -70,7 +70,10 @@
     const { clock, signal, contact } = this.ports;
     const sentAt = clock();
     try {
-      const answer = await this.peer.exchange(method, path, body, { timeoutMs: requestTimeoutMs, signal });
+      const answer = await this.httpClient.exchange(method, path, body, {
+        timeoutMs: requestTimeoutMs,
+        signal,
+      });
       contact.recordAnswer(sentAt, answer);
       return answer;
     } catch (error) {
--- a/src/store/store-contact.test.ts
+++ b/src/store/store-contact.test.ts
@@ -7,7 +7,8 @@
 const outage = { status: 503, body: undefined };
 
 /**
- * A contact, and the state of the test: the present time of its clock and the number of recoveries so far.
+ * Creates a contact with the state of the test: the current time of the contact's clock, and how often the
+ * contact has reported a recovery.
  */
 function createContact(): { contact: StoreContact; state: { now: number; recoveries: number } } {
   const state = { now: 0, recoveries: 0 };
@@ -19,10 +20,10 @@
   return { contact, state };
 }
 
-/** Whether the contact is failing now. A function, so that each assertion reads the value again. */
+/** Whether the store counts as failing. This is a function, so that each assertion reads the value again. */
 const isFailing = (contact: StoreContact): boolean => contact.failing;
 
-test('the store counts as failing from a 503 answer until a request sent later is served', () => {
+test('the store counts as failing from a 503 answer until a request that was sent later is served', () => {
   const { contact, state } = createContact();
   state.now = 100;
   contact.recordAnswer(50, outage);
@@ -37,7 +38,7 @@
   assert.equal(state.recoveries, 1);
 });
 
-test('a request without an answer counts as a failure only if no request sent later has been served', () => {
+test('a request without an answer counts as a failure unless a request that was sent later has been served', () => {
   const { contact, state } = createContact();
   state.now = 200;
   contact.recordAnswer(150, served);
@@ -54,7 +55,7 @@
   assert.deepEqual([contact.lastContactAt, contact.lastRevisionSeenAt], [90, -Infinity]);
 });
 
-test('the revision of an answer proves freshness, and the answer to a watch does not prove contact', () => {
+test('an answer with a revision proves freshness, and the answer to a watch request does not prove contact', () => {
   const { contact } = createContact();
   contact.recordRevision(40, served);
   assert.deepEqual([contact.knownUntil(7), contact.lastContactAt], [40, -1000]);
--- a/src/store/store-contact.ts
+++ b/src/store/store-contact.ts
@@ -1,6 +1,6 @@
 /**
- * Tracks whether the state service serves this controller, and up to which time the replica contains its
- * changes.
+ * Tracks whether the state service serves this controller, and up to which time the replica contains all
+ * changes of the store.
  */
 import type { Clock } from '../base/clock.js';
 import type { HttpResponse } from '../base/http.js';
@@ -9,15 +9,14 @@
 
 const outageStatus = 503;
 /**
- * Statuses of requests that were executed, or that failed because of the stored data (no such key, conflict).
- * Answers with these statuses contain a revision.
+ * HTTP statuses of answers that contain a revision: the request was executed, or failed because of the stored
+ * data (no such key, conflict).
  */
 const statusesWithRevision: ReadonlySet<number> = new Set([200, 404, 409]);
 
 /**
- * Tracks contact and freshness separately: any served request proves contact, while only an answer that
- * contains a revision shows how recent the local replica is. All times are readings of the clock, in
- * milliseconds.
+ * Tracks contact with the store and freshness of the replica. Any served request proves contact, but only an
+ * answer with a revision shows how recent the replica is. All times are monotonic times in ms.
  */
 export class StoreContact {
   private readonly freshness = new FreshnessBound();
@@ -25,9 +24,9 @@
   private lastFailureAt = -Infinity;
 
   /**
-   * @param clock reads the time
-   * @param assumedContactAt the assumed time of the last contact until the first request is served
-   * @param onRecovered called each time the service serves requests again after it was failing
+   * @param clock monotonic time in ms
+   * @param assumedContactAt the assumed time of the latest contact until the first request is served
+   * @param onRecovered called each time the service serves a request again after it was failing
    */
   constructor(
     private readonly clock: Clock,
@@ -37,24 +36,28 @@
     this.lastServedAt = assumedContactAt;
   }
 
-  /** The send time of the latest request that the service served. */
+  /** The time at which the latest request was sent that the service served. */
   get lastContactAt(): number {
     return this.lastServedAt;
   }
 
   /**
-   * True after the service has refused a request with 503 or left it unanswered, until it serves one again.
+   * True after the service refused a request with 503 or a request got no answer, until the service serves a
+   * later request.
    */
   get failing(): boolean {
     return this.lastFailureAt > this.lastServedAt;
   }
 
-  /** The send time of the latest request whose answer contained a revision of the store. */
+  /** The time at which the latest request was sent whose answer contained a revision of the store. */
   get lastRevisionSeenAt(): number {
     return this.freshness.lastRevisionSeenAt;
   }
 
-  /** A replica that has reached this revision contains every change committed before the returned time. */
+  /**
+   * Returns the time before which every committed change is contained in a replica that has reached this
+   * revision.
+   */
   knownUntil(revision: number): number {
     return this.freshness.knownUntil(revision);
   }
@@ -72,16 +75,16 @@
   }
 
   /**
-   * Records that a request that was sent at `sentAt` got no answer. Has no effect if a request sent later has
-   * been served.
+   * Records that a request that was sent at `sentAt` got no answer. Has no effect if a request that was sent
+   * later has been served.
    */
   recordNoAnswer(sentAt: number): void {
     if (this.lastServedAt <= sentAt) this.lastFailureAt = this.clock();
   }
 
   /**
-   * Records only the revision of an answer. Used for requests that the service holds open for too long to
-   * prove contact.
+   * Records the revision of an answer, but not the contact. Used for watch requests, because the service
+   * holds them open for too long to prove contact.
    */
   recordRevision(sentAt: number, { status, body }: HttpResponse): void {
     const revision = statusesWithRevision.has(status) ? revisionOf(body) : undefined;
--- a/src/store/store-replica.test.ts
+++ b/src/store/store-replica.test.ts
@@ -5,8 +5,9 @@
 import { StoreReplica } from './store-replica.js';
 
 test('listeners are notified once of an outcome that this controller has committed itself', async () => {
-  // Guards against a block owner that is not notified of such an outcome and does not stop the cancelled
-  // task.
+  // A controller commits the cancellation of a job whose task runs on a block (a set of machines) that the
+  // same controller manages. If the listeners were not notified of this outcome, the controller would not
+  // stop the task.
   const stop = new AbortController();
   const outcome: Change = {
     key: 'end/req-1',
@@ -28,8 +29,10 @@
   assert.equal(replica.revision, 7);
 });
 
-// Guards against jobs that ended long ago but are treated as open forever.
-test('a committed key is in the replica at once, unless the watch has delivered its deletion', async () => {
+// A controller commits a job record, and the watch delivers the deletion of the record before the controller
+// adds the record to its replica. If the record were then added, the replica would treat the job as open
+// forever.
+test('a committed key is in the replica immediately, unless the watch has delivered its deletion', async () => {
   const job = (version: number, deleted: boolean): Change => ({ key: 'job/a', value: 1, version, deleted });
   let watches = 0;
   const client = {
@@ -42,7 +45,7 @@
   };
   const replica = new StoreReplica(client, 0);
   await replica.follow(new AbortController().signal);
-  // A failed watch request is retried from the same revision, and the keys are not read again.
+  // The failed watch request is retried from the same revision, and the keys are not read again.
   assert.deepEqual([watches, replica.revision], [3, 9]);
   replica.recordCommitted('job/a', { value: 1, version: 7 });
   assert.equal(replica.version('job/a'), 0);
@@ -52,7 +55,7 @@
   assert.deepEqual([replica.version('job/b'), replica.revision, notified], [10, 9, ['job/b']]);
 });
 
-test('after all keys were read again, listeners are notified of changed and deleted keys', async () => {
+test('listeners are notified of changed and deleted keys after all keys have been read again', async () => {
   const stop = new AbortController();
   const lists = [
     [
@@ -61,11 +64,11 @@
     ],
     [{ key: 'job/b', value: 2, version: 9 }],
   ];
-  let round = -1;
+  let listIndex = -1;
   const client = {
     list: (prefix: string) => {
-      if (prefix === 'lead') round++;
-      return Promise.resolve({ items: prefix === 'job/' ? (lists[round] ?? []) : [], revision: 9 });
+      if (prefix === 'lead') listIndex++;
+      return Promise.resolve({ items: prefix === 'job/' ? (lists[listIndex] ?? []) : [], revision: 9 });
     },
     watch: () => Promise.resolve(undefined),
   };
@@ -79,8 +82,9 @@
   assert.deepEqual(notified, ['+job/b', '-job/a']);
 });
 
-// Guards against an accepted job that is treated as ended: the owner of its block dropped the job, and the
-// job never ran.
+// A controller reads all keys again. After it has listed the job records, it accepts a new job and commits
+// the job's record. If the replica treated the record as deleted because the record is missing from the list,
+// the controller that manages the job's block of machines would drop the job, and the job would never run.
 test('a key that is committed while the keys are read again is not treated as deleted', async () => {
   const listed = { revision: 9, items: [{ key: 'job/a', value: 1, version: 3 }] };
   let beforeLedgerIsListed: () => void = () => undefined;
--- a/src/store/store-replica.ts
+++ b/src/store/store-replica.ts
@@ -1,4 +1,4 @@
-/** Keeps an in-memory replica of the state service's keys up to date by a watch. */
+/** Keeps an in-memory replica of the keys in the state service up to date by means of a watch. */
 import { Readable, Writable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 
@@ -10,23 +10,23 @@
 import type { StoreClient } from './client.js';
 import { StoredEntries, type StoredEntry } from './stored-entries.js';
 
-/** Called with a list of changes after all of them have been applied to the replica. */
+/** Called with changes of keys after the replica contains all of them. */
 export type ChangeListener = (changes: Change[]) => void;
 
 /**
- * Key prefixes that are listed at the start. Outcomes are not listed but read on demand, since there is one
- * outcome for every job that ever ended.
+ * Prefixes of the keys that the replica reads at the start. Job outcomes are read on demand instead, because
+ * the store contains an outcome for every job that ever ended.
  */
 const listedPrefixes = ['lead', 'alive/', 'formats/', 'block/', 'machines/', 'ladder/', 'job/', 'run/'];
 const maxCachedOutcomes = 20_000;
 
 /**
- * A replica of the store's keys, which lags a little behind the store. No answer to a user relies on it
- * alone.
+ * A replica of the store's keys. The replica lags a little behind the store, so no reply to a user relies on
+ * the replica alone. The version of a key is the store revision of the key's latest change.
  */
 export class StoreReplica {
   private entries = new StoredEntries();
-  /** The most recently recorded outcomes of jobs, in the order in which they were recorded. */
+  /** The most recently recorded outcomes of jobs, by key, in the order of recording. */
   private readonly outcomes = new Map<string, StoredValue>();
   private appliedRevision = 0;
   private firstLoadedRevision: number | undefined;
@@ -34,8 +34,8 @@
 
   /**
    * @param client reads and watches the keys
-   * @param watchGapMs the pause between two watch requests
-   * @param retryMs the pause after a failed watch request
+   * @param watchGapMs the pause between two watch requests in ms
+   * @param retryMs the pause after a failed watch request in ms
    */
   constructor(
     private readonly client: Pick<StoreClient, 'list' | 'watch'>,
@@ -43,14 +43,14 @@
     private readonly retryMs = watchGapMs,
   ) {}
 
-  /** True after all listed keys have been read for the first time. */
+  /** True after all keys with the listed prefixes have been read for the first time. */
   get ready(): boolean {
     return this.firstLoadedRevision !== undefined;
   }
 
   /**
-   * Every change committed up to this revision was in the store before this process first read the keys;
-   * undefined until then.
+   * The store revision at which this process first read the keys: every change up to this revision was
+   * committed before that. Undefined until all keys have been read for the first time.
    */
   get initialRevision(): number | undefined {
     return this.firstLoadedRevision;
@@ -61,46 +61,46 @@
     return this.appliedRevision;
   }
 
-  /** The number of keys in the replica, without outcomes. */
+  /** The number of keys in the replica, not counting outcomes. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The value and version under a key. Of the outcomes, only recently recorded ones are available. */
+  /** Returns the value and version of a key. Outcomes are available only if they were recorded recently. */
   get(key: string): StoredValue | undefined {
     return isOutcomeKey(key) ? this.outcomes.get(key) : this.entries.get(key);
   }
 
-  /** The outcome of a job; undefined if it is not among the recently recorded ones. */
+  /** Returns the outcome of a job; undefined if the outcome is not among the recently recorded outcomes. */
   outcomeOf(jobId: string): OutcomeRecord | undefined {
     return parseOutcome(this.get(outcomeKey(jobId))?.value);
   }
 
-  /** The version of a key, for use in conditions; 0 if the key does not exist. */
+  /** Returns the version of a key, for use in commit conditions; 0 if the key is not in the replica. */
   version(key: string): number {
     return this.get(key)?.version ?? 0;
   }
 
   /**
-   * All keys that begin with a prefix, except outcomes. The prefix must contain the complete first segment of
-   * the keys, up to the `/`.
+   * Returns all entries whose keys begin with a prefix, except outcomes. The prefix must contain the complete
+   * first segment of the keys, up to the `/`.
    */
   entriesWithPrefix(prefix: string): Iterable<StoredEntry> {
     return this.entries.withPrefix(prefix);
   }
 
   /**
-   * Records an outcome that was received by other means than the watch. Outcomes never change. Listeners are
-   * notified at once: during an outage the watch delivers nothing, and a user may receive the outcome in the
-   * meantime.
+   * Records an outcome that was not received through the watch. Outcomes never change. Listeners are notified
+   * immediately, because the watch delivers nothing during an outage, and the outcome may be reported to a
+   * user in the meantime.
    */
   recordOutcome(key: string, { value, version }: StoredValue): void {
     this.recordOutcomes([{ key, value, version }]);
   }
 
   /**
-   * Records several outcomes, like `recordOutcome`. Listeners are notified of those that were not recorded
-   * before.
+   * Records several outcomes, like `recordOutcome`. Listeners are notified only of outcomes that were not
+   * recorded before.
    */
   recordOutcomes(items: Item[]): void {
     const unrecorded = items.filter(({ key }) => !this.outcomes.has(key));
@@ -109,24 +109,25 @@
   }
 
   /**
-   * Records an entry that this controller has just committed, before the watch delivers it. The entry is
-   * ignored if the replica has already reached its revision: then the watch has delivered the entry, and
-   * possibly also the deletion of its key.
+   * Records an entry that this controller has just committed, before the watch delivers the entry. If the
+   * replica has already reached the revision of the commit, the entry is ignored, because the watch has
+   * delivered the entry and possibly also the deletion of its key.
    */
   recordCommitted(key: string, entry: StoredValue): void {
     if (this.ready && entry.version > this.appliedRevision)
       this.apply([{ key, ...entry, deleted: false }], this.appliedRevision);
   }
 
-  /** Calls the listener with all further changes, until the returned function is called. */
+  /** Calls the listener with all changes from now on, until the returned function is called. */
   listen(listener: ChangeListener): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
   }
 
   /**
-   * Reads all listed keys once, then applies changes from the watch. Returns when the service no longer has
-   * the changes that follow the revision of the replica; the caller must then call it again.
+   * Reads all keys with the listed prefixes, then applies the changes that the watch delivers. Returns if the
+   * service no longer has the changes after the revision of the replica. The caller must then call this
+   * method again.
    *
    * @throws {StoreError} when the keys cannot be read; a failed watch request is retried instead
    */
@@ -161,9 +162,9 @@
   }
 
   /**
-   * Keeps entries that this controller committed after the keys were listed. They are missing from the list
-   * although they were not deleted. If such a key has been deleted since, the watch will deliver the
-   * deletion, because it continues from the revision of the lists.
+   * Keeps entries that this controller committed after the keys with the prefix were listed. These entries
+   * are missing from the list although they were not deleted. If one of their keys has been deleted since,
+   * the watch will deliver the deletion, because the watch continues from the revision of the lists.
    */
   private retainNewer(listed: StoredEntries, prefix: string, listedRevision: number): void {
     for (const [key, entry] of this.entries.withPrefix(prefix)) {
@@ -178,22 +179,21 @@
       try {
         batch = await this.client.watch(this.appliedRevision);
       } catch {
-        // The missed changes can still be requested from the same revision. Reading all keys again would add
-        // load to a slow service, and takes longer than such a service keeps answering.
+        // The next watch request asks for the missed changes from the same revision. Reading all keys again
+        // would add load to a slow service, and would take longer than a slow service keeps answering.
         await sleep(this.retryMs, signal);
         continue;
       }
       if (!batch) return;
       yield batch;
-      // While keys change constantly, every watch request returns at once. The pause prevents the watch from
-      // using up this controller's share of the requests.
+      // If keys change constantly, every watch request returns immediately. The pause prevents the watch from
+      // using up this controller's share of the request limit.
       await sleep(this.watchGapMs, signal);
     }
   }
 
   private apply(changes: Change[], revision: number): void {
-    // An outcome may have been recorded before the watch delivers it. The listeners have then already been
-    // notified of it.
+    // If an entry was recorded before the watch delivers it, the listeners have already been notified.
     const newer = changes.filter((change) => change.version > this.version(change.key));
     for (const change of newer) this.applyChange(change);
     this.appliedRevision = Math.max(this.appliedRevision, revision);
--- a/src/store/stored-entries.ts
+++ b/src/store/stored-entries.ts
@@ -1,13 +1,13 @@
-/** An in-memory collection of keys of the state service with their values and versions. */
+/** An in-memory collection of keys of the state service, with their values and versions. */
 import type { StoredValue } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
 
-/** A key with its value and version. */
+/** A key with its value and version. The version is the store revision of the key's latest change. */
 export type StoredEntry = [key: string, entry: StoredValue];
 
 /**
- * Entries grouped by the first segment of their keys, up to the first `/`, so that reading the keys of one
- * kind does not iterate over all others.
+ * Entries grouped by the first segment of their keys, up to the first `/`. Because of this, reading the keys
+ * of one kind does not iterate over all other keys.
  */
 export class StoredEntries {
   private readonly entriesByFirstSegment = new Map<string, Map<string, StoredValue>>();
@@ -19,12 +19,12 @@
     return size;
   }
 
-  /** The value and version under a key; undefined if the key does not exist. */
+  /** Returns the value and version of a key; undefined if the key does not exist. */
   get(key: string): StoredValue | undefined {
     return this.entriesByFirstSegment.get(firstSegmentOf(key))?.get(key);
   }
 
-  /** Sets the value and version under a key. */
+  /** Sets the value and version of a key. */
   set(key: string, entry: StoredValue): void {
     const firstSegment = firstSegmentOf(key);
     const entries = this.entriesByFirstSegment.get(firstSegment);
@@ -38,8 +38,8 @@
   }
 
   /**
-   * All entries whose keys begin with a prefix. The prefix must contain the complete first segment of the
-   * keys.
+   * Returns all entries whose keys begin with a prefix. The prefix must contain the complete first segment of
+   * the keys.
    */
   *withPrefix(prefix: string): Iterable<StoredEntry> {
     for (const pair of this.entriesByFirstSegment.get(firstSegmentOf(prefix)) ?? [])
@@ -47,7 +47,8 @@
   }
 
   /**
-   * The changes from an earlier collection to this one: first the keys that were set, then the deleted keys.
+   * Returns the changes from an earlier collection to this collection: first the keys that were set, then the
+   * keys that were deleted.
    */
   changesSince(earlier: StoredEntries): Change[] {
     const changes: Change[] = [];
--- a/src/store/transaction-batch.test.ts
+++ b/src/store/transaction-batch.test.ts
@@ -3,7 +3,7 @@
 
 import { takeBatch } from './transaction-batch.js';
 
-test('a transaction has one version of each key and stays within the limits of writes and bytes', () => {
+test('a transaction requires at most one version of each key and stays within the limits of writes and bytes', () => {
   const operation = (key: string, version: number, writes: number, bytes = 10) => ({
     conditions: [{ key, version }],
     writes: Array.from({ length: writes }, (_, i) => ({ put: `${key}${i}`, value: 1 })),
--- a/src/store/transaction-batch.ts
+++ b/src/store/transaction-batch.ts
@@ -6,21 +6,21 @@
   conditions: Condition[];
   writes: Write[];
   /**
-   * The size in bytes that the operation adds to a transaction, in JSON, the form in which the limit is
-   * measured.
+   * The size in bytes by which the operation enlarges the JSON form of a transaction. The service limits the
+   * size of this form.
    */
   bytes: number;
 }
 
-/** The service admits this many conditions for each write that a transaction may contain. */
+/** The limit of conditions in a transaction, as a multiple of the limit of writes. */
 const conditionsPerWrite = 4;
 
 /**
- * Takes as many operations from the head of the queue as fit into one transaction, in order and without gaps.
- * An operation that is too large for any transaction is sent alone, and the service refuses it.
+ * Takes operations from the head of the queue until the next operation does not fit into the transaction. An
+ * operation that is too large for any transaction is sent alone, and the service refuses it.
  *
  * @param queue operations in the order of their arrival
- * @param maxWrites the largest number of writes in one transaction
+ * @param maxWrites limit of writes in one transaction
  */
 export function takeBatch<O extends BatchedOperation>(
   queue: O[],
@@ -37,11 +37,11 @@
 }
 
 /**
- * The contents of a transaction so far. Each key is at most once in the conditions and at most once in the
- * writes.
+ * The operations that have been added to a transaction so far. The conditions require at most one version of
+ * each key, and each key is written at most once.
  */
 class TransactionContents {
-  /** The version that the conditions require, by key. */
+  /** The versions that the conditions require, by key. */
   private readonly versions = new Map<string, number>();
   private readonly writtenKeys = new Set<string>();
   private writes = 0;
@@ -61,8 +61,8 @@
   }
 
   /**
-   * All operations in a transaction are executed on the same state, so no operation may depend on a key that
-   * another operation writes.
+   * All operations in a transaction are executed on the same state of the store. Therefore an operation that
+   * requires or writes a key must not share a transaction with another operation that writes this key.
    */
   private overlaps({ conditions, writes }: BatchedOperation): boolean {
     const { versions, writtenKeys } = this;
--- a/src/store/transactions.test.ts
+++ b/src/store/transactions.test.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Transactions whose requests are answered by `answer`. Each query of the pacing returns the next entry of
- * `waitsMs`, in milliseconds, and 0 after the last.
+ * Creates a transaction client whose requests are answered by `answer`. Each call of `writeWaitMs` returns
+ * the next entry of `waitsMs`, and 0 after the final entry.
  */
 function createTransactions(
   answer: () => Promise<HttpResponse>,
@@ -31,7 +31,7 @@
   return { transactions: new Transactions({ signal, connection: { sendPaced: answer }, pacing }), recorded };
 }
 
-test('each status of an answer is mapped to one outcome', async () => {
+test('each HTTP status of an answer is mapped to a commit outcome', async () => {
   const conflict = { logline: 9, failed: ['sk/block/0'] };
   const cases = [
     [200, { logline: 8 }, { kind: 'applied', revision: 8 }],
@@ -47,7 +47,7 @@
   }
 });
 
-test('a transaction without an answer has an unknown outcome and is not counted', async () => {
+test('the outcome of a transaction without an answer is unknown, and its writes are not counted', async () => {
   const { transactions, recorded } = createTransactions(() =>
     Promise.reject(new StoreConnectionError('commit', new Error('no answer in time'))),
   );
@@ -56,7 +56,7 @@
   assert.deepEqual(recorded, { reserved: [1], commits: [] });
 });
 
-test('writes by kind of key, refusals and conflicts are counted until the counts are taken', async () => {
+test('writes by kind of key, refusals and conflicts are counted until the counts are read and reset', async () => {
   const statuses = [200, 429, 409];
   const { transactions } = createTransactions(() =>
     Promise.resolve({ status: statuses.shift() ?? 500, body: {} }),
@@ -66,7 +66,7 @@
   assert.deepEqual(transactions.takeCounts(), { changes: {}, refused: 0, conflicts: 0 });
 });
 
-test('a commit waits until the pacing admits it, and waiting of a submission is reported', async () => {
+test('a commit waits until the pacing admits it, and the wait of a submission is reported to the pacing', async () => {
   const applied = (): Promise<HttpResponse> => Promise.resolve({ status: 200, body: {} });
   const intake = createTransactions(applied, [1, 1]);
   await intake.transactions.commit('intake', [], [write]);
--- a/src/store/transactions.ts
+++ b/src/store/transactions.ts
@@ -7,36 +7,36 @@
 
 /**
  * The result of a transaction. `refused`: the transaction was certainly not executed. `unknown`: the
- * transaction may have been executed, or may still be executed at any later time. A caller that repeats it
- * must rely on its conditions.
+ * transaction may have been executed, or may still be executed at any later time. Therefore a caller that
+ * retries the transaction must rely on the transaction's conditions.
  */
 export type CommitOutcome =
   | { kind: 'applied'; revision: number }
   /** `failed`: the keys whose conditions did not hold. */
   | { kind: 'conflict'; failed: string[]; revision: number }
   /**
-   * The service refused the transaction because of its form or size, or because a lease named in it has
-   * ended. A retry without changes cannot succeed.
+   * The service refused the transaction because of the transaction's form or size, or because the lease for
+   * one of the writes has ended. A retry without changes cannot succeed.
    */
   | { kind: 'malformed' }
   /** `rateLimited`: a rate limit was exceeded, so the transaction can be retried after a short time. */
   | { kind: 'refused'; rateLimited: boolean }
   | { kind: 'unknown' };
 
-/** Counts of the writes that this controller has sent. */
+/** Counts of the writes and refusals of this controller's transactions. */
 export interface ChangeCounts {
   /** The number of writes in answered transactions, by the first segment of the key. */
   changes: Record<string, number>;
   /** The number of transactions refused because a rate limit was exceeded. */
   refused: number;
   /**
-   * The number of writes in transactions whose conditions did not hold. They count towards the limits as
-   * well.
+   * The number of writes in transactions whose conditions did not hold. These writes count towards the rate
+   * limits as well.
    */
   conflicts: number;
 }
 
-/** What transactions require from the rest of the client. */
+/** The parts of the store client that transactions use. */
 export interface TransactionPorts {
   signal: AbortSignal;
   connection: Pick<StoreConnection, 'sendPaced'>;
@@ -50,17 +50,17 @@
   constructor(private readonly ports: TransactionPorts) {}
 
   /**
-   * Executes the writes together if all conditions hold. The transaction is sent when the pacing admits its
-   * writes. Never rejects: the outcome is `unknown` if the request gets no answer, and `refused` if the
-   * process stops while the transaction waits for the pacing.
+   * Executes the writes together if all conditions hold. The transaction is sent when the pacing admits the
+   * writes. Never rejects. If the request gets no answer, the outcome is `unknown`. If the process stops
+   * while the transaction waits for the pacing, the outcome is `refused`.
    */
   async commit(trafficClass: TrafficClass, conditions: Condition[], writes: Write[]): Promise<CommitOutcome> {
     const { signal, connection, pacing } = this.ports;
     let waited = false;
     if (writes.length > 0) {
-      // The commit waits until the pacing has paid off the writes of earlier commits, then takes its own
-      // writes as a debt. If it waited until the pacing covered its own writes, it would be out of date when
-      // it is sent. There is no `await` between the last check and the reservation.
+      // The commit waits until the pacing has paid off the writes of earlier commits, and then adds its own
+      // writes as a debt. If the commit also waited until the pacing had paid off its own writes, it would be
+      // out of date when it is sent. There is no `await` between the final check and the reservation.
       for (
         let waitMs = pacing.writeWaitMs(trafficClass);
         waitMs > 0;
@@ -88,7 +88,7 @@
     return outcomeOf(answer);
   }
 
-  /** Returns the counts since the previous call, and resets them. */
+  /** Returns the counts since the previous call, and resets the counts. */
   takeCounts(): ChangeCounts {
     const { counts } = this;
     this.counts = emptyCounts();
