--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -13,8 +13,9 @@
  * to a user only if the cancellation is recorded here. Therefore a peer without access to the store may
  * continue every job that is not on a complete list.
  *
- * A list is complete only after the revision at which this incarnation first read the store. Cancellations
- * that an earlier incarnation confirmed were in the store before that, and may be missing from the list.
+ * A list is complete only for cancellations after the revision at which this incarnation first read the
+ * store. Cancellations that an earlier incarnation confirmed were committed before this revision, and may be
+ * missing from the list.
  */
 export class Cancellations {
   /** Store revision of each cancelled job's outcome, by job id, in the order of recording. */
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -7,7 +7,7 @@
 
 const id = 'req-000001';
 
-describe('submissions while the store commits slowly', () => {
+describe('submissions if the store commits slowly', () => {
   // Clients retry submissions that wait in the commit queue. If the retries were queued too, the queue would
   // stay long. When this happened, only 361 of 1431 jobs were accepted in one day of the larger fleet.
   test('a client retry that arrives while the first attempt is in flight causes no second commit', async () => {
--- a/src/intake/outcome-reader.ts
+++ b/src/intake/outcome-reader.ts
@@ -1,4 +1,4 @@
-/** Reads job outcomes that are missing from the replica, page by page, from the store. */
+/** Reads job outcomes from the store if the replica does not contain them, one page per request. */
 import type { StoreClient } from '../store/client.js';
 import type { StoreReplica } from '../store/store-replica.js';
 import { outcomeKey, outcomePrefix } from '../wire/keys.js';
--- a/src/intake/submissions.ts
+++ b/src/intake/submissions.ts
@@ -67,8 +67,8 @@
 const maxOverloadRetryS = 20;
 
 /**
- * Accepts each job id once, even if users retry the submission at several controllers, so that submissions
- * are idempotent.
+ * Makes submissions idempotent: each job id is accepted once, even if users retry the submission at several
+ * controllers.
  */
 export class Submissions {
   /** Pending commits of new jobs, by job id. */
--- a/src/store/commit-queue.test.ts
+++ b/src/store/commit-queue.test.ts
@@ -56,9 +56,10 @@
   assert.equal(outage.sent.length, 1);
 });
 
-// Commits of several ledger pages of a block have the condition on the block's record in common. If the queue
-// sent this condition several times in one transaction, the service would refuse the transaction as
-// malformed, and the block would make no progress.
+// A block (a set of machines) has a record and a ledger with several pages, each under a key. All commits of
+// pages have the condition on the block's record in common. If the queue sent this condition several times in
+// one transaction, the service would refuse the transaction as malformed, and the tasks of the block would
+// make no progress.
 test('a condition that several operations have in common is sent once', async () => {
   const sent: string[][] = [];
   const { queue } = createQueue((conditions) => {
--- a/src/store/commit-queue.ts
+++ b/src/store/commit-queue.ts
@@ -18,7 +18,10 @@
   settle: (outcome: CommitOutcome) => void;
 }
 
-/** Upper bound of the size of a key with its version, in bytes of JSON, in which the service measures it. */
+/**
+ * Upper bound of the size of a key with its version, in bytes. Sizes refer to JSON, the form in which the
+ * service measures a transaction.
+ */
 const bytesPerKey = 64;
 /** Limit of retries of a transaction that is refused because of the rate limits. */
 const maxRetries = 5;
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -14,7 +14,7 @@
 /** The properties of a controller that determine its share of the limits. */
 export interface ControllerRole {
   isLeader: boolean;
-  /** The number of controllers that share the limits, including this one. */
+  /** The number of controllers that share the limits, including this controller. */
   aliveControllers: number;
   /** The fraction of all machines that this controller manages, 0 to 1. */
   machineShare: number;
--- a/src/store/store-replica.test.ts
+++ b/src/store/store-replica.test.ts
@@ -4,7 +4,7 @@
 import type { Change } from '../wire/state.js';
 import { StoreReplica } from './store-replica.js';
 
-test('listeners are notified once of an outcome that this controller has committed itself', async () => {
+test('listeners are notified exactly once of an outcome that this controller has committed itself', async () => {
   // A controller commits the cancellation of a job whose task runs on a block (a set of machines) that the
   // same controller manages. If the listeners were not notified of this outcome, the controller would not
   // stop the task.
@@ -29,9 +29,8 @@
   assert.equal(replica.revision, 7);
 });
 
-// A controller commits a job record, and the watch delivers the deletion of the record before the controller
-// adds the record to its replica. If the record were then added, the replica would treat the job as open
-// forever.
+// A controller commits a job record. The watch delivers the deletion of the record before the controller adds
+// the record to its replica. If the record were added after that, the job would be treated as open forever.
 test('a committed key is in the replica immediately, unless the watch has delivered its deletion', async () => {
   const job = (version: number, deleted: boolean): Change => ({ key: 'job/a', value: 1, version, deleted });
   let watches = 0;
@@ -90,7 +89,7 @@
   let beforeLedgerIsListed: () => void = () => undefined;
   const client = {
     list: (prefix: string) => {
-      // The jobs are listed before the ledger.
+      // The job records are listed before the keys of the ledger, which begin with `run/`.
       if (prefix === 'run/') beforeLedgerIsListed();
       return Promise.resolve(prefix === 'job/' ? listed : { revision: 9, items: [] });
     },
--- a/src/store/store-replica.ts
+++ b/src/store/store-replica.ts
@@ -10,7 +10,7 @@
 import type { StoreClient } from './client.js';
 import { StoredEntries, type StoredEntry } from './stored-entries.js';
 
-/** Called with changes of keys after the replica contains all of them. */
+/** Called with a list of changes after all of these changes have been applied to the replica. */
 export type ChangeListener = (changes: Change[]) => void;
 
 /**
