--- a/src/blocks/initial-dispatcher.ts
+++ b/src/blocks/initial-dispatcher.ts
@@ -49,7 +49,7 @@
    */
   initialRanges(spec: JobSpec): TaskRange[] {
     const { jobIndex, leader, ownBlocks } = this.ports;
-    if (!jobIndex.isReadyAfter(spec.dependencies ?? [])) return [];
+    if (!jobIndex.areDependenciesDone(spec.dependencies ?? [])) return [];
     const capacity = this.currentCapacity();
     // Prefer a block that this controller owns. This controller can start the job immediately, whereas
     // another controller would first have to receive the job through its watch of the store.
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -79,7 +79,7 @@
     return {
       spec: job.spec,
       dependencyFacts: withoutDependencies(job.spec),
-      waiting: job.spec.tasks - dispatched(job),
+      waitingCount: job.spec.tasks - dispatched(job),
       started: dispatched(job) > 0,
     };
   };
--- a/src/controller/controller.test.ts
+++ b/src/controller/controller.test.ts
@@ -11,10 +11,10 @@
   after(() => cluster.stop());
 
   test('a job is accepted, runs to completion and has status done on every controller', async () => {
-    const accepted = await cluster.user(0, 'POST', '/v2/runs', submission('req-000001', 5));
+    const accepted = await cluster.request(0, 'POST', '/v2/runs', submission('req-000001', 5));
     assert.deepEqual([accepted.status, accepted.body], [201, { id: 'req-000001', status: 'pending' }]);
     // Another controller returns the job immediately. The content of a repeated submission is ignored.
-    const repeated = await cluster.user(1, 'POST', '/v2/runs', submission('req-000001', 9));
+    const repeated = await cluster.request(1, 'POST', '/v2/runs', submission('req-000001', 9));
     assert.equal(repeated.status, 200);
     assert.notEqual(await cluster.status(2, 'req-000001'), '404');
     await cluster.waitUntil(
@@ -22,7 +22,7 @@
       async () => (await cluster.status(1, 'req-000001')) === 'done',
     );
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000001'), 'done');
-    const afterCompletion = await cluster.user(2, 'POST', '/v2/runs', submission('req-000001', 5));
+    const afterCompletion = await cluster.request(2, 'POST', '/v2/runs', submission('req-000001', 5));
     assert.deepEqual(
       [afterCompletion.status, afterCompletion.body],
       [200, { id: 'req-000001', status: 'done' }],
@@ -30,15 +30,15 @@
   });
 
   test('the tasks of a cancelled job end on their machines, and the job stays cancelled', async () => {
-    await cluster.user(0, 'POST', '/v2/runs', submission('req-000002', 4));
+    await cluster.request(0, 'POST', '/v2/runs', submission('req-000002', 4));
     const isRunning = (): boolean =>
       [...cluster.workers.values()].some((w) => w.running.some((p) => p.startsWith('req-000002/')));
     await cluster.waitUntil('a task runs', isRunning);
-    const answer = await cluster.user(2, 'POST', '/v2/runs/req-000002/cancel', {});
+    const answer = await cluster.request(2, 'POST', '/v2/runs/req-000002/cancel', {});
     assert.deepEqual([answer.status, answer.body], [200, { id: 'req-000002', status: 'cancelled' }]);
     for (const node of [0, 1, 2]) assert.equal(await cluster.status(node, 'req-000002'), 'cancelled');
     await cluster.waitUntil('no task of the job runs any more', () => !isRunning(), 2000);
-    const repeated = await cluster.user(1, 'POST', '/v2/runs/req-000002/cancel', {});
+    const repeated = await cluster.request(1, 'POST', '/v2/runs/req-000002/cancel', {});
     assert.deepEqual(repeated.body, { id: 'req-000002', status: 'cancelled' });
   });
 
@@ -60,31 +60,31 @@
       [submission('req-000003', 1, { jobclass: 'x'.repeat(70_000) }), 413],
     ];
     for (const [body, status] of invalidSubmissions) {
-      const answer = await cluster.user(0, 'POST', '/v2/runs', body);
+      const answer = await cluster.request(0, 'POST', '/v2/runs', body);
       assert.equal(answer.status, status, JSON.stringify(body).slice(0, 300));
     }
-    assert.equal((await cluster.user(0, 'GET', '/v2/runs/req-999999')).status, 404);
-    assert.equal((await cluster.user(0, 'GET', '/v2/runs/nonsense')).status, 404);
-    assert.equal((await cluster.user(0, 'POST', '/v2/runs/req-999999/cancel', {})).status, 404);
-    assert.equal((await cluster.user(0, 'GET', '/elsewhere')).status, 404);
-    assert.equal((await cluster.user(0, 'GET', '/v2/runs')).status, 405);
-    assert.equal((await cluster.user(0, 'GET', '/up')).status, 200);
+    assert.equal((await cluster.request(0, 'GET', '/v2/runs/req-999999')).status, 404);
+    assert.equal((await cluster.request(0, 'GET', '/v2/runs/nonsense')).status, 404);
+    assert.equal((await cluster.request(0, 'POST', '/v2/runs/req-999999/cancel', {})).status, 404);
+    assert.equal((await cluster.request(0, 'GET', '/elsewhere')).status, 404);
+    assert.equal((await cluster.request(0, 'GET', '/v2/runs')).status, 405);
+    assert.equal((await cluster.request(0, 'GET', '/up')).status, 200);
   });
 
   test('a job of 100,000 tasks is accepted and runs without exceeding the size limit of a stored value', async () => {
     const job = submission('req-000004', 100_000, { owner: 'blue', cpus: 8 });
-    assert.equal((await cluster.user(0, 'POST', '/v2/runs', job)).status, 201);
+    assert.equal((await cluster.request(0, 'POST', '/v2/runs', job)).status, 201);
     await cluster.waitUntil(
       'the job is running',
       async () => (await cluster.status(1, 'req-000004')) === 'running',
     );
-    assert.equal((await cluster.user(1, 'POST', '/v2/runs/req-000004/cancel', {})).status, 200);
+    assert.equal((await cluster.request(1, 'POST', '/v2/runs/req-000004/cancel', {})).status, 200);
   });
 
   test('no job is lost when the store applies commits but its responses are lost', async () => {
     cluster.store.answersToDrop = 3;
     await cluster.waitUntil('the job is accepted', async () => {
-      const answer = await cluster.user(0, 'POST', '/v2/runs', submission('req-000005', 3));
+      const answer = await cluster.request(0, 'POST', '/v2/runs', submission('req-000005', 3));
       return answer.status === 200 || answer.status === 201;
     });
     await cluster.waitUntil(
@@ -94,11 +94,11 @@
   });
 
   test('during an outage of the store, submissions are refused immediately with 503; jobs complete after the outage', async () => {
-    await cluster.user(0, 'POST', '/v2/runs', submission('req-000006', 3));
+    await cluster.request(0, 'POST', '/v2/runs', submission('req-000006', 3));
     cluster.store.hasOutage = true;
     await cluster.waitUntil('a submission is refused with 503 within 500 ms', async () => {
       const sentAt = Date.now();
-      const answer = await cluster.user(1, 'POST', '/v2/runs', submission('req-000007', 1));
+      const answer = await cluster.request(1, 'POST', '/v2/runs', submission('req-000007', 1));
       return answer.status === 503 && Date.now() - sentAt < 500;
     });
     cluster.store.hasOutage = false;
@@ -112,7 +112,7 @@
     const leader = await cluster.waitForLeader();
     const leaderNode = ['keel-0', 'keel-1', 'keel-2'].indexOf(leader);
     const otherNode = (leaderNode + 1) % 3;
-    await cluster.user(otherNode, 'POST', '/v2/runs', submission('req-000008', 12));
+    await cluster.request(otherNode, 'POST', '/v2/runs', submission('req-000008', 12));
     cluster.stopController(leader);
     await cluster.waitForLeader(leader);
     await cluster.waitUntil(
@@ -132,7 +132,7 @@
   // lead.
   test('after all controllers restart during an outage, each returns every accepted job, and all jobs complete', async () => {
     const ids = [0, 1, 2].map((i) => `req-00001${i}`);
-    for (const [i, id] of ids.entries()) await cluster.user(i, 'POST', '/v2/runs', submission(id, 4));
+    for (const [i, id] of ids.entries()) await cluster.request(i, 'POST', '/v2/runs', submission(id, 4));
     const leaderBefore = cluster.store.value('lead');
     cluster.store.hasOutage = true;
     for (const label of ['keel-0', 'keel-1', 'keel-2']) {
--- a/src/controller/machine-events.test.ts
+++ b/src/controller/machine-events.test.ts
@@ -12,7 +12,7 @@
       requestedTimes.push(time);
       return [`terminated-${machine}`];
     },
-    machinesUpSince: (time) => {
+    machinesBootedSince: (time) => {
       requestedTimes.push(time);
       return [`booted-${machine}`];
     },
--- a/src/controller/machine-events.ts
+++ b/src/controller/machine-events.ts
@@ -17,7 +17,7 @@
   /** `blockStates` returns the states of the blocks that this controller owns at the time of the call. */
   constructor(
     private readonly clock: Clock,
-    private readonly blockStates: () => Pick<BlockState, 'machinesTerminatedSince' | 'machinesUpSince'>[],
+    private readonly blockStates: () => Pick<BlockState, 'machinesTerminatedSince' | 'machinesBootedSince'>[],
   ) {}
 
   /** Returns the ids of machines that were recently found to be terminated. */
@@ -29,6 +29,6 @@
   /** Returns the ids of machines whose first heartbeat was received recently. */
   booted(): string[] {
     const since = this.clock() - eventRetentionMs;
-    return this.blockStates().flatMap((blockState) => blockState.machinesUpSince(since));
+    return this.blockStates().flatMap((blockState) => blockState.machinesBootedSince(since));
   }
 }
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -214,7 +214,7 @@
    * Returns the ids of machines whose first heartbeat was received at or after `time` (monotonic, in ms).
    * Used when tasks are dispatched to blocks.
    */
-  machinesUpSince(time: number): string[] {
+  machinesBootedSince(time: number): string[] {
     return this.blockMachines.bootedSince(time);
   }
 
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -83,7 +83,7 @@
   }
 
   /** Whether all these dependencies are done, so that a job with these dependencies would be ready. */
-  isReadyAfter(dependencies: Iterable<string>): boolean {
+  areDependenciesDone(dependencies: Iterable<string>): boolean {
     return this.dependencies.areDone(dependencies);
   }
 
@@ -144,7 +144,7 @@
     return {
       spec,
       dependencyFacts: this.dependencyFactsOf(spec),
-      waiting: spec.tasks - done - active,
+      waitingCount: spec.tasks - done - active,
       started: done + active > 0,
     };
   }
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -50,17 +50,18 @@
 }
 
 function missesObjective(
-  { kind, withinS, times }: Objective,
-  { spec, dependencyFacts, waiting }: QueuedJob,
+  { kind, withinS, deadlineMultiple }: Objective,
+  { spec, dependencyFacts, waitingCount }: QueuedJob,
   now: number,
 ): boolean {
   const submittedS = (now - spec.acceptedAt) / 1000;
-  if (kind === 'deadline') return spec.deadlineS !== null && submittedS > spec.deadlineS * (times ?? 1);
+  if (kind === 'deadline')
+    return spec.deadlineS !== null && submittedS > spec.deadlineS * (deadlineMultiple ?? 1);
   const ageS = (now - dependencyFacts.readyAt) / 1000;
   if (withinS === undefined) return false;
-  return (kind === 'finished' || (kind === 'wait' && waiting > 0)) && ageS > withinS;
+  return (kind === 'finished' || (kind === 'wait' && waitingCount > 0)) && ageS > withinS;
 }
 
-function describeObjective({ kind, withinS, times }: Objective): string {
-  return kind === 'deadline' ? `deadline ${times ?? 1}x` : `${kind} ${withinS ?? 0} s`;
+function describeObjective({ kind, withinS, deadlineMultiple }: Objective): string {
+  return kind === 'deadline' ? `deadline ${deadlineMultiple ?? 1}x` : `${kind} ${withinS ?? 0} s`;
 }
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -111,7 +111,7 @@
   constructor(readonly pageBytes: number) {}
 
   /** True if some page needs an immediate write and no commit of this page is in progress. */
-  get hasUrgentWrites(): boolean {
+  get hasImmediateWrites(): boolean {
     for (const page of this.pages.values())
       if (page.writeUrgency === 'immediate' && !page.isCommitting) return true;
     return false;
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -113,7 +113,7 @@
    */
   sendHeldResponse: (() => void) | undefined;
   /** Time at which commands, including all pending `forget` commands, were last sent to the worker. */
-  lastForgetAt = 0;
+  lastCommandsSentAt = 0;
   /**
    * Tasks assigned to the machine, by `keyOfTask`. This includes tasks whose start command the machine may
    * have received, and tasks whose start command must not be sent yet.
--- a/src/placement/queue-order.test.ts
+++ b/src/placement/queue-order.test.ts
@@ -6,8 +6,8 @@
 import { type QueuedJob, QueueOrder, withoutDependencies } from './queue-order.js';
 
 const objectives = [
-  { kind: 'wait', jobClass: 'quick', share: 0.9, withinS: 60, times: undefined },
-  { kind: 'deadline', jobClass: 'due', share: 0.9, withinS: undefined, times: 1 },
+  { kind: 'wait', jobClass: 'quick', share: 0.9, withinS: 60, deadlineMultiple: undefined },
+  { kind: 'deadline', jobClass: 'due', share: 0.9, withinS: undefined, deadlineMultiple: 1 },
 ];
 
 function queuedJob(
@@ -26,7 +26,7 @@
     acceptedAt: acceptedS * 1000,
     ...overrides,
   } as JobSpec;
-  return { spec, dependencyFacts: withoutDependencies(spec), waiting, started: false };
+  return { spec, dependencyFacts: withoutDependencies(spec), waitingCount: waiting, started: false };
 }
 
 function ids(jobs: QueuedJob[], nowS: number): string[] {
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -37,7 +37,7 @@
   spec: JobSpec;
   dependencyFacts: DependencyFacts;
   /** Number of the job's tasks that wait to start. */
-  waiting: number;
+  waitingCount: number;
   /** Whether any task of the job has started. */
   started: boolean;
 }
@@ -100,7 +100,7 @@
   }
 
   private sortKey(job: QueuedJob, meanWaiting: number, now: number): SortKey {
-    const { spec, dependencyFacts, waiting, started } = job;
+    const { spec, dependencyFacts, waitingCount, started } = job;
     const { readyAt, urgency } = dependencyFacts;
     const { id } = spec;
     const urgencyRank = urgencyRanks[urgency];
@@ -112,7 +112,7 @@
     const tier = nextWindow === undefined ? tiers.hasMissedObjectives : tiers.canMeetObjective;
     // The larger the job is compared with the mean of its urgency, the later it is due within its start
     // window.
-    const sizeShare = waiting / Math.max(1, waiting + meanWaiting);
+    const sizeShare = waitingCount / Math.max(1, waitingCount + meanWaiting);
     const dueAt = readyAt + (nextWindow ?? windows.at(-1) ?? 0) * 1000 * sizeShare;
     return { urgencyRank, tier, dueAt, id };
   }
@@ -141,10 +141,10 @@
 function meanWaitingByUrgency(queued: Iterable<{ job: QueuedJob }>): Map<Urgency, number> {
   const totalsByUrgency = new Map<Urgency, { jobs: number; tasks: number }>();
   for (const { job } of queued) {
-    const { dependencyFacts, waiting } = job;
+    const { dependencyFacts, waitingCount } = job;
     const totals = totalsByUrgency.get(dependencyFacts.urgency) ?? { jobs: 0, tasks: 0 };
     totals.jobs++;
-    totals.tasks += waiting;
+    totals.tasks += waitingCount;
     totalsByUrgency.set(dependencyFacts.urgency, totals);
   }
   return new Map([...totalsByUrgency].map(([urgency, totals]) => [urgency, totals.tasks / totals.jobs]));
@@ -155,13 +155,14 @@
  * undefined if the objective does not constrain the start.
  */
 function startWindowS(
-  { kind, withinS, times }: Objective,
+  { kind, withinS, deadlineMultiple }: Objective,
   { estimatedRunS, deadlineS }: JobSpec,
   waitedS: number,
 ): number | undefined {
   if (kind === 'wait') return withinS;
   if (kind === 'finished' && withinS !== undefined) return withinS - estimatedRunS;
-  if (kind === 'deadline' && deadlineS !== null) return deadlineS * (times ?? 1) - waitedS - estimatedRunS;
+  if (kind === 'deadline' && deadlineS !== null)
+    return deadlineS * (deadlineMultiple ?? 1) - waitedS - estimatedRunS;
   return undefined;
 }
 
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -139,7 +139,7 @@
   private nextRoundDelayMs(): number {
     const { blockState, store } = this.ports;
     const writeWaitMs = Math.max(requestBatchingMs, store.writeWaitMs('duty'));
-    if (blockState.ledger.hasUrgentWrites && !store.failing)
+    if (blockState.ledger.hasImmediateWrites && !store.failing)
       return Math.min(this.roundIntervalMs, writeWaitMs);
     if (!blockState.ledger.hasUnwrittenChanges) return this.roundIntervalMs;
     return Math.min(this.roundIntervalMs, this.writer.nextCheckMs);
--- a/src/placement/waiting-queue.ts
+++ b/src/placement/waiting-queue.ts
@@ -55,7 +55,7 @@
     const toQueuedJob = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
       spec,
       dependencyFacts: dependencyFactsOf(spec),
-      waiting: job.waitingCount,
+      waitingCount: job.waitingCount,
       started: job.activeCount + job.doneCount > 0,
     });
     return order.sorted(openJobs, toQueuedJob, wallClock()).map(({ job }) => job);
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -27,7 +27,7 @@
   share: number | undefined;
   withinS: number | undefined;
   /** For deadline objectives: the multiple of a job's deadline within which the job has to end. */
-  times: number | undefined;
+  deadlineMultiple: number | undefined;
 }
 
 /** Limits of the state service, derived from the present and the upcoming limits in the settings file. */
@@ -193,7 +193,7 @@
     jobClass: objective.class,
     share: objective.share,
     withinS: objective.within_s,
-    times: objective.times,
+    deadlineMultiple: objective.times,
   };
 }
 
--- a/src/testing/async-costs.ts
+++ b/src/testing/async-costs.ts
@@ -11,7 +11,7 @@
   /** Timers of any kind. */
   timers: number;
   /** Callbacks that the event loop ran: promise continuations, timers, immediates and `process.nextTick`. */
-  turns: number;
+  callbacks: number;
 }
 
 /** Resource types that are counted as timers. `Immediate` and `TickObject` count only as `turns`. */
@@ -25,7 +25,7 @@
   work: () => void,
   settled: () => Promise<void> = () => Promise.resolve(),
 ): Promise<AsyncCosts> {
-  const costs: AsyncCosts = { promises: 0, timers: 0, turns: 0 };
+  const costs: AsyncCosts = { promises: 0, timers: 0, callbacks: 0 };
   const scope = new AsyncResource('COUNTED');
   const descendants = new Set([scope.asyncId()]);
   const hook = createHook({
@@ -36,7 +36,7 @@
       if (timerKinds.has(kind)) costs.timers++;
     },
     before(id) {
-      if (id !== scope.asyncId() && descendants.has(id)) costs.turns++;
+      if (id !== scope.asyncId() && descendants.has(id)) costs.callbacks++;
     },
   });
   hook.enable();
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -138,7 +138,7 @@
       else this.startController(label);
     }
     await this.waitUntil('all controllers answer GET /up with 200', async () => {
-      const answers = await Promise.all([0, 1, 2].map((node) => this.user(node, 'GET', '/up')));
+      const answers = await Promise.all([0, 1, 2].map((node) => this.request(node, 'GET', '/up')));
       return answers.every((answer) => answer.status === 200);
     });
     await this.waitForLeader();
@@ -295,7 +295,7 @@
   }
 
   /** Sends a user's request to one controller. */
-  user(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
+  request(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
     const client = this.userClients[node];
     if (!client) throw new Error(`no controller with index ${node}`);
     return client.exchange(method, path, body, { timeoutMs: userTimeoutMs });
@@ -398,7 +398,7 @@
    * 200.
    */
   async status(node: number, id: string): Promise<string> {
-    const answer = await this.user(node, 'GET', `/v2/runs/${id}`);
+    const answer = await this.request(node, 'GET', `/v2/runs/${id}`);
     return answer.status === 200 ? String((answer.body as { status: string }).status) : String(answer.status);
   }
 
@@ -470,7 +470,7 @@
   }
 
   private async exchange(node: number, method: string, path: string, body?: unknown): Promise<HttpResponse> {
-    return this.user(node, method, path, body).catch(() => ({ status: 0, body: undefined }));
+    return this.request(node, method, path, body).catch(() => ({ status: 0, body: undefined }));
   }
 
   private address(node: number, kind: 0 | 1): string {
--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -10,7 +10,7 @@
 import { type AsyncCosts, countAsyncCosts } from '../testing/async-costs.js';
 import { createHeartbeatFixture, sendHeldResponses } from '../testing/heartbeat-fixture.js';
 
-const noCosts: AsyncCosts = { promises: 0, timers: 0, turns: 0 };
+const noCosts: AsyncCosts = { promises: 0, timers: 0, callbacks: 0 };
 const heartbeatCount = 50;
 
 /**
@@ -18,8 +18,8 @@
  * but must not increase.
  */
 function assertCostsWithin(costs: AsyncCosts, bounds: AsyncCosts): void {
-  const { promises, timers, turns } = bounds;
-  const isWithin = costs.promises <= promises && costs.timers <= timers && costs.turns <= turns;
+  const { promises, timers, callbacks } = bounds;
+  const isWithin = costs.promises <= promises && costs.timers <= timers && costs.callbacks <= callbacks;
   assert.ok(isWithin, `${JSON.stringify(costs)} is over ${JSON.stringify(bounds)}`);
 }
 
@@ -74,6 +74,6 @@
     const costs = await countAsyncCosts(() => fixture.heartbeat('m1'), waitForTurns);
     assert.equal(fixture.blockState.machines.get('m1')?.tasks.size, 4);
     assert.equal(fixture.replies.length, 1);
-    assertCostsWithin(costs, { promises: 13, timers: 1, turns: 5 });
+    assertCostsWithin(costs, { promises: 13, timers: 1, callbacks: 5 });
   });
 });
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -244,8 +244,8 @@
   private delayForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
     if (commands.length === 0) return commands;
     const delayMs = this.ports.heartbeatIntervalMs * forgetDelayHeartbeatIntervals;
-    if (containsOnlyForgets(commands) && now - machine.lastForgetAt < delayMs) return [];
-    machine.lastForgetAt = now;
+    if (containsOnlyForgets(commands) && now - machine.lastCommandsSentAt < delayMs) return [];
+    machine.lastCommandsSentAt = now;
     return orderForgetsFirst(commands);
   }
 
