--- a/src/fault-scenarios/cancels.test.ts
+++ b/src/fault-scenarios/cancels.test.ts
@@ -51,9 +51,10 @@
   cluster.history.events.filter((h) => h.kind === 'started' && h.task.startsWith(`${id}/`)).length;
 
 // First the state service refuses one controller, then a peer confirms a cancel to the user, and then the
-// state service fails for all controllers. The refused controller must not measure the outage from its own
-// latest response, because it would then assume that its peers have the same data, and would miss the cancel.
-// Only the cancelled tasks may end; the tasks of all other jobs continue.
+// state service fails for all controllers. The refused controller must not take the time of its own
+// latest response from the state service as the beginning of the outage. It would then assume that its peers
+// have the same data, and would miss the cancel. Only the cancelled tasks may end; the tasks of all other
+// jobs continue.
 scenario(
   'a job is cancelled while the state service refuses only the owner of its tasks, and is down for all a moment later',
   { port: 23_000, taskMs: untilStopped, capacity: 6 },
@@ -226,9 +227,9 @@
   },
 );
 
-// A new leader is elected while a team uses its full quota on machines of which some have not yet reported to
-// the new leader. If the new leader did not count the tasks on these machines, it would grant the same quota
-// a second time.
+// A new leader is elected while a team uses its full quota. Some of the machines with tasks are partitioned,
+// so they send no heartbeats during the change of leaders. If the new leader did not count the tasks on these
+// machines, it would grant the same quota a second time.
 scenario(
   'a team is at its quota when the leader fails over, some of the machines are partitioned, and a job is cancelled',
   { port: 23_240, taskMs: 2500, capacity: 10 },
--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -73,7 +73,7 @@
 );
 
 // After a restart, a controller's replica of the store contains no outcomes at first. If the controller did
-// not learn the outcome of a dependency that was done before the restart, the dependent job would wait
+// not look up the outcome of a dependency that was done before the restart, the dependent job would wait
 // forever.
 scenario(
   'one dependency is done before all controllers restart, and another one after that',
--- a/src/fault-scenarios/late-and-lost-messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -31,8 +31,8 @@
 }
 
 // Some transactions get no response and are applied late, after newer transactions. Guards against outdated
-// data that such a late transaction writes: an old ledger page, an old lease, an old dispatch, or an outcome
-// or a job that was not confirmed to its user.
+// data that a late transaction writes: an old ledger page, an old lease, an old dispatch, or an outcome or a
+// job that was not confirmed to its user.
 for (const seed of [1, 2, 3]) {
   scenario(
     `transactions that got no response are applied late, after newer ones (seed ${seed})`,
@@ -52,8 +52,8 @@
         for (const [j, id] of jobIds.entries()) await cluster.queryStatus((i + j) % 3, id);
         const addedJob = `req-0001${i}`;
         await cluster.submitUntilAccepted(submission(addedJob, 2), i);
-        // Every second job gets one cancel request without retries, at about the time at which the job ends.
-        // The cancel may take effect after the end of the job.
+        // For every second job, one cancel request is sent without retries, at about the time at which the
+        // job ends. The transaction of the cancel may be executed after the job has ended.
         const cancelDelayMs = taskMs * (1 + (i % 3) / 2);
         if (i % 2 === 0)
           cancelRequests.push(
@@ -109,7 +109,7 @@
     const ids = ['req-000001', 'req-000002', 'req-000003'];
     cluster.store.shouldWithholdCommit = (key) => key.startsWith('sk/run/');
     // No task ends before the controllers have restarted. All tasks therefore run at the same time, even if
-    // the controller writes the ledger page again late.
+    // the controller is late to retry the write of the ledger page.
     cluster.shouldHoldTask = everyTask;
     for (const [i, id] of ids.entries())
       await cluster.submitUntilAccepted(submission(id, 4, { owner: 'blue' }), i);
@@ -189,8 +189,8 @@
     await submitAndAwaitRunning(cluster, jobIds, 2);
     const [cancelled = '', ...kept] = jobIds;
     cluster.shouldHoldTask = tasksOf(cancelled);
-    // At first, every second machine is partitioned; later, all machines that exist now. Machines that are
-    // rented during the scenario are not partitioned.
+    // At first, every second of the present machines is partitioned, and later all of them. Machines that are
+    // rented after this point are not partitioned.
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.isPartitioned = i % 2 === 0;
     assert.equal(await cluster.cancelUntilEnded(cancelled), 'cancelled');
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -202,7 +202,7 @@
     ids.push(...(await submitDuringTermOf(cluster, earlierPair, currentOne, 100)));
     await cancelAt(cluster, second, idOf(1));
 
-    // Leadership and the block of the earlier version move to this version.
+    // Leadership and the block of the last controller of the earlier version move to this version.
     await cluster.upgrade(third);
     cluster.processes.kill(first);
     await cluster.waitForLeader(first);
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -76,7 +76,7 @@
 }
 
 // Both versions read and write the same records during the upgrade. If one version misread the records of the
-// other, it would start tasks of the other version twice, forget them or release them. One controller process
+// other, it could start tasks of the other version twice, forget them or release them. One controller process
 // is killed before its upgrade and restarts with the earlier version.
 scenario(
   'controllers are upgraded one by one while jobs run; one dies before its upgrade and restarts with the earlier version',
@@ -159,7 +159,8 @@
 );
 
 // The state service refuses a leader of the earlier version, a job is cancelled, and another controller takes
-// over the leadership. Guards against failures that arise because the two versions count in different ways.
+// over the leadership. Guards against a cancel, or a refusal by the state service, that is handled wrongly
+// because the two versions count in different ways.
 scenario(
   'the state service refuses a leader of the earlier version, a new leader takes over, and a job is cancelled meanwhile',
   { port: 29_080, taskMs: 8000, capacity: 10, earlierVersion: earlier, nextLimits },
--- a/src/fault-scenarios/stale-reads.test.ts
+++ b/src/fault-scenarios/stale-reads.test.ts
@@ -99,9 +99,10 @@
   },
 );
 
-// A paused controller process resumes. It then receives responses that the state service sent before the
-// pause together with requests that users sent during the pause. If it answered these requests from the old
-// responses, the answers would be outdated.
+// A controller process is paused while the state service holds responses to it. The process resumes and
+// receives these responses, which were correct before the pause, together with requests that users sent
+// during the pause. If the controller answered these requests from the old responses, the answers would be
+// outdated.
 scenario(
   'a controller process is paused with responses in flight, the job is cancelled elsewhere, and the process resumes',
   { port: 26_240, taskMs: untilStopped, processes: ['keel-2'] },
@@ -119,8 +120,8 @@
       cluster.processes.pause(paused);
       cluster.store.releaseAnswers();
       await pause(heartbeatIntervalMs / 4);
-      // Only the responses from before the pause reach the controller. Its watch, the statuses of its peers
-      // and its own requests after the pause are held back.
+      // The controller receives only the responses to requests from before the pause. Its watch, the statuses
+      // of its peers and its own requests after the pause are held back.
       cluster.store.partitionedClients.add(paused);
       for (const link of cluster.peerLinksOf(paused)) link.cut();
       assert.equal(await cluster.cancelUntilEnded(id, [0, 1]), 'cancelled');
--- a/src/fault-scenarios/zones-and-capacity.test.ts
+++ b/src/fault-scenarios/zones-and-capacity.test.ts
@@ -15,7 +15,7 @@
 } from '../testing/cluster.js';
 import { scenario } from '../testing/scenario.js';
 
-/** Waits until a task of the job runs, then ends the machine of this task and all tasks on this machine. */
+/** Waits until a task of the job runs, then fails the machine of this task, which ends all its tasks. */
 async function loseMachine(cluster: Cluster, id: string): Promise<void> {
   await cluster.waitUntil(`${id} runs and loses a machine`, () => {
     const worker = [...cluster.workers.values()].find((w) =>
@@ -53,8 +53,9 @@
   },
 );
 
-// A zone is partitioned off, and jobs are cancelled outside. Guards against a task that runs both inside and
-// outside the zone, and against cancelled tasks that continue to run inside the zone.
+// A zone is partitioned off, and controllers outside the zone confirm cancels of jobs. Guards against a task
+// that runs both inside and outside the zone, and against cancelled tasks that continue to run inside the
+// zone.
 scenario(
   'a zone with workers and a controller is partitioned off for longer than a lease, and jobs are cancelled outside',
   { port: 25_040, taskMs: 7000, capacity: 6 },
