--- a/src/testing/async-costs.ts
+++ b/src/testing/async-costs.ts
@@ -14,12 +14,13 @@
   callbacks: number;
 }
 
-/** Resource types that are counted as timers. `Immediate` and `TickObject` count only as `turns`. */
+/** Resource types that are counted as timers. `Immediate` and `TickObject` count only as `callbacks`. */
 const timerKinds = new Set(['Timeout', 'Timer']);
 
 /**
- * Runs `work` and counts the asynchronous resources that descend from it until `settled` has resolved.
- * Resources of other code are not counted, so the counts are exact and are the same in every run.
+ * Runs `work`, and counts the asynchronous resources that `work` and its callbacks create until the promise
+ * returned by `settled` has resolved. Resources of other code are not counted, so the counts are exact and
+ * are the same in every run.
  */
 export async function countAsyncCosts(
   work: () => void,
--- a/src/testing/block-fixture.ts
+++ b/src/testing/block-fixture.ts
@@ -74,8 +74,8 @@
    */
   applyJobRecord: (version: number) => void;
   /**
-   * Applies the record of the block to its state. `version` is the store revision of the record, and
-   * `leaving` lists the draining machines. The quota shares are those of the fixture's options unless
+   * Applies a record of the block to the state of the block. `version` is the store revision of the record,
+   * and `leaving` lists the draining machines. The quota shares are those of the fixture's options unless
    * `shares` is given.
    */
   applyBlockRecord: (version: number, change: { shares?: QuotaShares; leaving?: string[] }) => void;
--- a/src/testing/checker.test.ts
+++ b/src/testing/checker.test.ts
@@ -99,27 +99,27 @@
   const constrainedJob = (change: Partial<JobRequest>): HistoryEvent =>
     submitted('b', { ...change, tasks: 3, cpus: 1 });
   testViolations(
-    'wrong_place: machine type',
+    'wrong_place: a task starts on a machine of a type that its job does not allow',
     [constrainedJob({ machineTypes: ['g8'] }), started('b/0', 'm1')],
     ['wrong_place b/0'],
   );
   testViolations(
-    'wrong_place: zone',
+    'wrong_place: a task starts in another zone than its job requires',
     [constrainedJob({ zone: 'b' }), started('b/0', 'm1')],
     ['wrong_place b/0'],
   );
   testViolations(
-    'wrong_place: spot machine',
+    'wrong_place: a task starts on a spot machine, which its job does not allow',
     [machine('m3', 'a', true), constrainedJob({}), started('b/0', 'm3')],
     ['wrong_place b/0'],
   );
   testViolations(
-    'wrong_place: a colocated job in two zones',
+    'wrong_place: tasks of a colocated job start in two zones',
     [constrainedJob({ colocated: true }), started('b/0', 'm1'), started('b/1', 'm2')],
     ['wrong_place b/1'],
   );
   testViolations(
-    'wrong_place: too many tasks of a spread job in one zone',
+    'wrong_place: too many tasks of a spread job start in one zone',
     [constrainedJob({ spread: true }), started('b/0', 'm1'), started('b/1', 'm1'), started('b/2', 'm1')],
     ['wrong_place b/2'],
   );
@@ -209,7 +209,7 @@
     ['went_back a'],
   );
   testViolations(
-    'forgotten: only a query that is sent after the acceptance must not be answered with unknown',
+    'forgotten: unknown is a wrong answer to a query sent after the acceptance of the job, but not before',
     [
       started('a/0', 'm1'),
       ...[submitted('b'), answered('b', 'submission', 'pending'), started('b/0', 'm2')],
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -30,7 +30,7 @@
   cancel_s: number;
 }
 
-/** Worker times of a real deployment, scaled down. All waits in the tests are multiples of these times. */
+/** Worker times of a real deployment, scaled down. Most waits in the tests are multiples of these times. */
 const defaultTimes: WorkerTimes = { report_s: 0.2, lease_s: 2, cancel_s: 5 };
 export const heartbeatIntervalMs = defaultTimes.report_s * 1000;
 export const workerLeaseMs = defaultTimes.lease_s * 1000;
@@ -99,8 +99,9 @@
    */
   shouldHoldTask: (task: string) => boolean = noTask;
   /**
-   * Number of tasks in a ledger entry, by block. The value is that of the latest block lease that started in
-   * this process.
+   * Number of consecutive tasks of a job that are recorded in one ledger entry, by block. The owner of a
+   * block determines this number when it starts the block, and keeps it until it stops the block. The value
+   * is from the latest start of the block by a controller in this process.
    */
   readonly chunkTasks = new Map<number, number>();
   private faultsEndedAt = Date.now();
@@ -160,7 +161,8 @@
   }
 
   /**
-   * Reads the number of tasks in a ledger entry from the log, because the controllers expose it nowhere else.
+   * Prints a log line if `isPrinted` is true, and reads the number of tasks in a ledger entry from the line,
+   * because the controllers expose this number nowhere else.
    */
   private handleLogLine(line: string, isPrinted: boolean): void {
     if (isPrinted) process.stderr.write(line);
--- a/src/testing/document-names.test.ts
+++ b/src/testing/document-names.test.ts
@@ -70,7 +70,7 @@
   await assert.rejects(parseOperatorSettings('<shalekeel><ladder novelty="0.5"/></shalekeel>'));
 });
 
-test('the runbook lists every event logged at a default level, and no event that does not exist', () => {
+test('the runbook lists every event logged at level info or error, and no event that does not exist', () => {
   const listed = listedEvents(readFileSync('docs/runbook.md', 'utf8'));
   const logged = new Set(sources.flatMap(loggedEvents));
   const unlisted = [...new Set(sources.flatMap(operatorEvents))].filter((event) => !listed.includes(event));
--- a/src/testing/history.ts
+++ b/src/testing/history.ts
@@ -13,9 +13,10 @@
 export type HistoryEvent =
   /**
    * A user sent a submission. `job` is the requested job. It is undefined if the submission is invalid or
-   * requests more than any machine has.
+   * requests more CPUs than any machine has.
    */
   | { kind: 'submitted'; id: string; job: JobRequest | undefined }
+  /** A user sent a cancel request. */
   | { kind: 'asked to cancel'; id: string }
   /**
    * A user received an answer, or the request failed. `sentAt` is the time at which the request was sent. The
@@ -30,7 +31,9 @@
     }
   /** A worker has fetched the image of a task and has begun to execute the task. */
   | { kind: 'started'; task: string; machine: string }
+  /** A worker has stopped executing a task. `completed` is false if the task was stopped or killed. */
   | { kind: 'left'; task: string; machine: string; completed: boolean }
+  /** The cloud has rented out a machine. */
   | { kind: 'machine'; machine: string; type: string; zone: string; spot: boolean };
 
 /** The job that a submission requests. */
--- a/src/testing/in-memory-store.ts
+++ b/src/testing/in-memory-store.ts
@@ -128,8 +128,8 @@
 }
 
 /**
- * Waits for a few iterations of the event loop, in which all work that waits for no further answer is
- * completed.
+ * Waits for a few iterations of the event loop, so that all pending work is completed, except work that waits
+ * for a further answer.
  */
 export async function runPendingCallbacks(): Promise<void> {
   const turns = 5;
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -1,9 +1,11 @@
 /**
  * Load driver for maintainers: runs three controllers in separate processes, and stand-ins for the state
- * service, the cloud, the workers and the users in this process. Prints the CPU time and memory that each
- * controller used:
+ * service, the cloud, the workers and the users in this process. Prints for each controller the CPU use
+ * during the `--seconds` after the `--warm-up` (in seconds), the CPU time until the end of the warm-up, and
+ * the memory:
  *
- *     node target/test/testing/load.js [--machines 632] [--seconds 60] [--jobs-per-second 4] [--profile DIR]
+ *     node target/test/testing/load.js [--machines 632] [--warm-up 40] [--seconds 60] [--jobs-per-second 4]
+ *       [--profile DIR]
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
@@ -26,6 +28,7 @@
 const taskMs = 30_000;
 const tasksPerJob = 8;
 const pollMs = 5000;
+/** Clock ticks per second. The CPU times in `/proc/<pid>/stat` are in clock ticks. */
 const ticksPerSecond = 100;
 
 const { values } = parseArgs({
--- a/src/testing/outcomes.test.ts
+++ b/src/testing/outcomes.test.ts
@@ -16,9 +16,8 @@
 test('${name} passes', () => {});
 `;
 
-// A test fails, and the test runner is forced to exit before the outcome of the test is written. CI then
-// reported a failure of the runner, and would have reported a test on the list of known failures as a test
-// that did not run.
+// If the test runner is forced to exit before the outcome of a failed test is written, CI reports a failure
+// of the runner instead. If the test is on the list of known failures, CI reports that it did not run.
 test('the outcome of every test is written although the runner is forced to exit', () => {
   const directory = mkdtempSync(join(tmpdir(), 'shalekeel-outcomes-'));
   const files = ['a', 'b'].map((name) => join(directory, `${name}.test.mjs`));
--- a/src/testing/pools.ts
+++ b/src/testing/pools.ts
@@ -1,6 +1,6 @@
 /**
- * Creates machine types, machines, pools and jobs for the tests of the autoscaler. A pool is the machines of
- * one type and kind (spot or ordinary), and the demand that counts for them.
+ * Creates machine types, machines, pools and jobs for the tests of the autoscaler. A pool consists of the
+ * machines of one type and kind (spot or ordinary) and of the tasks that count as demand for these machines.
  */
 import type { Pool } from '../ladder/pools.js';
 import type { JobSpec, MachineType } from '../model/types.js';
--- a/src/testing/store-standin.ts
+++ b/src/testing/store-standin.ts
@@ -65,8 +65,8 @@
   delayedAnswers: { share: number; toMs: number } | undefined;
   private readonly heldAnswers: (() => void)[] = [];
   /**
-   * Number of upcoming transactions that are applied without an answer, so that the client does not know
-   * their outcome.
+   * Number of upcoming transactions that are applied without an answer, so that their outcome is unknown to
+   * the client.
    */
   answersToDrop = 0;
   /**
@@ -77,8 +77,9 @@
   /** Number of transactions that were executed late because of `lateCommits`. */
   lateCommitCount = 0;
   /**
-   * Returns true for the keys whose transaction is withheld. The next transaction that writes such a key gets
-   * no answer, and is executed when the test calls `applyWithheldCommits`.
+   * Selects one transaction that is withheld: the next transaction that writes a key for which this function
+   * returns true. The transaction gets no answer, and is executed when the test calls `applyWithheldCommits`.
+   * Later transactions are not withheld.
    */
   shouldWithholdCommit: ((key: string) => boolean) | undefined;
   private readonly withheldCommits: Fields[] = [];
@@ -320,8 +321,8 @@
   }
 
   /**
-   * Ends all leases and deletes their keys, as if the state service had been paused for longer than every
-   * lease.
+   * Ends all leases and deletes their keys, as if the state service had been paused for longer than the time
+   * to live of every lease.
    */
   expireAllLeases(): void {
     for (const id of [...this.leases.keys()]) this.endLease(id);
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -19,7 +19,7 @@
  *     block 5 m1:10 m2:10!           record of the block at version 5: machines, fencing tokens; m2 drains
  *     job a v3 0..4                  record of job a at version 3; tasks 0 to 4 are assigned to this block
  *     cancel a                       job a has been cancelled
- *     place a/0 m1                   an intent to start task 0 of job a on m1, not committed yet
+ *     place a/0 m1                   the scheduler plans to start task 0 of job a on m1 (uncommitted intent)
  *     commit a                       the intents of job a are committed to the ledger
  *     heartbeat m1 e1 s2 t10 a/0.1=running b/1.1=done
  *                                    agent epoch 1, sequence 2, fencing token 10; tasks with their attempts
--- a/src/testing/user-api-fixture.ts
+++ b/src/testing/user-api-fixture.ts
@@ -29,13 +29,13 @@
   /** If true, all controllers are known to support dependencies. True by default. */
   supportsDependencies?: boolean;
   /**
-   * If true, the replica is recent enough to rule out that a dependency of a job was cancelled. True by
+   * If true, the replica counts as recent enough to show whether a dependency of a job was cancelled. True by
    * default.
    */
   knowsCancellations?: boolean;
 }
 
-/** Returns the initial content of the replica below a key prefix. */
+/** Returns the initial content of the replica for a key prefix. */
 async function initialList(
   store: InMemoryStore,
   prefix: string,
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Pauses the worker: it makes no progress and sends no heartbeats. After `resume`, it continues as if there
-   * had been no pause.
+   * Pauses the worker: it makes no progress and sends no heartbeats. After `resume`, each task continues with
+   * the run time that it had left. The lease of the worker continues to run during the pause.
    */
   pause(): void {
     this.pausedSince ??= Date.now();
