--- a/src/controller/block-ownership.ts
+++ b/src/controller/block-ownership.ts
@@ -33,7 +33,8 @@
 }
 
 /**
- * Creates the object that manages this controller's owned blocks, with their scheduling and health monitors.
+ * Creates the object that starts and stops the blocks leased to this controller, each with its state, its
+ * scheduler and its health monitor.
  */
 export function createOwnedBlocks(ports: BlockOwnershipPorts): OwnedBlocks {
   const { state, settings } = ports;
--- a/src/controller/commit-queues.ts
+++ b/src/controller/commit-queues.ts
@@ -10,8 +10,9 @@
  */
 export interface CommitQueues {
   /**
-   * Commits to the ledgers and records of the blocks that this controller owns, and commits of its own
-   * membership records. A ledger records the tasks of one block and their states.
+   * Commits to the ledgers and records of the blocks that this controller owns, of its membership records, of
+   * its candidacies in elections, and of cancellations of jobs whose dependencies were cancelled. A ledger
+   * records the tasks of one block and their states.
    */
   duty: CommitQueue;
   /**
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -34,10 +34,11 @@
 
 const machineTypesRetryMs = 1000;
 /**
- * If an objective of a job leaves less than this number of heartbeat intervals to start the job, and another
- * objective leaves more, the queue order ignores the shorter objective. If the shorter objective counted, new
- * jobs would always start before jobs that have already waited for a moment. During a burst of submissions,
- * nearly all jobs would then wait until the end of the burst.
+ * An objective limits, for example, how long jobs of a class may wait to start. If one objective of a job
+ * leaves at most this number of heartbeat intervals to start the job, and another objective leaves more, the
+ * queue order ignores the shorter objective. If the shorter objective counted, new jobs would always start
+ * before jobs that have already waited for a moment. During a burst of submissions, nearly all jobs would
+ * then wait until the end of the burst.
  */
 const minObjectiveHeartbeats = 4;
 
--- a/src/controller/housekeeping.ts
+++ b/src/controller/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * Periodic updates that are due even if nothing has changed in the store. They run after each check of the
- * contact with the store.
+ * Periodic updates that are due even if nothing has changed in the store. They run after each connectivity
+ * check of the store.
  */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { BootedMachines } from '../blocks/booted-machines.js';
--- a/src/controller/http-service.ts
+++ b/src/controller/http-service.ts
@@ -46,8 +46,8 @@
  */
 const idleTimeoutLeases = 2;
 /**
- * A heartbeat response that starts tasks waits until their start is committed, but at most this fraction of a
- * heartbeat interval.
+ * A heartbeat response that starts tasks is delayed until the starts of these tasks have been committed to
+ * the store, but for at most this fraction of a heartbeat interval.
  */
 const maxCommitWaitHeartbeats = 1 / 4;
 
--- a/src/controller/leader-duties.ts
+++ b/src/controller/leader-duties.ts
@@ -41,8 +41,8 @@
   bootedMachines: Pick<BootedMachines, 'isBooted'>;
   machineTypes: () => ReadonlyMap<string, MachineType>;
   /**
-   * Whether the store has served this controller within the time to live of the controller's lease in the
-   * store.
+   * Whether the store is not failing and has served this controller within the time to live of the
+   * controller's lease in the store.
    */
   isStoreReachable: () => boolean;
 }
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Marks machines that are known to be terminated. Has no effect unless this controller leads. */
+  /**
+   * Marks these machines as terminated in the leader's inventory of rented machines. Has no effect unless
+   * this controller leads.
+   */
   markTerminated(machines: Iterable<string>): void {
     this.autoscaler?.inventory.markTerminated(machines);
   }
--- a/src/controller/replica-freshness.ts
+++ b/src/controller/replica-freshness.ts
@@ -24,8 +24,8 @@
 const maxCancellationAgeRatio = 1 / 4;
 
 /**
- * Computes the age of the replica, which is the time since it was known to contain all changes of the store.
- * The replica lags behind the store. Without contact to the store, its age keeps growing.
+ * Computes the age of the replica: the time since the replica was last known to contain all changes of the
+ * store. The replica lags behind the store. Without contact with the store, the age keeps growing.
  */
 export class ReplicaFreshness {
   constructor(private readonly ports: ReplicaFreshnessPorts) {}
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Whether the store has served this controller within the time to live of the controller's lease in the
-   * store. If so, this lease may still be valid, and the controller may still own its blocks.
+   * Whether the store is not failing and has served this controller within the time to live of the
+   * controller's lease in the store. If so, this lease may still be valid, and the controller may still own
+   * its blocks.
    */
   isStoreReachable(): boolean {
     const { store, clock, leaseTtlMs } = this.ports;
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Whether tasks may start. If the replica is too old, the job of a task may already have ended without this
-   * controller knowing. Called for every heartbeat.
+   * Whether tasks may start. If the replica is too old, it may lack the outcome of a job that has already
+   * ended, and this controller could start a task of that job. Called for every heartbeat.
    */
   mayStartTasks(): boolean {
     const { store, settings } = this.ports;
--- a/src/controller/store-contact-monitor.test.ts
+++ b/src/controller/store-contact-monitor.test.ts
@@ -56,7 +56,7 @@
   }
 }
 
-test('the store is probed while it is failing, or when no response has shown its revision for two probe intervals', async () => {
+test('the store is probed while it is failing, or when no response has contained its revision for two probe intervals', async () => {
   const monitor = await MonitorUnderTest.start();
   await monitor.checkAt(800);
   assert.equal(monitor.probes, 0);
@@ -71,7 +71,7 @@
   await monitor.end();
 });
 
-test('a watch that lags too far behind other responses is restarted, but not again within the maximum lag', async () => {
+test('a watch that lags too far behind other responses is restarted, but not again until the maximum lag has passed', async () => {
   const monitor = await MonitorUnderTest.start();
   const checkWith = async (now: number, knownUntil: number): Promise<number> => {
     monitor.store.lastRevisionSeenAt = now;
--- a/src/controller/store-contact-monitor.ts
+++ b/src/controller/store-contact-monitor.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the contact with the store regularly, so that a loss of contact is detected and the age of the
+ * Checks the connectivity to the store regularly, so that a loss of contact is detected and the age of the
  * replica stays known.
  */
 import { type Clock, sleep } from '../base/clock.js';
@@ -15,11 +15,11 @@
   /** Monotonic time in ms. The replica contains every change that was made to the store before this time. */
   changesKnownUntil: () => number;
   heartbeatIntervalMs: number;
-  /** Called after each check of the contact with the store. */
+  /** Called after each connectivity check of the store. */
   onChecked: () => void;
 }
 
-/** Time between two checks of the contact with the store. */
+/** Time in ms between two connectivity checks of the store. */
 export const storeProbeIntervalMs = 400;
 /**
  * The store is probed if no response has contained the revision of the store for more than this number of
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Whether the store answers other requests but the watch delivers no changes. This happens if the watch is
-   * lost, or if its request was sent during an outage and is still waiting.
+   * Whether the store answers other requests but the watch delivers no changes. This happens if the network
+   * has dropped the watch request, or if the watch request was sent during an outage and still has no answer.
    */
   private isWatchLost(watchRestartedAt: number): boolean {
     const { clock, store, replica, changesKnownUntil, heartbeatIntervalMs } = this.ports;
--- a/src/controller/store-role.ts
+++ b/src/controller/store-role.ts
@@ -1,11 +1,14 @@
 /**
- * Computes the role of this controller, from which its share of the store's limits is derived. The limits
- * apply to all controllers together.
+ * Computes the role of this controller, from which its share of the store's rate limits for requests and
+ * writes is derived. The limits apply to all controllers together.
  */
 import type { BlockRegistry } from '../blocks/block-registry.js';
 import type { StoreClient } from '../store/client.js';
 
-/** The facts from which a controller's share of the limits is derived; see `StoreClient.setRole`. */
+/**
+ * The inputs from which a controller's share of the store's request and write limits is derived; see
+ * `StoreClient.setRole`.
+ */
 export type StoreRole = Parameters<StoreClient['setRole']>[0];
 
 /**
--- a/src/controller/usage-log.ts
+++ b/src/controller/usage-log.ts
@@ -1,6 +1,6 @@
 /**
- * Logs what uses up the limits of the store, the heap memory and the queue lengths, periodically for
- * operators.
+ * Periodically logs, for operators, this controller's writes to the store, its heap memory in use, the
+ * lengths of its commit queues, and the number of open jobs.
  */
 import type { Clock } from '../base/clock.js';
 import type { Log } from '../base/log.js';
@@ -15,7 +15,7 @@
   queueLengths: () => Record<string, number>;
   /** Number of jobs that have not ended and do not wait for the end of other jobs. */
   openJobs: () => number;
-  /** Time between two log lines with the same event. */
+  /** Time in ms between two log lines with the same event. */
   periodMs: number;
 }
 
