--- a/src/leadership/heartbeat-response-policy.test.ts
+++ b/src/leadership/heartbeat-response-policy.test.ts
@@ -25,9 +25,10 @@
 });
 
 // Guards against tasks that keep running after their job was cancelled. A controller lost contact with the
-// store, and a peer's last contact was slightly later than its own. This counted as the agreement of the peer
-// to answer heartbeats for longer. But the peer had confirmed cancellations between the two contacts, and no
-// status listed them. The controller therefore kept the tasks of these jobs running for the whole outage.
+// store, and a peer's last contact was slightly later than its own. Because of the later contact, the
+// controller answered heartbeats for longer. But the peer had confirmed cancellations between the two
+// contacts, and no status listed them. The controller therefore kept the tasks of these jobs running for the
+// whole outage.
 test('heartbeats may be answered for longer only if every peer has listed its cancellations up to a later time than the replica covers', () => {
   const peer = (cancellationsKnownUntil: number, storeContactAgeMs = 15_000): LastPeerStatus => ({
     createdNotBefore: 26_000,
--- a/src/leadership/heartbeat-response-policy.ts
+++ b/src/leadership/heartbeat-response-policy.ts
@@ -21,7 +21,7 @@
   changesKnownUntil: number;
   /**
    * Time at which this controller sent the latest request that the store served. Shows whether this
-   * controller can still hold its lease in the store, but not how recent the replica is.
+   * controller may still hold its lease in the store, but not how recent the replica is.
    */
   lastStoreContactAt: number;
   /** The latest status of each peer; undefined if no status of the peer has been received. */
@@ -47,8 +47,8 @@
 /**
  * Safety margin for the drift between monotonic clocks, in heartbeat intervals. Monotonic clocks drift apart
  * by 0.05%. Over the cancellation deadline, this drift is far less than half a heartbeat interval. The margin
- * need not include network delays, or responses that are held back or late, because a worker lease is counted
- * from the time at which the worker sent its heartbeat.
+ * does not have to cover network delays or delayed responses, because a worker lease is counted from the time
+ * at which the worker sent its heartbeat.
  */
 const safetyMarginHeartbeats = 1 / 2;
 
@@ -72,8 +72,8 @@
  * that was answered.
  *
  * The cancellations are known up to the time that the replica of the store covers. If every peer has sent a
- * complete list of the cancellations that it can have confirmed, they are known at least up to the time of
- * the oldest of these lists.
+ * complete list of the cancellations that it may have confirmed, all cancellations are known at least up to
+ * the time of the oldest of these lists.
  */
 export function respondUntil(facts: ResponseFacts): number {
   const { changesKnownUntil, peers } = facts;
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -91,8 +91,8 @@
 
   /**
    * Obtains a lease and holds it until the lease has ended, the controller resigns, or the signal fires. The
-   * caller is expected to call this method again after it returns. Throws `StoreUnavailable`, or the error of
-   * the request, if the store grants no lease.
+   * caller is expected to call this method again after it returns. Throws a `StoreError` if it is not known
+   * whether the lease was created.
    */
   async run(signal: AbortSignal): Promise<void> {
     const { store, log, clock, leaseTtlMs } = this.ports;
@@ -157,7 +157,7 @@
   /**
    * Writes the alive key again if the replica does not contain the key of this incarnation, and writes the
    * format key if needed. A delayed commit of a previous incarnation may have bound the alive key to the
-   * lease of that incarnation.
+   * lease of that incarnation. The store would then delete the alive key when that lease expires.
    */
   private repairAnnouncements(leaseId: number): void {
     const { replica, label, incarnation } = this.ports;
@@ -189,9 +189,9 @@
   }
 
   /**
-   * Stores the format of the records that this version of the program reads, unless the stored format is at
-   * least as high. The format key is permanent, because a controller that has run with this format does not
-   * restart with a lower format.
+   * Stores the number of the record format that this version of the program reads, unless the stored number
+   * is at least as high. The format key is not bound to the lease and remains stored, because a controller
+   * that has run with this format does not restart with a lower format.
    */
   private announceFormat(): void {
     const { commits, label, replica, log } = this.ports;
--- a/src/peers/peer-links.test.ts
+++ b/src/peers/peer-links.test.ts
@@ -255,7 +255,7 @@
   echoedIncarnation: 'mine',
 };
 
-test('the echoed sequence number bounds the creation time of a status, and a delayed status is ignored', () => {
+test('the echoed sequence number gives a lower bound of the creation time of a status, and statuses received out of order are ignored', () => {
   const { linksAt } = createLinksWithSetClock();
   const first = linksAt(1000).composeStatus('keel-1');
   linksAt(9000).receive({ ...statusWithoutSequence, sequence: 1, echoedSequence: first.sequence });
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -22,8 +22,8 @@
 } from '../wire/peer-status.js';
 
 /**
- * The latest status of a peer whose creation time could be bounded. Times are monotonic times of this
- * controller, in ms.
+ * The latest status of a peer for which a lower bound of the creation time is known. Times are monotonic
+ * times of this controller, in ms.
  */
 export interface LastPeerStatus {
   /**
@@ -55,8 +55,9 @@
     'storeContactAgeMs' | 'fencingToken' | 'terminatedMachines' | 'bootedMachines'
   >;
   /**
-   * Returns all cancellations that this controller may have confirmed and that may be missing from a peer's
-   * replica of the store, if this replica has reached `revision`.
+   * Returns the cancellations that this controller may have confirmed and that may be missing from a peer's
+   * replica of the store, if this replica has reached `revision`. If the list does not contain all of them,
+   * its `cancelledSince` is higher than `revision`.
    */
   cancellationsSince: (revision: number) => CancellationList;
   /** Called with each received status of a peer, except for statuses that arrive out of order. */
@@ -71,8 +72,8 @@
 }
 
 /**
- * Statuses sent to each peer per heartbeat interval. The times derived from the statuses are compared with
- * limits of tens of seconds.
+ * Number of statuses sent to each peer per heartbeat interval. More frequent statuses are not needed, because
+ * the times derived from the statuses are compared with limits of tens of seconds.
  */
 const statusesPerHeartbeat = 4;
 const minStatusIntervalMs = 500;
@@ -98,7 +99,7 @@
 
 /**
  * Links between controllers. Each status to a peer echoes the sequence number of the latest status received
- * from this peer. From the echoed number, the peer derives the earliest time at which the status can have
+ * from this peer. From the echoed number, the peer derives the earliest time at which the status may have
  * been created. A status that was delayed by a network partition is therefore not mistaken for a recent
  * status.
  */
@@ -118,7 +119,8 @@
   }
 
   /**
-   * Returns the latest status of a peer whose creation time could be bounded, or undefined if there is none.
+   * Returns the latest status of a peer for which a lower bound of the creation time is known, or undefined
+   * if there is none.
    */
   lastStatus(label: string): LastPeerStatus | undefined {
     return this.lastStatuses.get(label);
@@ -140,7 +142,7 @@
   }
 
   /**
-   * Stores the status together with the earliest time at which it can have been created. Ignores a status
+   * Stores the status together with the earliest time at which it may have been created. Ignores a status
    * that echoes another incarnation of this controller, or a sequence number whose send time is no longer
    * stored.
    */
