--- a/src/store/adaptive-share.test.ts
+++ b/src/store/adaptive-share.test.ts
@@ -20,9 +20,9 @@
   assert.equal(factorAfter({ refused: true, waited: false }, 9, 82_000), 1);
 });
 
-// The state service lowers its limits, as announced. If a controller kept its previous write rate, its
-// commits would be refused forever.
-test('refusals reduce the share below the even share if lower limits are announced, and it recovers slowly', () => {
+// The state service lowers its limits, as announced in the settings. If a controller kept its previous write
+// rate, the service would refuse its commits forever.
+test('if lower limits are announced, refusals reduce the share below the even share, and the share recovers slowly', () => {
   const adaptiveShare = new AdaptiveShare(0, 0.7);
   for (let i = 0; i < 3; i++) adaptiveShare.recordCommit({ refused: true, waited: false }, i * 100);
   assert.equal(adaptiveShare.factor.toFixed(3), '0.729');
--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -29,7 +29,7 @@
   refused: boolean;
   /**
    * Whether a user had to wait until the commit was sent. Always false for commits of the controller's own
-   * work, because this work can be batched and needs no larger share if it waits.
+   * work. These commits can be batched while they wait, so they need no larger share.
    */
   waited: boolean;
 }
@@ -39,8 +39,8 @@
  * use their full shares at the same time, and no message reports the unused part. Therefore the share grows
  * while users wait and the service refuses no commit. Each refusal halves the share, down to the even share.
  *
- * If lower limits are announced, refusals reduce the share further, down to the fraction that remains under
- * the lower limits.
+ * If the settings announce lower limits, refusals reduce the share further, down to the ratio of the
+ * announced limit to the present limit.
  */
 export class AdaptiveShare {
   private updatedAt: number;
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -47,7 +47,7 @@
   constructor(settings: Settings, clock: Clock, signal: AbortSignal) {
     const address = settings.stateAddress;
     // Until the service has served the first request, the latest contact is assumed to be one cancellation
-    // deadline ago, so that nothing relies on recent contact.
+    // deadline ago, so that no check of the contact age treats the contact as recent.
     this.contact = new StoreContact(clock, clock() - settings.cancelDeadlineMs, () => this.restartWatch());
     this.pacing = new RequestPacing(settings, clock);
     const { contact, pacing } = this;
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -44,12 +44,12 @@
 /**
  * Thrown if no readable answer arrived: the request timed out, the connection broke, the answer could not be
  * decoded, or the process is stopping. The service may have executed the request, or may still execute it
- * later. `cause` is the error of the connection.
+ * later. `cause` is the underlying connection error.
  */
 export class StoreConnectionError extends StoreError {
   /**
    * @param operation the operation of the request
-   * @param cause the error of the connection
+   * @param cause the underlying connection error
    */
   constructor(operation: StoreOperation, cause: unknown) {
     super(
--- a/src/store/freshness-bound.test.ts
+++ b/src/store/freshness-bound.test.ts
@@ -28,7 +28,7 @@
   assert.equal(freshness.knownUntil(7), 5000);
 });
 
-test('if a replica lags far behind, the stored observations are limited and the bound is never too late', () => {
+test('if a replica lags far behind, the number of stored observations is limited, and the bound does not overstate the freshness', () => {
   const freshness = new FreshnessBound();
   for (let i = 1; i <= 1000; i++) freshness.recordRevision(i * 10, i);
   const knownUntil = freshness.knownUntil(1000);
--- a/src/store/freshness-bound.ts
+++ b/src/store/freshness-bound.ts
@@ -42,11 +42,11 @@
 
   /**
    * Returns the time before which every committed change is contained in a replica that has reached this
-   * revision. The time is `-Infinity` until the replica has reached the revision of some answer.
+   * revision. The time is `-Infinity` until the replica has reached the revision of a recorded answer.
    */
   knownUntil(revision: number): number {
-    // Fast path: this method is called with every heartbeat, and usually the replica has reached no further
-    // observed revision.
+    // Fast path: this method is called for every heartbeat, and usually the replica has reached the revision
+    // of no pending observation since the previous call.
     if (this.pendingObservations.every((observation) => observation.revision > revision))
       return this.provenUntil;
     this.pendingObservations = this.pendingObservations.filter((observation) => {
--- a/src/store/request-pacing.ts
+++ b/src/store/request-pacing.ts
@@ -5,9 +5,9 @@
 import { AdaptiveShare } from './adaptive-share.js';
 
 /**
- * `intake`: submissions and cancellations of users. `confirm`: requests that check in the store a job status
- * before it is reported to a user. `duty`: the controller's own work. The requests of each class are paced
- * separately, so that a burst in one class does not delay another class.
+ * `intake`: submissions and cancellations of users. `confirm`: requests that verify a job status in the store
+ * before the status is reported to a user. `duty`: the controller's own work. The requests of each class are
+ * paced separately, so that a burst in one class does not delay another class.
  */
 export type TrafficClass = 'intake' | 'confirm' | 'duty';
 
@@ -21,13 +21,16 @@
 }
 
 /**
- * Fractions of the request limit, which applies to all controllers together. The fractions of each limit add
- * up to less than 1, so that all controllers together stay below the limit.
+ * Fractions of the request limit, which applies to all controllers together. The leader gets the fraction
+ * `leader` for its `duty` requests in addition to its share of the fraction `duty`. The fractions of each
+ * limit add up to less than 1, so that all controllers together stay below the limit.
  */
 const requestShares = { intake: 0.12, confirm: 0.23, leader: 0.08, duty: 0.32 };
 /**
- * Fractions of the write limit, which all traffic classes share. Writes of `intake` have precedence, but only
- * up to the fraction `maxForIntake` of the controller's write rate.
+ * Fractions of the write limit, which all traffic classes share. `leader`: only for the leader. `even`:
+ * divided evenly among the controllers. `byMachines`: divided in proportion to the numbers of machines that
+ * the controllers manage. Writes of `intake` have precedence, but only up to the fraction `maxForIntake` of
+ * the controller's write rate.
  */
 const writeShares = { leader: 0.14, even: 0.37, byMachines: 0.43, maxForIntake: 0.5 };
 /**
@@ -45,7 +48,7 @@
  * controller sends another.
  */
 const watchRequestShare = 0.2;
-/** The size of a burst, as the number of seconds in which the limit admits this many requests or writes. */
+/** A burst may contain as many requests or writes as the limit admits in this number of seconds. */
 const burstS = 0.5;
 const minRequestBurst = 2;
 const minWriteBurst = 4;
--- a/src/store/store-contact.ts
+++ b/src/store/store-contact.ts
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Records the revision of an answer, but not the contact. Used for watch requests, because the service
-   * holds them open for too long to prove contact.
+   * Records the revision of an answer, but not the contact. Used for watch requests. The service may hold a
+   * watch request open for so long that its answer does not prove recent contact.
    */
   recordRevision(sentAt: number, { status, body }: HttpResponse): void {
     const revision = statusesWithRevision.has(status) ? revisionOf(body) : undefined;
--- a/src/store/store-replica.ts
+++ b/src/store/store-replica.ts
@@ -179,8 +179,9 @@
       try {
         batch = await this.client.watch(this.appliedRevision);
       } catch {
-        // The next watch request asks for the missed changes from the same revision. Reading all keys again
-        // would add load to a slow service, and would take longer than a slow service keeps answering.
+        // The next watch request starts from the same revision, so no change is missed. Reading all keys
+        // again would add load to a slow service, and would take longer than the service keeps answering
+        // requests.
         await sleep(this.retryMs, signal);
         continue;
       }
--- a/src/store/transactions.ts
+++ b/src/store/transactions.ts
@@ -58,9 +58,10 @@
     const { signal, connection, pacing } = this.ports;
     let waited = false;
     if (writes.length > 0) {
-      // The commit waits until the pacing has paid off the writes of earlier commits, and then adds its own
-      // writes as a debt. If the commit also waited until the pacing had paid off its own writes, it would be
-      // out of date when it is sent. There is no `await` between the final check and the reservation.
+      // The commit waits until the token buckets have recovered from the writes of earlier commits, and then
+      // takes the tokens for its own writes, if necessary by going into debt. If the commit also waited for
+      // the tokens of its own writes, the commit would be out of date when it is sent. There is no `await`
+      // between the final check and the reservation, so no other commit can take the tokens in between.
       for (
         let waitMs = pacing.writeWaitMs(trafficClass);
         waitMs > 0;
