--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -22,8 +22,8 @@
 };
 
 /**
- * A block registry in which a test can change the records and the versions of all blocks between two
- * iterations of the event loop.
+ * A block registry in which a test can change the records and the versions of all blocks while the allocator
+ * runs.
  */
 class ChangingRegistry {
   private currentVersion = 1;
--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -1,6 +1,7 @@
 /**
  * Runs the leader's loop, which assigns owners, machines and quota shares to blocks and dispatches jobs to
- * blocks. A block is a set of machines with the tasks placed on them, leased to one controller.
+ * blocks. A block is a set of machines with the tasks placed on them, leased to one controller. A quota share
+ * is the part of a team's resource limit that one block may use.
  */
 import { type Clock, sleep } from '../base/clock.js';
 import { nextEventLoopIteration } from '../base/event-loop.js';
@@ -25,7 +26,10 @@
   readonly toDrain: ReadonlySet<string>;
   /** Machines that the cloud no longer lists and that are not yet proven to be terminated. */
   readonly presumedTerminated: ReadonlySet<string>;
-  /** Number of slots that the block's waiting tasks need on machines of the same kind as `machine`. */
+  /**
+   * Number of slots that the block's waiting tasks need on machines of the same type and kind (spot or
+   * ordinary) as `machine`. A slot is a fixed share of a machine.
+   */
   waitingSlots(block: number, machine: LeasedMachine): number;
 }
 
@@ -51,7 +55,8 @@
 const pollIntervalMs = 200;
 /**
  * Minimum time between two assignments of blocks that are not urgent, in heartbeat intervals. The time is
- * longer if the machines of any block are on pages, because a write of such a block also changes pages.
+ * longer if the machines of any block are listed on pages, which are store values separate from the block
+ * record, because a write of such a block also changes pages.
  */
 const batchingHeartbeats = { inline: 1 / 2, paged: 1 };
 
@@ -114,9 +119,9 @@
     // version of its block, and the new block record must be built from that same version.
     const blocks = registry.blocks();
     const members = this.members.update();
-    // Changes that are not urgent are batched, because each new version of a block makes the intent commits
-    // of the owner that are in flight conflict. An intent is a task attempt that is committed to the ledger
-    // before its start is sent.
+    // Changes that are not urgent are batched. Each new version of a block causes commit conflicts for the
+    // intents that the owner of the block is committing at that time. An intent is a planned task attempt
+    // that has to be committed to the ledger before its start command is sent.
     const isUrgent = blocks.size < settings.controllers || this.hasDeadOwner(blocks);
     if (!isUrgent && clock() - this.blocksAssignedAt < this.batchingMs(blocks)) return;
     this.blocksAssignedAt = clock();
--- a/src/blocks/block-assignment.test.ts
+++ b/src/blocks/block-assignment.test.ts
@@ -45,7 +45,7 @@
   );
 });
 
-test('a controller that has restarted is leased a block again only after it has been alive for a while', () => {
+test('a controller that has restarted gets a block again only after the controller has been alive for a while', () => {
   const blocks = new Map([
     [0, ownedBlock('k1', leasedMachine('m1'))],
     [1, ownedBlock('k1', leasedMachine('m2'), leasedMachine('m3'))],
@@ -55,7 +55,7 @@
   assert.equal(assign({ blocks }).get(0)?.owner, 'k0');
 });
 
-test('a new machine is added to a block whose owner is in its zone, unless tasks wait for such a machine only in blocks with owners in other zones', () => {
+test('a new machine is added to a block whose owner is in the zone of the machine, unless tasks wait for such a machine only in blocks with owners in other zones', () => {
   assert.ok(
     assign({ unassignedMachines: [leasedMachine('m9', 'a', { fencingToken: 0 })] })
       .get(0)
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -23,23 +23,23 @@
   blocks: ReadonlyMap<number, BlockRecord>;
   /** Controllers that are alive. */
   liveMembers: Member[];
-  /**
-   * Labels of the controllers that have been alive long enough to be leased a block that another controller
-   * owns.
-   */
+  /** Labels of the controllers that have been alive long enough to take over a block of a live controller. */
   stableMembers: ReadonlySet<string>;
   /** Rented machines that have not been added to a block yet. */
   unassignedMachines: LeasedMachine[];
   /** Machines that are proven to be terminated. */
   terminatedMachines: MachineIdSet;
   /**
-   * Machines that tasks use, as of the current versions of the blocks. These machines are not removed from
-   * their block.
+   * Machines on which tasks are or may be running, as of the current versions of the blocks. These machines
+   * are not removed from their block.
    */
   machinesWithTasks: MachineIdSet;
   /** Machines on which no further tasks may be placed. */
   drainingMachines: ReadonlySet<string>;
-  /** Number of slots that the block's waiting tasks need on machines of the same kind as `machine`. */
+  /**
+   * Number of slots that the block's waiting tasks need on machines of the same type and kind (spot or
+   * ordinary) as `machine`. A slot is a fixed share of a machine.
+   */
   waitingSlots: (block: number, machine: LeasedMachine) => number;
   /** The new quota shares of each block; a block without an entry keeps its current shares. */
   quotaShares: ReadonlyMap<number, QuotaShares>;
@@ -93,8 +93,8 @@
 
 /**
  * Leases each block whose owner is not alive to the live controller with the fewest blocks, even if that
- * controller is not stable yet. After that, leases a block to each stable controller that owns no block. The
- * block with the fewest machines is chosen, among the blocks of controllers that own several blocks.
+ * controller is not stable yet. After that, leases a block to each stable controller that owns no block. This
+ * block is the smallest, by number of machines, of all blocks whose owners own several blocks.
  */
 function assignOwners(blocks: ReadonlyMap<number, BlockRecord>, input: AssignmentInput): void {
   const members = new Map(input.liveMembers.map((member) => [member.label, member]));
--- a/src/blocks/block-registry.ts
+++ b/src/blocks/block-registry.ts
@@ -63,8 +63,8 @@
   ) {}
 
   /**
-   * Whether every controller in the settings has run with the current record format. Stays true after that,
-   * because no controller returns to an earlier format.
+   * Whether every controller in the settings has run a version of the program that supports the current
+   * record format. Once true, the value stays true, because no controller returns to an earlier format.
    */
   get isClusterUpgraded(): boolean {
     this.knownUpgraded ||=
@@ -135,7 +135,8 @@
   /**
    * Parses the record and the pages of the block, or returns the cached block if the version of the record
    * has not changed. The versions of the pages need not be compared, because a valid page changes only
-   * together with the record. Pages that are written before the block moves to pages are not valid yet.
+   * together with the record. While the record still lists the machines, the pages are not valid, and only
+   * their versions are updated.
    */
   private parseStored(block: number, entry: StoredValue): StoredBlock | undefined {
     const cached = this.parsedBlocks.get(block);
--- a/src/blocks/block-writer.test.ts
+++ b/src/blocks/block-writer.test.ts
@@ -99,7 +99,7 @@
   // and a block record that lists many machines exceeds the new limit. Every later write of that record would
   // be refused.
   for (const machines of [230, 700, 1000]) {
-    test(`of ${machines} machines moves to pages in several commits, and lists the same machines after each commit`, async () => {
+    test(`with ${machines} machines is converted to the paged layout in several commits, and contains the same machines after each commit`, async () => {
       const fixture = new WriterFixture();
       await fixture.prepare(machines);
       const before = await fixture.read();
@@ -164,10 +164,10 @@
     assert.ok(machines.filter((leased) => leased !== added).every(({ fencingToken }) => fencingToken === 1));
   });
 
-  // Guards against an intent that is committed on a draining machine. (An intent is a task attempt that is
-  // committed to the ledger before its start is sent.) The owner computes the intent from the block record,
-  // and then a commit marks the machine as draining. If that commit did not change the version of the block
-  // record, the commit of the intent would not conflict.
+  // Guards against an intent that is committed for a draining machine. An intent is a planned task attempt
+  // that has to be committed to the ledger before its start command is sent. The owner computes the intent
+  // from the block record, and then a commit marks the machine as draining. If that commit did not change the
+  // version of the block record, the commit of the intent would not conflict.
   test('is written in several commits, each of which changes the version of the block, if more pages change than fit into a transaction', async () => {
     const fixture = await paged(1300);
     const next = await fixture.read();
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -71,13 +71,14 @@
  * them to pages.
  *
  * If more pages change than fit into a transaction, the block is written in several commits. Each commit is
- * safe by itself, because the entries of different machines do not depend on each other. If the block is
- * already on pages, each commit also gives the record a new version, so that intents that are based on an
- * earlier version conflict. An intent is a task attempt that is committed to the ledger before its start is
- * sent.
+ * safe by itself, because the entries of different machines do not depend on each other. If the machines of
+ * the block are already on pages, each commit also gives the record a new version, so that the commits of
+ * intents that are based on an earlier version conflict. An intent is a planned task attempt that has to be
+ * committed to the ledger before its start command is sent.
  *
- * The pages of a block are not valid while its record still lists the machines. When a block moves to pages,
- * the pages are written first. They become valid with the commit that removes the machines from the record.
+ * The pages of a block are not valid while its record still lists the machines. When a block is converted to
+ * the paged layout, the pages are written first. They become valid with the commit that removes the machines
+ * from the record.
  */
 export class BlockWriter {
   constructor(private readonly ports: BlockWriterPorts) {}
@@ -100,8 +101,9 @@
   }
 
   /**
-   * Whether the machines of the block must be written to pages. A block that is on pages stays on pages,
-   * because the controller that wrote the pages had checked that all controllers can read them.
+   * Whether the machines of the block must be written to pages. A block whose machines are already on pages
+   * keeps this layout, because the controller that wrote the pages had checked that all controllers can read
+   * them.
    */
   private needsPages(block: number, next: BlockRecord): boolean {
     const { registry, settings } = this.ports;
--- a/src/blocks/booted-machines.ts
+++ b/src/blocks/booted-machines.ts
@@ -1,4 +1,4 @@
-/** Tracks which machines have booted, so that tasks can start on them. */
+/** Tracks which machines have booted and can therefore start tasks. */
 import type { MachineType } from '../model/types.js';
 import type { LeasedMachine } from '../wire/block-records.js';
 
@@ -43,7 +43,8 @@
   }
 
   /**
-   * Whether the machine is assumed to have booted, so that a task that is placed on it starts immediately.
+   * Whether the machine is assumed to have booted. A task that is placed on a booted machine is expected to
+   * start immediately.
    */
   isBooted(machine: LeasedMachine): boolean {
     if (this.reportedIds.has(machine.id)) return true;
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -33,7 +33,8 @@
   isBooted: (machine: LeasedMachine) => boolean;
   /**
    * Number of tasks that may be dispatched to a block beyond its free slots, as a ratio of the block's size.
-   * When a task of the block ends, its owner can start one of these tasks without waiting for the leader.
+   * When a task of the block ends, the owner of the block can start one of these tasks without waiting for
+   * the leader.
    */
   lookahead: number;
 }
@@ -127,11 +128,11 @@
   }
 
   /**
-   * Raises the lookahead in proportion to the backlog, up to the size of each block. Each dispatch is a
-   * change of the store, so it is cheaper to dispatch more tasks with one change. If more tasks wait than all
-   * blocks have slots for, the larger lookahead leaves no block without tasks. `backlog`: jobs with the
-   * number of their undispatched tasks. Applies to the kinds of tasks in the backlog and to all kinds for
-   * which slots were requested before this call.
+   * Raises the lookahead in proportion to the backlog, up to the size of each block. Each dispatch is a write
+   * to the store, so it is cheaper to dispatch more tasks with one write. If more tasks wait than all blocks
+   * have slots for, every block still receives tasks with the larger lookahead. `backlog`: jobs with the
+   * number of their undispatched tasks. The larger lookahead applies to the kinds of tasks in the backlog and
+   * to all kinds of tasks for which `slotsByBlock` was called before.
    */
   extendLookahead(backlog: Iterable<{ spec: JobSpec; tasks: number }>): void {
     const backlogRatios = new Map<boolean, number>();
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Maximum number of job records that are written in one round, as a ratio of the changes that the store
- * accepts per second or per transaction, whichever is lower.
+ * Maximum number of job records that are written in one round, as a ratio of the writes that the store
+ * accepts per second or the operations that it accepts per transaction, whichever is lower.
  */
 const maxWritesRatio = 0.35;
 const minWritesPerRound = 2;
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -38,8 +38,8 @@
  */
 const redispatchAfterHeartbeats = 0.5;
 /**
- * Dispatching pauses while more commits than this are queued, as a ratio of the maximum number of operations
- * in a transaction.
+ * No tasks are dispatched while the number of queued commits exceeds this ratio of the maximum number of
+ * operations in a transaction.
  */
 const maxQueuedCommitsRatio = 1 / 2;
 
@@ -107,7 +107,7 @@
   /**
    * Returns the jobs to dispatch in this round. A new job is always included. A job that already had
    * undispatched tasks in the previous round is not included in every round, because free slots appear one at
-   * a time, and a separate dispatch for each slot would use most of the changes that the store accepts. More
+   * a time, and a separate dispatch for each slot would use most of the writes that the store accepts. More
    * frequent dispatches are not necessary, because tasks beyond the free slots already wait in the blocks
    * (see `lookahead`).
    */
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -102,8 +102,8 @@
   assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
 });
 
-// Guards against a separate commit for each dispatched task. With a limit of 25 changes per second, a third
-// of the changes were dispatches of tasks that had no free slot.
+// Guards against a separate commit for each dispatched task. With a limit of 25 writes per second, a third of
+// the writes dispatched tasks for which no slot was free.
 test('if the backlog is larger, more tasks are dispatched beyond the free slots of a block, up to the size of the block', () => {
   const large = spec('req-1', 500);
   const dispatchedTasks = (backlog: number): number => {
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -1,4 +1,7 @@
-/** Chooses the blocks to which the tasks of one job are dispatched, by the free slots of the blocks. */
+/**
+ * Chooses the blocks to which the tasks of one job are dispatched, by the free slots of the blocks. A slot is
+ * space for one task of the job.
+ */
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
 import type { CapacityEstimate } from './capacity-estimate.js';
@@ -97,8 +100,9 @@
 /**
  * Merges the added ranges into the existing ranges, up to the number of ranges that the job's record can
  * hold. If the record can hold none of the added ranges, the first undispatched tasks are dispatched to the
- * block of a neighbouring range, even if that block has no free slots. Otherwise these tasks would stay
- * undispatched forever.
+ * block of the range that ends directly before these tasks, or to the block of the job's first range if there
+ * is no such range. The tasks are dispatched even if that block has no free slots, because they would
+ * otherwise stay undispatched forever.
  */
 function limitTaskRanges(
   spec: JobSpec,
--- a/src/blocks/lease-renewals.test.ts
+++ b/src/blocks/lease-renewals.test.ts
@@ -45,7 +45,7 @@
   assert.deepEqual([renewals.renewalRevision(0), renewals.layoutRenewalRevision(0)], [9, undefined]);
 });
 
-test('renewals for a new layout are recorded separately, and a renewal that was not applied is not recorded', async () => {
+test('renewals for a new ledger layout are recorded separately, and a renewal that was not applied is not recorded', async () => {
   const { renewals, answer } = createFixture();
   const first = renewals.renew(0, record, 'new-layout');
   answer({ outcome: { kind: 'unknown' }, version: 7 });
--- a/src/blocks/lease-renewals.ts
+++ b/src/blocks/lease-renewals.ts
@@ -1,6 +1,7 @@
 /**
  * Renews the leases of this controller's blocks after a restart of the process, or to change the layout of a
- * block's ledger. A block is a set of machines with the tasks placed on them, leased to one controller.
+ * block's ledger. A block is a set of machines with the tasks placed on them, leased to one controller. The
+ * ledger of a block records which of its tasks are assigned to machines or done.
  */
 import type { Log } from '../base/log.js';
 import type { Settings } from '../settings/settings.js';
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -13,7 +13,10 @@
 
 /** The term of the leader that assigns blocks and dispatches jobs. */
 export interface LeaderTerm {
-  /** Revision of the commit that began the term. Every commit of the leader is conditioned on it. */
+  /**
+   * Store revision of the commit that began the term by writing the leader key. Every commit of the leader is
+   * conditioned on the leader key still having this version.
+   */
   readonly fencingToken: number;
   /** Fires when the term ends. */
   readonly signal: AbortSignal;
@@ -80,10 +83,10 @@
   }
 
   /**
-   * Writes `next` as the record of the block. Settles when the commit has ended. If the outcome of the commit
-   * is unknown, settles after an additional pause. A commit that was not applied is not retried, because the
-   * next round computes the record again. `current`: the record on which `next` is based; undefined if the
-   * block has no record.
+   * Writes `next` as the record of the block. Settles after the commit, or after an additional pause if the
+   * outcome of the commit is unknown. A commit that was not applied is not retried, because the next round
+   * computes the record again. `current`: the record on which `next` is based; undefined if the block has no
+   * record.
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
--- a/src/blocks/machine-pages.ts
+++ b/src/blocks/machine-pages.ts
@@ -29,8 +29,9 @@
 const numbersPerMachine = 2;
 
 /**
- * Maximum size of the machines on one page, in bytes. This is the size limit of a store value, or less if a
- * transaction with the maximum number of operations would otherwise exceed the size limit of a transaction.
+ * Maximum size of the list of machines on one page, in bytes. This is the size limit of a store value, or
+ * less if a transaction with the maximum number of operations would otherwise exceed the size limit of a
+ * transaction.
  */
 export function machinePageBytes({ state }: Pick<Settings, 'state'>): number {
   return Math.min(state.valueBytes, Math.floor(maxTransactionBytes / state.txnOps));
@@ -61,8 +62,8 @@
 
 /**
  * Returns the pages that differ from the stored pages. A page on which only fencing tokens differ is not
- * included, because the block record contains a fencing token that raises the fencing tokens of all machines
- * of the block.
+ * included, because the block record contains a minimum fencing token that applies to all machines on the
+ * pages of the block.
  */
 export function changedPages(
   stored: StoredBlock | undefined,
--- a/src/blocks/owned-blocks.ts
+++ b/src/blocks/owned-blocks.ts
@@ -52,7 +52,7 @@
 
   /**
    * Finds a machine by its id in the blocks that this controller owns. Returns undefined if no owned block
-   * contains the machine, or if the machine does not have a fencing token.
+   * contains the machine, or if the machine does not have a fencing token yet.
    */
   findMachine(id: string): OwnedMachine | undefined {
     for (const { blockState, scheduler } of this.owned.values()) {
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -119,8 +119,8 @@
 
 /**
  * Computes the wanted share of each block. The wanted share is the sum of the resources that the tasks of the
- * block use, the resources that its waiting tasks need as far as the limit admits these tasks, and an equal
- * part of the remaining limit.
+ * block use, the resources that its waiting tasks need, and an equal part of the remaining limit. Waiting
+ * tasks that would exceed the limit are not included.
  */
 function computeWantedShares(shares: BlockShare[], team: Team): void {
   const total: QuotaAmount = [0, 0];
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -37,7 +37,7 @@
   capacity: CapacityEstimate;
   /**
    * Monotonic time in ms since which tasks of a job have been stuck in a block, by block and job. The next
-   * round continues with these times.
+   * round uses these times for tasks that are still stuck.
    */
   stuckSince: Map<string, number>;
   recalls: Promise<void>[];
@@ -72,9 +72,9 @@
   constructor(private readonly ports: RebalancerPorts) {}
 
   /**
-   * Recalls tasks that have been stuck for `recallAfterHeartbeats`, in the queue order of their jobs. Skips
-   * jobs whose tasks the limit of their team does not admit. Does nothing if the previous round was less than
-   * a heartbeat interval ago. Settles when the outcomes of the commits are known.
+   * Recalls tasks that have been stuck for `recallAfterHeartbeats`, in the queue order of their jobs. Skips a
+   * job if one more of its tasks would exceed the limit of its team. Does nothing if the previous round was
+   * less than a heartbeat interval ago. Settles when the outcomes of the commits are known.
    */
   async run(): Promise<void> {
     const { jobIndex, clock, settings, order, wallClock } = this.ports;
--- a/src/blocks/task-recall.ts
+++ b/src/blocks/task-recall.ts
@@ -51,11 +51,11 @@
  * Finds tasks that are in none of the job's task ranges, although the ledger of a block lists them as active
  * or done. Returns the job's task ranges extended by these tasks, or undefined if there are no such tasks.
  *
- * Such a task was recalled after a block had committed an intent for it, but before the leader's replica had
- * received that commit. (An intent is a task attempt that is committed to the ledger before its start is
- * sent.) The task must not be dispatched to another block. Intents are conditioned on the version of the job
- * record, so an intent that is sent after the recall has changed the record conflicts. The ledgers, as of the
- * revision of that record, therefore list all such tasks.
+ * Such a task was recalled after the owner of a block had committed an intent for it, but before the leader's
+ * replica had received that commit. An intent is a planned task attempt that has to be committed to the
+ * ledger before its start command is sent. The task must not be dispatched to another block. The commit of an
+ * intent is conditioned on the version of the job record, so it conflicts after the recall has changed the
+ * record. The ledgers, as of the revision of the changed record, therefore list all such tasks.
  */
 export function restoreStartedTasks(
   { taskRanges, spec }: { taskRanges: TaskRange[]; spec: Pick<JobSpec, 'tasks' | 'colocated' | 'spread'> },
--- a/src/ladder/autoscaler.test.ts
+++ b/src/ladder/autoscaler.test.ts
@@ -124,7 +124,7 @@
   await harness.end();
 });
 
-test('a machine that is surplus for a boot time is drained, and released after its record is marked draining', async (t) => {
+test('a machine that has been surplus for as long as it takes to boot is drained, and released after its record is marked draining', async (t) => {
   const harness = new AutoscalerHarness(t, { isFirstTerm: true });
   harness.leased.set('m9', leasedMachine('m9'));
   harness.jobIndex.applyChanges([{ key: jobKey('req-1'), value: undefined, version: 2, deleted: true }]);
--- a/src/ladder/autoscaler.ts
+++ b/src/ladder/autoscaler.ts
@@ -122,8 +122,8 @@
 
   /**
    * Whether the machine list includes all machines that the previous leader rented. Rented machines may
-   * appear on the list only after the list lag. If this leader rented earlier, it could rent these machines
-   * twice.
+   * appear on the list only after the list lag. If this leader rented machines before that, it could rent
+   * machines a second time for the same demand.
    */
   private isListComplete(): boolean {
     const { term, clock, settings, isFirstTerm } = this.ports;
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,4 +1,7 @@
-/** Demand counting: computes how many slots of running and waiting tasks count for each pool. */
+/**
+ * Demand counting: computes how many slots of running and waiting tasks count for each pool. A pool contains
+ * the machines of one type and kind (spot or ordinary). A slot is a fixed share of a machine, see `slots.ts`.
+ */
 import { type JobSpec, type Resources, taskRequirementsKey, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import { taskResourcesOf } from '../placement/ledger-index.js';
@@ -16,7 +19,7 @@
   /** Wall-clock time in ms since the epoch. */
   now: number;
   machines: ReadonlyMap<string, LeasedMachine>;
-  /** The pools to fill in. Their slot counts must all be zero. */
+  /** The pools whose slot counts are computed. All slot counts must be zero before the count. */
   pools: ReadonlyMap<string, Pool>;
   teams: ReadonlyMap<string, Team>;
   /** The share of a machine that one slot represents. */
@@ -24,7 +27,7 @@
 }
 
 /**
- * Fills in the slot counts of each pool. Counts the tasks on the machines of the pool, and the waiting tasks
+ * Sets the slot counts of each pool. Counts the tasks on the machines of the pool, and the waiting tasks
  * that are within the limit of their team. Waiting tasks count for the cheapest eligible pool. If the cloud
  * refuses more machines for that pool, the tasks that exceed the pool's free slots count for the next
  * cheapest pool.
@@ -116,7 +119,7 @@
   else pool.waitingSlotsByBlock.set(block, (pool.waitingSlotsByBlock.get(block) ?? 0) + slots);
 }
 
-/** Returns how many waiting tasks of the job fit in what is left of the team's limit. */
+/** Returns how many waiting tasks of the job fit into the unused part of the team's limit. */
 function admittedTasks(job: IndexedJob, { teams, jobIndex }: DemandInputs, usage: TeamUsage): number {
   const { spec } = job;
   const team = teams.get(spec.team);
--- a/src/ladder/drained-machine-releaser.test.ts
+++ b/src/ladder/drained-machine-releaser.test.ts
@@ -64,7 +64,7 @@
   assert.ok(ids.every((id) => inventory.terminated.has(id)));
 });
 
-test('machines whose release fails stay marked for draining, and the next check releases them again', async () => {
+test('machines whose release fails stay marked for draining, and the next check requests their release again', async () => {
   const inventory = inventoryOf('m1');
   assert.deepEqual(await runReleaser(inventory, { checks: 2, succeeds: false }), [['m1'], ['m1']]);
   assert.deepEqual([...inventory.toDrain], ['m1']);
--- a/src/ladder/failure-observer.ts
+++ b/src/ladder/failure-observer.ts
@@ -1,5 +1,6 @@
 /**
- * Samples task failures. From these samples, the ladder thresholds at which machines are rented are tuned.
+ * Samples task failures for each pool. `ThresholdTuner` uses the samples to tune the thresholds of demand at
+ * which the machines of a pool are rented.
  */
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
 import type { LeasedMachine } from '../wire/block-records.js';
@@ -22,10 +23,11 @@
 }
 
 /**
- * Counts, from the job index, the tasks that had to wait on arrival and the tasks that were displaced, which
- * means that they were on a machine and wait again. The arrival of each job is counted once. After that, only
- * newly displaced tasks of the job are counted. If the cloud refuses machines for every eligible pool,
- * waiting tasks are not counted as failed, because a lower threshold would not have provided machines.
+ * Counts failed tasks from the job index. A task fails if it still waits at the end of the grace period after
+ * the arrival of its job, or if it is displaced, which means that it was on a machine and waits again. The
+ * arrival of each job is counted once. After that, only newly displaced tasks of the job are counted. If the
+ * cloud refuses machines for every eligible pool, waiting tasks are not counted as failed, because a lower
+ * threshold would not have provided machines.
  */
 export class FailureObserver {
   /** Displaced tasks at the previous observation, by job id. Contains only jobs whose arrival was counted. */
--- a/src/ladder/ladder.test.ts
+++ b/src/ladder/ladder.test.ts
@@ -15,7 +15,7 @@
   );
 });
 
-test('a machine is rented when the demand reaches its threshold, and scaled in when the demand is below', () => {
+test('a machine is rented when the demand reaches its threshold, and removed when the demand falls below the threshold', () => {
   const ladder = new Ladder(ladderSettings);
   let machines = 0;
   const trace = [0, 1, 5, 6, 12, 13, 30, 25, 12, 5, 0].map((counted) => {
@@ -27,7 +27,7 @@
   assert.deepEqual(trace, ['0:0', '1:1', '5:1', '6:2', '12:2', '13:3', '30:5', '25:4', '12:3', '5:2', '0:1']);
 });
 
-test('a threshold moves by one slot, within zero, the capacity of the preceding machines and adjacent thresholds', () => {
+test('a threshold moves by one slot, and not beyond zero, the capacity of the preceding machines or an adjacent threshold', () => {
   const ladder = new Ladder(ladderSettings);
   for (let i = 0; i < 20; i++) ladder.move(2, -1);
   assert.equal(ladder.threshold(2), 0);
--- a/src/ladder/ladder.ts
+++ b/src/ladder/ladder.ts
@@ -1,7 +1,7 @@
 /**
  * The ladder of a pool: the thresholds of demand at which its machines are rented. Demand is counted in
- * slots, see `slots.ts`. Machine number m is rented when the counted slots reach threshold m, and scaled in
- * when the counted slots fall below threshold m.
+ * slots, see `slots.ts`. Machine number m is rented when the counted slots reach threshold m, and may be
+ * removed when the counted slots fall below threshold m.
  */
 import { slotsPerMachine } from './slots.js';
 
@@ -14,7 +14,8 @@
 }
 
 /**
- * A threshold that has been moved from its initial value: the number of its machine, and its value in slots.
+ * A threshold that the threshold tuner has moved from its initial value: the number of the machine that is
+ * rented at this threshold, and the value of the threshold in slots.
  */
 export type MovedThreshold = [machineNumber: number, slots: number];
 
@@ -78,8 +79,8 @@
   }
 
   /**
-   * Returns the number of machines required for the counted slots, but at least the present number
-   * `machines`.
+   * Returns the number of machines whose thresholds the counted slots reach, but at least `machines`, the
+   * present number of machines.
    */
   scaleOutTarget(machines: number, countedSlots: number): number {
     let target = machines;
--- a/src/ladder/missing-machine-detector.test.ts
+++ b/src/ladder/missing-machine-detector.test.ts
@@ -5,7 +5,7 @@
 
 // The owner of a block releases machines between the terms of two leaders. No machine list that the new
 // leader receives contains these machines. If only machines from earlier lists could be detected as missing,
-// the new leader would count the released machines for ever and rent no replacements.
+// the new leader would count the released machines as present forever and rent no replacements.
 test('a machine that stays off the machine list is missing, even if it was never listed but only expected', () => {
   const detector = new MissingMachineDetector(100);
   assert.deepEqual(detector.recordList(0, ['m1', 'm2'], ['m1', 'm2', 'm3']), []);
--- a/src/ladder/missing-machine-detector.ts
+++ b/src/ladder/missing-machine-detector.ts
@@ -1,6 +1,6 @@
 /** Detects machines that are missing from the cloud's machine list. */
 
-/** Maximum age of the state of the cloud shown by a machine list, as a multiple of the list lag. */
+/** Maximum age of the cloud state that a machine list shows, as a multiple of the list lag. */
 const maxListAgeLags = 2;
 
 /**
--- a/src/ladder/pool-ladders.ts
+++ b/src/ladder/pool-ladders.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * Contains the ladder and the threshold tuner of each pool. The moved thresholds of a ladder are loaded from
- * the store when the ladder is first needed.
+ * Contains the ladder and the threshold tuner of each pool. The thresholds that the tuners of earlier leaders
+ * have moved are loaded from the store when the ladder is first needed.
  */
 export class PoolLadders {
   private readonly ladders = new Map<string, TunedLadder>();
--- a/src/ladder/scaling-windows.test.ts
+++ b/src/ladder/scaling-windows.test.ts
@@ -8,7 +8,7 @@
 
 const ladderSettings = { slotShare: 0.125, startShare: 0.8 };
 
-test('the number of machines scaled in is the smallest surplus during the previous boot time', () => {
+test('the number of machines to remove is the smallest surplus within a window as long as the boot time', () => {
   const ladder = new Ladder(ladderSettings);
   const window = new ScaleInWindow();
   const pool = (counted: number): Parameters<ScaleInWindow['machinesToRemove']>[0] => ({
@@ -20,7 +20,7 @@
   const trace: [number, number, number][] = [
     [0, 5, 0],
     [39_000, 5, 0],
-    [39_500, 20, 0], // all machines are needed again, so a new boot time of surplus must pass
+    [39_500, 20, 0], // all machines are needed again, so the surplus must last for another boot time
     [40_000, 0, 0],
     [60_000, 5, 0],
     [79_000, 0, 0],
@@ -31,7 +31,7 @@
     assert.equal(window.machinesToRemove(pool(counted), ladder, now), count, `at ${now}`);
 });
 
-test('a pool is scaled out immediately for demand beyond its capacity, and later for a reserve that stays missing', () => {
+test('a pool is scaled out immediately if the demand exceeds its capacity, and only after a delay if the reserve is missing', () => {
   const ladder = new Ladder(ladderSettings);
   const window = new ScaleOutWindow(ladderSettings.slotShare);
   const pool = (counted: number): Parameters<ScaleOutWindow['machinesToAdd']>[0] => ({
--- a/src/ladder/scaling-windows.ts
+++ b/src/ladder/scaling-windows.ts
@@ -14,10 +14,10 @@
 const scaleOutWindowBootTimeShare = 1 / 4;
 
 /**
- * Computes how many machines of a pool can be released. Only machines that were surplus throughout a boot
- * time count. If a machine is released too soon, its replacement is paid for while it boots, and tasks wait
- * until the boot is complete. After a boot time of surplus, keeping the machine has cost as much as renting a
- * new one would.
+ * Computes how many machines of a pool can be released. A machine can be released if it has been surplus for
+ * the whole boot time of its type. If a machine is released too soon, its replacement is paid for while it
+ * boots, and tasks wait until the boot is complete. After a machine has been surplus for one boot time,
+ * keeping it has cost as much as renting a new machine would.
  */
 export class ScaleInWindow {
   private readonly sustainedSurplus = new SustainedMinimum();
--- a/src/ladder/threshold-store.ts
+++ b/src/ladder/threshold-store.ts
@@ -1,4 +1,7 @@
-/** Persists the moved thresholds of the ladders, so that the next leader can load them. */
+/**
+ * Persists the ladder thresholds that the threshold tuners have moved, so that the next leader can load them.
+ * A ladder contains the thresholds of demand at which the machines of one pool are rented.
+ */
 import type { Term } from '../leadership/term.js';
 import type { Settings } from '../settings/settings.js';
 import type { CommitQueue } from '../store/commit-queue.js';
@@ -16,7 +19,8 @@
 }
 
 /**
- * Loads and saves the moved thresholds of each pool. A save has no effect after another leader was elected.
+ * Loads and saves, for each pool, the ladder thresholds that have been moved from their initial values. A
+ * save has no effect after another leader was elected.
  */
 export class ThresholdStore {
   constructor(private readonly ports: ThresholdStorePorts) {}
--- a/src/ladder/threshold-tuner.test.ts
+++ b/src/ladder/threshold-tuner.test.ts
@@ -6,7 +6,7 @@
 
 const ladderSettings = { slotShare: 0.125, startShare: 0.8 };
 
-test('if too many tasks fail, the threshold with the most failures is lowered; if none fail, a threshold is raised', () => {
+test('if too many tasks fail, the threshold with the most failures is lowered; if none fail, the threshold of the next machine is raised', () => {
   const ladder = new Ladder(ladderSettings);
   const tuner = new ThresholdTuner({ targetFailureRatio: 0.01, windowMs: 300_000 });
   assert.equal(tuner.tune(ladder, 4, 0), undefined);
--- a/src/ladder/threshold-tuner.ts
+++ b/src/ladder/threshold-tuner.ts
@@ -1,4 +1,7 @@
-/** Tunes the ladder thresholds of a pool by the share of tasks that failed within a time window. */
+/**
+ * Tunes the ladder thresholds of a pool by the share of tasks that failed within a time window. A threshold
+ * is the demand at which the machine with a certain number is rented.
+ */
 import type { Ladder } from './ladder.js';
 
 /**
@@ -59,9 +62,9 @@
   }
 
   /**
-   * Moves the threshold with the most failures in the window. If no task failed, moves the threshold of
-   * machine `nextMachineNumber`, which is the next machine to be rented. Returns the move, or undefined if no
-   * task arrived in the window or the threshold is at its bound.
+   * Moves the threshold of the machine number with the most failed tasks in the window. If no task failed,
+   * moves the threshold of machine `nextMachineNumber`, which is the next machine to be rented. Returns the
+   * move, or undefined if no task arrived in the window or the threshold has already reached its bound.
    */
   tune(ladder: Ladder, nextMachineNumber: number, now: number): ThresholdMove | undefined {
     const failureRatio = this.failureRatio(now);
