--- a/src/workers/heartbeat-cost.test.ts
+++ b/src/workers/heartbeat-cost.test.ts
@@ -65,7 +65,7 @@
     assert.equal(fixture.replies.length, heartbeatCount + 1);
     assert.deepEqual(
       { first, more, released },
-      { first: { promises: 0, timers: 1, turns: 0 }, more: noCosts, released: noCosts },
+      { first: { promises: 0, timers: 1, callbacks: 0 }, more: noCosts, released: noCosts },
     );
   });
 
--- a/src/workers/long-polls.test.ts
+++ b/src/workers/long-polls.test.ts
@@ -68,7 +68,7 @@
         now = 100;
       }, afterCheck);
       assert.equal(sent, count);
-      assert.deepEqual(costs, { promises: 0, timers: 1, turns: 1 });
+      assert.deepEqual(costs, { promises: 0, timers: 1, callbacks: 1 });
     }
   });
 });
