--- a/src/placement/block-machines.ts
+++ b/src/placement/block-machines.ts
@@ -26,8 +26,9 @@
   private readonly machinesWithOrphans = new Set<MachineState>();
 
   /**
-   * `terminatedRetentionMs`: how long a terminated machine is remembered. The leader must remove the machine
-   * from the block's record within this time.
+   * `terminatedRetentionMs`: how long the id of a terminated machine is remembered. The leader must remove
+   * the machine from the block's record within this time, because a machine that the record still lists
+   * afterwards is added to the block again.
    */
   constructor(
     private readonly clock: Clock,
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -36,8 +36,8 @@
   /** Number of the block. */
   block: number;
   /**
-   * Layout of the block's ledger. If entries of the stored ledger cover fewer tasks than this layout
-   * specifies, the number of tasks per entry is reduced to that of the stored entries.
+   * Layout of the block's ledger. If an entry of the stored ledger has a smaller chunk size than this layout,
+   * the smallest stored chunk size is used instead.
    */
   layout: LedgerLayout;
   heartbeatIntervalMs: number;
@@ -174,7 +174,9 @@
     return this.queue.jobs();
   }
 
-  /** Adds the job to the result of the next `takeCompletedJobs`: all its tasks in this block are done. */
+  /**
+   * Records that all tasks of the job in this block are done. The next `takeCompletedJobs` returns the job.
+   */
   markJobCompleted(job: JobState): void {
     this.completedJobs.add(job);
   }
@@ -204,15 +206,16 @@
 
   /**
    * Returns the ids of machines that were confirmed as terminated at or after `time` (monotonic, in ms). The
-   * leader uses these ids.
+   * controller reports these ids to its peers. The leader removes the machines from the blocks.
    */
   machinesTerminatedSince(time: number): string[] {
     return this.blockMachines.terminatedSince(time);
   }
 
   /**
-   * Returns the ids of machines whose first heartbeat was received at or after `time` (monotonic, in ms).
-   * Used when tasks are dispatched to blocks.
+   * Returns the ids of machines whose first heartbeat was received at or after `time` (monotonic, in ms). The
+   * controller reports these ids to its peers, because tasks on booted machines can start immediately. This
+   * is taken into account when tasks are dispatched to blocks.
    */
   machinesBootedSince(time: number): string[] {
     return this.blockMachines.bootedSince(time);
@@ -351,9 +354,11 @@
     }
     this.queue.invalidate();
     job.assignRanges(taskRanges, version);
-    // The leader recalls only tasks that have not started. So a task outside the new ranges can have only an
-    // uncommitted intent. If a commit of this intent is in progress, it fails, because it is conditioned on
-    // the previous version of the job's record.
+    // The new ranges may exclude a task whose intent is not committed yet, because the leader recalls tasks
+    // that its replica of the store shows as waiting. Such an intent is withdrawn; no start command has been
+    // sent for it. A commit of the intent that the store receives after the change of the job's record fails,
+    // because the commit is conditioned on the previous version of the record. Tasks whose intents are
+    // committed stay on their machines.
     for (const task of [...job.tasks.values()]) {
       if (task.phase === 'placing' && !job.dispatchedRanges.has(task.index)) this.unassign(task);
     }
--- a/src/placement/heartbeat-findings.ts
+++ b/src/placement/heartbeat-findings.ts
@@ -66,8 +66,10 @@
 
 function applyTaskCompleted(target: FindingTarget, job: JobState, index: number, now: number): void {
   const task = job.tasks.get(index);
-  // If the leader has taken the task back from this block in the meantime, `finishTask` returns false. The
-  // task then remains assigned to its machine until it belongs to this block again.
+  // If the leader has recalled the task from this block in the meantime, `finishTask` returns false and the
+  // task stays assigned to its machine. The worker reports the completion in every heartbeat until it
+  // receives a `forget` command. So the completion is recorded after the leader has returned the task to this
+  // block.
   if (!job.finishTask(index, now)) return;
   if (job.isComplete) target.markJobCompleted(job);
   if (task) target.machineOf(task)?.tasks.delete(keyOfTask(task));
--- a/src/placement/intent-commits.ts
+++ b/src/placement/intent-commits.ts
@@ -23,9 +23,10 @@
   if (pages.size === 0) return;
   const timeout = timer(maxWaitMs);
   for (; pages.size > 0 && clock() < deadline; pages = pagesOfPlacingTasks(tasks())) {
-    // If a ledger page with uncommitted intents is not being committed, it cannot be committed now, because
-    // the store contains another version of the block's record. Recovering from this takes longer than the
-    // maximum wait. So if no page is being committed, wait for the time-out.
+    // A ledger page with uncommitted intents that is not being committed cannot be committed now, for example
+    // because the store contains a newer version of the block's record than this controller has read.
+    // Recovering from this takes longer than the maximum wait. So if no page is being committed, wait for the
+    // time-out.
     const commits = [...pages].filter((page) => page.isCommitting).map((page) => page.commit);
     await (commits.length > 0 ? Promise.race([timeout.expired, Promise.all(commits)]) : timeout.expired);
   }
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -11,8 +11,8 @@
 import type { JobState } from './job-state.js';
 
 /**
- * Maximum number of outcome commits in flight, expressed as the time in seconds that they take at the
- * controller's equal share of the store's write rate.
+ * Maximum number of outcome commits in flight, expressed as the time in seconds in which a controller's equal
+ * share of the store's write rate admits their writes.
  */
 const maxOutcomesInFlightS = 2;
 /**
@@ -105,7 +105,7 @@
   /**
    * Commits the outcome of the job. The commit is not conditioned on the block's record, because the job is
    * complete regardless of which controller owns the block. In addition, the block's record changes so often
-   * that it would change while commits wait to be sent, and they would be rejected repeatedly.
+   * that it would change while commits wait to be sent, and the store would reject these commits repeatedly.
    */
   private async commitOutcome(job: JobState): Promise<void> {
     const { blockState, settings, signal, log, onOutcomeSettled } = this.ports;
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Returns whether the job is ready, waits for dependencies, or depends on a job that is cancelled or that
-   * this controller does not know.
+   * Returns whether the job is ready, waits for dependencies, or depends on a job that is cancelled or of
+   * which this controller has received neither the record nor the outcome.
    */
   dependencyState(id: string): DependencyState {
     return this.dependencies.stateOf(id, (other) => this.isOpen(other));
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the ledger entries of the job in all blocks. Tasks of an entry that a smaller entry of the same
-   * block also covers are omitted, because the smaller entry supersedes them.
+   * Returns the ledger entries of the job in all blocks. If several entries of a block cover the same task,
+   * only the entry with the smallest chunk size contains the task in the result.
    */
   entriesOf(id: string): Iterable<IndexedEntry> {
     return this.ledgers.entriesOf(id);
--- a/src/placement/job-recorder.ts
+++ b/src/placement/job-recorder.ts
@@ -26,8 +26,8 @@
   ) {}
 
   /**
-   * Marks the page with the chunk of the task to be written again. If the chunk is not on a page of the
-   * ledger yet, it is added to one.
+   * Marks the page that contains the task's chunk as dirty, so that the page is written again. If no page of
+   * the ledger contains the chunk yet, adds the chunk to a page first.
    */
   markDirty(index: number, urgency: WriteUrgency, now: number): void {
     this.markChunkDirty(index, urgency, now);
@@ -58,7 +58,10 @@
     this.chunks.clear();
   }
 
-  /** Builds the entry of the chunk from the current state of the job. `done` contains its completed tasks. */
+  /**
+   * Builds the entry of the chunk from the current state of the job. `done` in the result contains the
+   * indices of the chunk's completed tasks.
+   */
   buildEntry(chunk: number): BuiltEntry {
     const active: LedgerEntry['active'] = [];
     const waiting: LedgerEntry['waiting'] = [];
--- a/src/placement/job-state.ts
+++ b/src/placement/job-state.ts
@@ -13,8 +13,8 @@
  * The phase of a task.
  *
  * - `waiting`: the task is on no machine.
- * - `placing`: a machine is chosen, but the ledger entry with this intent is not committed yet. The start
- *   command must not be sent.
+ * - `placing`: a machine is chosen for a new attempt, but the ledger entry that records this attempt (the
+ *   intent) is not committed yet. The start command must not be sent.
  * - `placed`: the intent is committed, so the machine may have received the start command.
  * - `seen`: a heartbeat of the machine has reported the task.
  */
@@ -56,7 +56,7 @@
   machine: string;
 }
 
-/** The block of a job's state, with a factory for the recorder of the job's tasks. */
+/** The block to which a job's state belongs, with a factory for the recorder of the job's tasks. */
 export interface OwningBlock {
   /** Number of the block. */
   readonly block: number;
@@ -99,9 +99,10 @@
 }
 
 /**
- * The state of a job in one block. It covers the task ranges that the leader has dispatched to the block,
- * which contain all tasks for most jobs. Tasks that have never been placed have no `Task` object, so a job
- * with 100,000 of them uses little memory. Every change of a task also marks its ledger entry to be written.
+ * The state of a job in one block. It covers the task ranges that the leader has dispatched to the block. For
+ * most jobs, these ranges contain all tasks. Tasks that have never been placed have no `Task` object, so a
+ * job with 100,000 of them uses little memory. Every change of a task also marks its ledger entry to be
+ * written.
  */
 export class JobState {
   readonly id: string;
@@ -160,8 +161,8 @@
   }
 
   /**
-   * Creates a job from a ledger entry if the job's record has been deleted. The job has ended, but some of
-   * its tasks may still be on machines.
+   * Creates the state of a job whose record has been deleted, from one of the job's ledger entries. The job
+   * has ended, but some of its tasks may still be on machines.
    */
   static fromLedgerEntry(entry: LedgerEntry, owner: OwningBlock): JobState {
     const { id, team, cpus, accelerators, memoryGb } = entry;
@@ -230,14 +231,14 @@
   }
 
   /**
-   * Whether the stored ledger records the task as done. The machine may receive a `forget` command for the
-   * task only after that, because the worker would no longer report the completion.
+   * Whether the stored ledger records the task as done. Only then may a `forget` command for the task be
+   * sent, because the worker no longer reports the completion after this command.
    */
   isDoneCommitted(index: number): boolean {
     return this.committedDoneTasks.has(index);
   }
 
-  /** Notes that the stored ledger records these tasks as done. Called after the commit of a ledger page. */
+  /** Records that the stored ledger lists these tasks as done. Called after the commit of a ledger page. */
   markDoneCommitted(indices: number[]): void {
     for (const index of indices) this.committedDoneTasks.add(index);
   }
--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -31,17 +31,17 @@
  */
 const minWritesPerSecondPerPage = 8;
 /**
- * Maximum number of pages into which the size of a value is divided. With more pages, the cost of additional
- * writes would exceed the savings from smaller reads.
+ * Maximum ratio of the maximum size of a value in the store to the size of a page. If pages were smaller, the
+ * cost of additional writes would exceed the savings from smaller reads.
  */
 const maxPagesPerValue = 8;
 /** Minimum capacity of a page: each page has space for at least this many chunks of this many tasks. */
 const minPageContent = { chunks: 4, tasksPerChunk: 16 };
 
 /**
- * Returns the number of pages into which the maximum size of a value is divided. Every controller reads every
- * changed page, so small pages reduce the cost of reads if the write rate of the store is high enough. If the
- * write rate is low, one page has to hold all intents of a placement round.
+ * Returns the number by which the maximum size of a value in the store is divided to get the size of a page.
+ * Every controller reads every changed page, so small pages reduce the cost of reads if the write rate of the
+ * store is high enough. If the write rate is low, one page has to hold all intents of a placement round.
  */
 function pagesPerValue(
   { state, controllers }: LayoutSettings,
@@ -54,8 +54,8 @@
 }
 
 /**
- * Returns the layout of earlier versions, which do not take announced limits of the state service into
- * account.
+ * Returns the layout of earlier versions. They compute it from the present limits of the state service and
+ * ignore upcoming limits.
  */
 function legacyLayout(settings: LayoutSettings): LedgerLayout {
   const { presentValueBytes } = settings.state;
--- a/src/placement/ledger-writer.ts
+++ b/src/placement/ledger-writer.ts
@@ -32,7 +32,8 @@
 const minDelayHeartbeats = 1 / 8;
 /**
  * Maximum number of jobs whose tasks one commit of a page may place, for each write that a transaction can
- * hold. These jobs use at most half of the conditions that a transaction can hold.
+ * hold. The conditions on the records of these jobs are at most half of the conditions that a transaction can
+ * hold.
  */
 const maxJobsPerTransactionOp = 2;
 /**
@@ -277,7 +278,7 @@
 
   /**
    * Withdraws the intents of jobs whose records have changed because the job has ended or the leader has
-   * dispatched its tasks again. No start command for these intents has been sent to a worker.
+   * changed the dispatched task ranges. No start command for these intents has been sent to a worker.
    */
   private withdrawRejectedIntents({ snapshot, jobVersions }: PageCommit, failedKeys: string[]): void {
     for (const task of snapshot.placing) {
--- a/src/placement/ledger.ts
+++ b/src/placement/ledger.ts
@@ -86,7 +86,7 @@
 
 /**
  * A stored page that contains an entry with a chunk size other than that of the current layout. The page is
- * deleted from the store after smaller entries on other pages record all of its tasks.
+ * deleted from the store after entries with the current chunk size on other pages record all of its tasks.
  */
 export interface RetiredPage {
   readonly index: number;
--- a/src/placement/machine-state.ts
+++ b/src/placement/machine-state.ts
@@ -17,7 +17,7 @@
  */
 const unknownType = '';
 
-/** The properties of a machine that the block's record contains. */
+/** The properties of a machine that are read from the block's record. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -124,7 +124,7 @@
    * not free until a heartbeat no longer reports them.
    */
   orphanedTasks: OrphanedTask[] = [];
-  /** Images of the tasks that have run on the machine, and that it therefore need not fetch again. */
+  /** Images of the tasks that have run on the machine. The machine need not fetch these images again. */
   readonly cachedImages = new Set<string>();
   /** Ids of the jobs of which tasks have failed on the machine. */
   private readonly failedJobs = new Set<string>();
@@ -166,7 +166,10 @@
     );
   }
 
-  /** Records that a task of the job has failed on the machine, and checks whether the machine is faulty. */
+  /**
+   * Records that a task of the job has failed on the machine. Marks the machine as faulty if tasks of at
+   * least `faultyAfterFailedJobs` jobs have failed on it.
+   */
   recordFailedJob(job: string): void {
     this.failedJobs.add(job);
     if (this.failedJobs.size >= faultyAfterFailedJobs) this.faulty = true;
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -32,7 +32,7 @@
   teamOf: (name: string) => Team | undefined;
   /** Returns the current usage of all teams. The round adds the tasks it places to the returned object. */
   teamUsage: () => TeamUsage;
-  /** Maximum number of tasks to place, so that one series of commits can record all of them. */
+  /** Maximum number of tasks to place. It bounds the number of commits that record the placed tasks. */
   maxTasks: number;
   /** Whether tasks may be placed on the machine. */
   isUsable: (machine: MachineState) => boolean;
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -60,8 +60,8 @@
  * small jobs before large jobs. Jobs that have missed all their objectives come last.
  *
  * If there is more work than the machines can run, this order lets most jobs meet their objectives, and only
- * a few jobs wait. If jobs were sorted in order of arrival, all of them would be late. A large job is due by
- * the end of the time that its objective leaves for the start.
+ * a few jobs wait. If jobs were sorted in order of arrival, all of them would be late. Even the largest job
+ * is due no later than the end of the time that its objective leaves for the start.
  */
 export class QueueOrder {
   private readonly objectivesByClass = new Map<string, Objective[]>();
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -44,7 +44,7 @@
   /** The jobs of the block, by job id. */
   jobs: ReadonlyMap<string, JobState>;
   /**
-   * False if no task may be started, for example because the controller has no contact to the state service.
+   * False if no task may be started, for example because the controller cannot reach the state service.
    */
   mayStart: boolean;
 }
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -29,8 +29,8 @@
  */
 const roundsPerHeartbeat = 4;
 /**
- * Maximum number of tasks that one round places, in transactions. Each transaction counts as its maximum
- * number of writes.
+ * Maximum number of tasks that one round places, as a multiple of the maximum number of writes in a
+ * transaction.
  */
 const transactionsPerRound = 8;
 /**
--- a/src/placement/stored-pages.ts
+++ b/src/placement/stored-pages.ts
@@ -68,9 +68,9 @@
 }
 
 /**
- * Returns the layout, with the chunk size of the smallest stored chunk if that is smaller. The chunk size
- * never increases, because the smaller stored entries would supersede the larger entries that were written to
- * replace them.
+ * Returns the layout. If a stored entry has a smaller chunk size than the layout, the chunk size of the
+ * result is the smallest stored one. The chunk size never increases, because the smaller stored entries would
+ * supersede the larger entries that were written to replace them.
  */
 export function keepStoredChunkSize(layout: LedgerLayout, pages: StoredPage[]): LedgerLayout {
   const sizes = pages.flatMap(({ entries }) => entries.map(chunkTasksOf));
--- a/src/placement/waiting-queue.ts
+++ b/src/placement/waiting-queue.ts
@@ -10,8 +10,8 @@
   jobs: ReadonlyMap<string, JobState>;
   order: QueueOrder;
   /**
-   * Returns the facts that are derived from a job's dependencies and dependents. By default, jobs are treated
-   * as having neither dependencies nor dependents.
+   * Returns how a job's dependencies and dependents affect the position of the job in the queue. By default,
+   * jobs are sorted as if they had no dependencies or dependents.
    */
   dependencyFactsOf: ((spec: JobSpec) => DependencyFacts) | undefined;
   clock: Clock;
--- a/src/workers/controller-delays.ts
+++ b/src/workers/controller-delays.ts
@@ -7,15 +7,15 @@
 import { ProcessPauseDetector } from '../base/process-pause-detector.js';
 
 /**
- * Fraction of the time that failure detection ignores while the event loop of this controller is saturated.
+ * While the event loop of this controller is saturated, failure detection ignores this fraction of the time.
  */
 const saturatedGraceRatio = 0.75;
 
 /**
- * Returns how much of the time that has passed failure detection must ignore, in ms. During this time, this
- * controller has delayed the heartbeats and responses that were in flight. If the event loop of this
- * controller is saturated, only part of the time is ignored, so that a dead machine is detected even if a
- * burst of load keeps this controller busy for minutes.
+ * Returns the part of the passed time that failure detection must ignore, in ms. During this part, this
+ * controller itself has delayed the heartbeats and responses that were in flight. If the event loop of this
+ * controller is saturated, only a fraction of the passed time is ignored, so that a dead machine is detected
+ * even if a burst of load keeps this controller busy for minutes.
  */
 export function controllerDelayMs(time: { passedMs: number; pausedMs: number; saturated: boolean }): number {
   const { passedMs, pausedMs, saturated } = time;
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Returns the time since the previous call, or since construction, that failure detection must ignore, in
-   * ms. Must be called at each check.
+   * Returns the part of the time since the previous call, or since construction, that failure detection must
+   * ignore, in ms. Must be called at each check.
    */
   graceMs(): number {
     const passedMs = this.clock() - this.checkedAt;
--- a/src/workers/failure-detection.ts
+++ b/src/workers/failure-detection.ts
@@ -55,7 +55,7 @@
  * Returns the machines to release because they send no heartbeats:
  *
  * - If a machine is silent and most other machines of its zone are not, the machine has most likely died,
- *   hung or been preempted. Its release proves that the machine no longer runs.
+ *   hung or been preempted. The confirmed release of the machine proves that it no longer runs.
  * - If nearly all machines of a zone are silent, a network partition is the likelier cause, and the tasks in
  *   the zone may still be running. The machines of the zone are kept until the leases of their workers have
  *   certainly expired.
--- a/src/workers/health-monitor.test.ts
+++ b/src/workers/health-monitor.test.ts
@@ -135,9 +135,10 @@
   });
 });
 
-// Guards against a controller that gives up a block that another controller has leased. A controller was
-// partitioned, and another controller leased its block. After the partition, the first controller received no
-// heartbeats, but its outdated replica of the store still showed it as the owner of the block.
+// Guards against a controller that gives up a block although another controller has already leased the block.
+// While the first controller was partitioned, another controller leased its block. After the partition, the
+// first controller received no heartbeats, but its outdated replica of the store still showed it as the owner
+// of the block. It must not conclude from this that it is partitioned from the workers.
 test('missing heartbeats are attributed to the machines, not to a partition of the controller, until the store has been reachable for long enough', async () => {
   let now = 10;
   const reachable = [false, true];
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -12,11 +12,14 @@
 /** Dependencies of the health monitor on the rest of the controller. */
 export interface HealthMonitorPorts extends AssessmentPorts, MachineReleaserPorts {
   clock: Clock;
-  /** Fires when the lease of the block ends. */
+  /** Aborted when the lease of the block ends. */
   signal: AbortSignal;
   /** Whether the store has recently answered this controller. */
   isStoreReachable: () => boolean;
-  /** Called at each check in which no machine has sent a recent heartbeat although the store is reachable. */
+  /**
+   * Called at each check that finds this controller most likely partitioned from the workers: no machine has
+   * sent a recent heartbeat, although the store has been reachable for some time.
+   */
   onNoHeartbeats: () => void;
 }
 
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -41,8 +41,8 @@
   /** Whether the store answers this controller and the replica of the store is recent. */
   mayStartTasks: () => boolean;
   /**
-   * Whether heartbeats may be answered, given the confirmed cancellations that this controller and its peers
-   * may not know; see `HeartbeatResponsePolicy`.
+   * Whether heartbeats may be answered, given that this controller and its peers may not have received all
+   * confirmed cancellations; see `HeartbeatResponsePolicy`.
    */
   mayAnswerHeartbeats: () => boolean;
   /**
@@ -51,7 +51,7 @@
    */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
-  /** Maximum time for which a response waits for the commit of the tasks that it starts, in ms. */
+  /** Maximum time for which a response waits for the commits of the intents that it starts, in ms. */
   maxCommitWaitMs: number;
 }
 
@@ -224,7 +224,7 @@
    */
   private mayStillStartTasks(pending: PendingHeartbeat, now: number): boolean {
     const { machine, fencingToken, sequence, receivedAt } = pending;
-    // This controller was delayed for longer than the time-out of the worker. The worker has therefore sent a
+    // If this controller was delayed for longer than the time-out of the worker, the worker has sent a
     // heartbeat to another controller and drops this response.
     const hasTimedOut = now - receivedAt > workerTimeoutMs;
     return (
@@ -238,8 +238,8 @@
 
   /**
    * Delays `forget` commands until they can be sent with other commands, but for at most two heartbeat
-   * intervals. A worker sends a heartbeat after every change of its tasks, and forgetting a task is such a
-   * change.
+   * intervals. A worker sends a heartbeat after every change of its tasks, also after it has forgotten a
+   * task.
    */
   private delayForgets(machine: MachineState, commands: WorkerCommand[], now: number): WorkerCommand[] {
     if (commands.length === 0) return commands;
--- a/src/workers/machine-assessment.ts
+++ b/src/workers/machine-assessment.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Minimum time for a machine to send its first heartbeat, in worker leases. Applies even if its type boots
- * faster.
+ * Minimum time that a machine is given to send its first heartbeat, in worker leases. Applies even if the
+ * boot time of the machine's type is shorter.
  */
 const minStartupLeases = 2;
 
--- a/src/workers/straggler-detection.ts
+++ b/src/workers/straggler-detection.ts
@@ -14,9 +14,9 @@
 const stragglerRunTimeRatio = 3;
 
 /**
- * Returns the tasks on the machine that have run several times as long as the longest completed task of their
- * job and as the user's estimate. The machine is most likely faulty, and these tasks end sooner if they are
- * restarted on another machine. `now` is a monotonic time in ms.
+ * Returns the tasks on the machine that have run several times as long as both the longest completed task of
+ * their job and the user's estimate. The machine is most likely faulty, and these tasks end sooner if they
+ * are restarted on another machine. `now` is a monotonic time in ms.
  */
 export function findStragglers(machine: MachineState, now: number): Task[] {
   return [...machine.tasks.values()].filter((task) => isStraggler(task, now));
