--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -35,7 +35,10 @@
  * cost of additional writes would exceed the savings from smaller reads.
  */
 const maxPagesPerValue = 8;
-/** Minimum capacity of a page: each page has space for at least this many chunks of this many tasks. */
+/**
+ * Minimum capacity of a page, except in the layout of earlier versions: the maximum size of a value is
+ * divided into smaller pages only if each page has space for at least this many chunks of this many tasks.
+ */
 const minPageContent = { chunks: 4, tasksPerChunk: 16 };
 
 /**
--- a/src/placement/page-snapshot.test.ts
+++ b/src/placement/page-snapshot.test.ts
@@ -43,7 +43,7 @@
 // The space reserved for a compact entry is sufficient only if its tasks are on no machine, because tasks on
 // machines need more space. If all tasks were placed anyway, the page would become too large and the store
 // would reject it permanently.
-test('a page of compact entries accepts only placed tasks that fit, and accepts more after tasks are done', () => {
+test('a commit of a page with compact entries places only as many tasks as fit, and the next commit places more after tasks are done', () => {
   const ledger = new Ledger(600);
   const layout = { chunkTasks: 20, isLegacy: false };
   const [firstJob, secondJob] = [
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -272,8 +272,9 @@
 
   private redirect(machine: string): Reply {
     const { ownerOf, leader, label } = this.ports;
-    // The leader assigns machines to blocks. A machine without a block is redirected to the leader, which can
-    // assign the machine after it has learned of the machine.
+    // The leader assigns machines to blocks. A worker whose machine belongs to no block is therefore
+    // redirected to the leader. The leader can assign the machine as soon as its list of rented machines
+    // contains the machine.
     const owner = ownerOf(machine) ?? leader();
     if (owner === undefined || owner === label) return noOwnerReply;
     return { status: 421, body: redirectResponse(owner) };
--- a/src/workers/machine-releaser.ts
+++ b/src/workers/machine-releaser.ts
@@ -19,10 +19,10 @@
 }
 
 /**
- * Releases the machines of a block that have a release reason. If there are more such machines than one
- * request to the cloud may name, the rest is left for a later call. The machines and their tasks are removed
- * from the block only after the cloud has confirmed the release. Without a confirmation, the machines keep
- * their release reason, and the release is retried.
+ * Releases the machines of a block that have a release reason. If their number exceeds the number of machines
+ * that one request to the cloud may name, the rest is left for a later call. The machines and their tasks are
+ * removed from the block only after the cloud has confirmed the release. Without a confirmation, the machines
+ * keep their release reason, and the release is retried.
  */
 export async function releaseMarkedMachines(
   markedMachines: readonly MachineState[],
