--- a/src/base/http.test.ts
+++ b/src/base/http.test.ts
@@ -7,8 +7,8 @@
 import { ExchangeError, type ExchangeFailure, HttpClient } from './http.js';
 
 /**
- * Indexes into `slots`, the memory shared with the server's thread. Each slot is 0 until the event that its
- * index is named after.
+ * Indexes into `slots`, the memory shared with the server's thread. Each index is named after an event. The
+ * slot is 0 before the event and 1 after it.
  */
 const received = 0;
 const mayAnswer = 1;
@@ -68,8 +68,8 @@
   });
 
   // If the event loop was blocked past the deadline of an exchange, the time-out ran before the socket was
-  // read. A response that had arrived before the deadline was then discarded unread. In this way, a
-  // controller short of processor time lost its contact to the state service.
+  // read. A response that had arrived before the deadline was then discarded unread. As a result, a
+  // controller short of processor time lost contact with the state service.
   test('reads a response that arrived before the deadline while the event loop was blocked', async () => {
     mock.timers.enable({ apis: ['setTimeout'] });
     try {
--- a/src/base/time-sliced-queue.ts
+++ b/src/base/time-sliced-queue.ts
@@ -1,6 +1,6 @@
 /**
- * A work queue with a time budget per event-loop iteration, so that the event loop can serve other sockets
- * between two iterations.
+ * A work queue that limits the time spent on work in each event-loop iteration, so that the event loop can
+ * serve other sockets before it continues with the queue.
  */
 import type { Clock } from './clock.js';
 
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -32,8 +32,8 @@
    */
   | { kind: 'busy' }
   /**
-   * No response arrived, or the response contained no result. Machines may have been rented. If so, the
-   * machine list will contain them.
+   * No response arrived, or its status shows neither success nor refusal. Machines may have been rented. If
+   * so, the machine list will contain them.
    */
   | { kind: 'unknown' };
 
@@ -54,8 +54,9 @@
 export const maxMachinesPerRental = 50;
 
 /**
- * Sends requests to the cloud and delays them to stay within its rate limit. If a request has no result,
- * `machineTypes` and `listMachines` throw a `CloudError`. `rent` and `release` never throw.
+ * Sends requests to the cloud and delays them to stay within its rate limit. If no readable response arrives
+ * or the status of the response is not 200, `machineTypes` and `listMachines` throw a `CloudError`. `rent`
+ * and `release` never throw.
  */
 export class CloudClient {
   private readonly httpClient: HttpClient;
@@ -78,7 +79,7 @@
     this.pacer = new TokenBucket(ratePerS, ratePerS, clock);
   }
 
-  /** Returns the machine types that the cloud offers. Throws a `CloudError` if there is no result. */
+  /** Returns the machine types that the cloud offers. Throws a `CloudError` if the request fails. */
   async machineTypes(): Promise<MachineType[]> {
     const response = await this.request('machine types', 'GET', '/machine_types', undefined);
     requireOk('machine types', response);
@@ -86,8 +87,7 @@
   }
 
   /**
-   * Returns all rented machines, read page by page. Throws a `CloudError` if the request for any page has no
-   * result.
+   * Returns all rented machines, read page by page. Throws a `CloudError` if the request for any page fails.
    */
   async listMachines(): Promise<CloudMachine[]> {
     const machines: CloudMachine[] = [];
@@ -129,9 +129,8 @@
   }
 
   /**
-   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the machines are terminated,
-   * including everything that ran on them. Returns false if it is unknown whether the machines were
-   * terminated.
+   * Releases machines, at most `maxMachinesPerRelease`. Returns true if the cloud has terminated the machines
+   * and everything that ran on them. Returns false if it is unknown whether the machines were terminated.
    */
   async release(machines: string[]): Promise<boolean> {
     try {
--- a/src/cloud/errors.ts
+++ b/src/cloud/errors.ts
@@ -4,7 +4,8 @@
 export type CloudOperation = 'machine types' | 'machine list' | 'rental' | 'release';
 
 /**
- * A request to the cloud had no result. Callers that handle every reason in the same way catch this class.
+ * A request to the cloud failed: no readable response arrived, or the status of the response was not 200.
+ * Callers that handle both cases in the same way catch this class.
  */
 export class CloudError extends Error {
   /**
@@ -22,7 +23,10 @@
   }
 }
 
-/** The cloud responded with an HTTP status other than 200, so the response holds no result. */
+/**
+ * The cloud responded with an HTTP status other than 200, so the response does not contain the requested
+ * data.
+ */
 export class CloudStatusError extends CloudError {
   /**
    * @param operation the operation that was requested
@@ -38,12 +42,12 @@
 
 /**
  * No readable response arrived, so the cloud may or may not have processed the request. `cause` holds the
- * error of the connection.
+ * underlying connection error.
  */
 export class CloudConnectionError extends CloudError {
   /**
    * @param operation the operation that was requested
-   * @param cause the error of the connection
+   * @param cause the underlying connection error
    */
   constructor(operation: CloudOperation, cause: unknown) {
     const reason = cause instanceof Error ? cause.message : String(cause);
--- a/src/dependencies/cancellation-cascade.ts
+++ b/src/dependencies/cancellation-cascade.ts
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Reads the missing outcomes of dependencies into the replica, then cancels jobs that are due. One scan
-   * cancels no more jobs than fit into one transaction.
+   * Reads the missing outcomes of dependencies into the replica, then cancels jobs with a cancelled
+   * dependency. A controller that is not the leader cancels only jobs that have been due for cancellation for
+   * `followerDelayHeartbeatIntervals`. One scan cancels no more jobs than fit into one transaction.
    */
   private async resolveAndCancel(): Promise<void> {
     const { jobIndex, readOutcome } = this.ports;
--- a/src/intake/admission.ts
+++ b/src/intake/admission.ts
@@ -5,7 +5,7 @@
 import { jobRecord, reservedTaskRangesBytes } from '../wire/job-records.js';
 
 /**
- * Returns the reason for refusing a job whose record would exceed `valueBytes`, the store's limit of the size
+ * Returns the reason for refusing a job whose record would exceed `valueBytes`, the store's limit on the size
  * of a value; undefined if the record fits.
  */
 export function tooLargeReason(job: JobSpec, valueBytes: number): string | undefined {
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -3,9 +3,9 @@
  */
 import type { CancellationList } from '../wire/peer-status.js';
 
-/** Limit of tracked cancellations. Users request fewer cancellations than this during an outage. */
+/** Maximum number of tracked cancellations. Users request fewer cancellations than this during an outage. */
 const maxTrackedCancellations = 4000;
-/** Limit of cancellations in one status message to a peer. A longer list is truncated. */
+/** Maximum number of cancellations in one status message to a peer. A longer list is truncated. */
 const maxListedCancellations = 500;
 
 /**
--- a/src/intake/dependencies.test.ts
+++ b/src/intake/dependencies.test.ts
@@ -71,7 +71,8 @@
   });
 
   // A controller of an earlier version ignores dependencies. If a job with dependencies were accepted, that
-  // controller could start tasks of the job before the dependencies are done (`too_early` in the checker).
+  // controller could start tasks of the job before the dependencies are done (rule `too_early` in
+  // `testing/checker.ts`).
   test('are refused immediately with 503 if some controller may not support dependencies', async () => {
     const { controller } = await createControllers({ supportsDependencies: false });
     await controller.submit();
@@ -109,7 +110,7 @@
 
   // Controller B accepts a dependent. Then controller A cancels the dependency, but not the dependent, which
   // is missing from A's replica. If B did not check the dependency on a query, B would report the dependent
-  // as open (`orphaned` in the checker).
+  // as open (rule `orphaned` in `testing/checker.ts`).
   test('is cancelled by a status query if no controller has cancelled the job yet', async () => {
     const { controller, otherController } = await createControllers();
     await controller.submit();
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -9,7 +9,8 @@
 
 describe('submissions if the store commits slowly', () => {
   // Clients retry submissions that wait in the commit queue. If the retries were queued too, the queue would
-  // stay long. When this happened, only 361 of 1431 jobs were accepted in one day of the larger fleet.
+  // stay long. When this happened in a run of one day with the larger fleet, only 361 of 1431 jobs were
+  // accepted.
   test('a client retry that arrives while the first attempt is in flight causes no second commit', async () => {
     const store = new InMemoryStore();
     const controller = await UserApiFixture.create(store, id);
@@ -67,7 +68,7 @@
 
   // All controllers restart, and users query the jobs that ended before. If each query caused a store
   // request, the requests would use up the rate limit. No controller would be healthy for minutes, and
-  // queries would get no answer (`forgotten` in the checker).
+  // queries would get no answer (rule `forgotten` in `testing/checker.ts`).
   test('share one list request to the store', async () => {
     const { store, restarted } = await endedJobs();
     const replies = await Promise.all(ids.map((job) => restarted.query(job)));
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Returns the status of a job that was found open in the store. The number of running tasks comes from the
-   * job index and may be one or two commits older than that of the leader.
+   * Returns the status of a job that was found open in the store. `active` is the number of the job's running
+   * tasks. By default it is read from the job index, which may be one or two commits behind the leader.
    */
   private statusOfOpenJob(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
     const endedJob = this.statuses.knownOutcome(id);
--- a/src/intake/job-canceller.ts
+++ b/src/intake/job-canceller.ts
@@ -38,8 +38,8 @@
 type AttemptResult = 'cancelled' | 'gone' | 'changed' | 'unavailable';
 
 /**
- * Limit of commit attempts for one cancel request. The first attempt uses the job record in the replica, each
- * retry a record that was read from the store after the conflict.
+ * Maximum number of commit attempts for one cancel request. The first attempt uses the job record in the
+ * replica. Each retry uses a record that was read from the store after the conflict.
  */
 const maxAttempts = 3;
 
--- a/src/intake/job-status-reader.ts
+++ b/src/intake/job-status-reader.ts
@@ -12,7 +12,7 @@
 export interface EndedJob {
   kind: 'ended';
   outcome: Outcome;
-  /** The number of the job's tasks, if it is known. */
+  /** The number of the job's tasks; 0 if it is not known. */
   tasks: number;
 }
 
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Whether the job has dependencies; undefined if its record cannot be read. If the record of an open job is
-   * missing from the replica, the job was either just accepted or has just ended.
+   * Whether the job has dependencies; undefined if its record cannot be read. If the replica does not contain
+   * the record, the job was either just accepted or has just ended. The record is then read from the store.
    */
   private async hasDependencies(id: string): Promise<boolean | undefined> {
     const { replica, store } = this.ports;
--- a/src/intake/linearizability.test.ts
+++ b/src/intake/linearizability.test.ts
@@ -55,7 +55,8 @@
 
   // A client retries a submission, and the store executes the status read of the retry. Then another
   // controller confirms a cancellation, and the client retries again. If the second retry shared the status
-  // read in flight, the status would go back from cancelled to open (`went_back` in the checker).
+  // read in flight, the status would go back from cancelled to open (rule `went_back` in
+  // `testing/checker.ts`).
   test('a client retry after the confirmed cancellation, while the status read of an earlier retry is in flight', async () => {
     const { store, firstController, secondController } = await twoControllers();
     assert.equal((await firstController.submit()).status, 201);
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -10,7 +10,10 @@
 /** The urgency that the user gave a job. `urgencyRanks` defines the order of the urgencies. */
 export type Urgency = 'production' | 'high' | 'standard' | 'best_effort';
 
-/** A job as the user submitted it. It is committed to the store before the user receives the acceptance. */
+/**
+ * A job as the user submitted it. The job is committed to the store before the user receives the response
+ * that the job was accepted.
+ */
 export interface JobSpec {
   /** Id chosen by the user. A repeated submission of the job has the same id. */
   id: string;
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -46,13 +46,16 @@
     initialThresholdShare: number;
     /** As `initialThresholdShare`, but for pools of spot machines. */
     spotInitialThresholdShare: number;
-    /** Target value of the share of tasks that have to wait on arrival or are displaced. */
+    /**
+     * Target value of the failure ratio of a pool: the number of tasks that had to wait on arrival or were
+     * displaced from their machine, divided by the number of tasks that arrived.
+     */
     targetFailureRatio: number;
     /** Size of one slot, the unit of the thresholds, as a share of a machine's dominant resource. */
     slotShare: number;
     /** Seconds between two adjustments of a pool's thresholds. */
     adjustmentPeriodS: number;
-    /** Length in seconds of the window in which failures are counted. */
+    /** Length in seconds of the sliding window over which the failure ratio of a pool is measured. */
     failureWindowS: number;
   };
   /** Blocks: sets of machines, each with the work placed on it and leased to one controller. */
@@ -110,8 +113,8 @@
  * @throws SettingsError that names the wrong element, or the line at which the XML is not well-formed.
  */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
-  // Loaded only if there is an operators' file, because start-up alone uses up the controller's share of a
-  // core.
+  // Loaded only if there is an operators' file, because even without the XML parser, the start of the process
+  // uses up the controller's share of a core.
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -25,6 +25,7 @@
   kind: string;
   jobClass: string | undefined;
   share: number | undefined;
+  /** For objectives of kind `wait` or `finished`: maximum time in seconds. */
   withinS: number | undefined;
   /** For deadline objectives: the multiple of a job's deadline within which the job has to end. */
   deadlineMultiple: number | undefined;
@@ -32,7 +33,9 @@
 
 /** Limits of the state service, derived from the present and the upcoming limits in the settings file. */
 export interface StateLimits {
+  /** The present limit of requests per second. */
   rps: number;
+  /** The present limit of write requests per second. */
   writeRps: number;
   /**
    * Maximum size of a value in bytes: the smaller of the present and the upcoming limit, because controllers
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -14,7 +14,7 @@
  * | `boot` | `incarnation` | opaque, a new one at each process start |
  * | `shares` | `quotaShares` | by team: [cpus, accelerators] |
  * | `machines` | `machines` | groups, see below; missing if the machines are on pages |
- * | `leaseToken` | `leaseFencingToken` | revision, 0: that of the record; only if machines are on pages |
+ * | `leaseToken` | `leaseFencingToken` | revision; 0: version of the record; only if machines are on pages |
  *
  * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean
  * and a list. Each machine in that list is a list of its own:
@@ -22,7 +22,7 @@
  * | place | in the code | unit |
  * | --- | --- | --- |
  * | 0 | `id` | name |
- * | 1 | `fencingToken` | revision, 0: that of the record itself |
+ * | 1 | `fencingToken` | revision; 0: the version of the record or page that lists the machine |
  * | 2 | `rentedAt` | wall-clock time since the epoch, stored in s, in the code in ms |
  * | 3 | `draining` | 1; missing if the machine is not draining |
  */
@@ -66,8 +66,8 @@
   machines: LeasedMachine[];
   quotaShares: QuotaShares;
   /**
-   * The minimum fencing token of machines on pages. It is the revision at which the block was leased to its
-   * current owner.
+   * The minimum fencing token of machines on pages: a machine whose own fencing token is lower has this one
+   * instead. It is the revision at which the block was leased to its current owner.
    */
   leaseFencingToken?: number;
 }
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -36,13 +36,14 @@
 export interface LeaderRecord {
   label: string;
   /**
-   * The incarnation that was elected. If a controller restarts after its election, the new incarnation does
-   * not lead by this election.
+   * The incarnation that was elected. If a controller restarts after its election, the new incarnation is not
+   * the leader.
    */
   incarnation: string;
   /**
-   * Distinguishes the candidacies of one incarnation. It shows which candidacy won if the response to a
-   * candidacy was lost.
+   * Number of the candidacy, counted from 1 within the incarnation. If the response to the commit of a
+   * candidacy is lost, the controller compares this number with the number in the stored record to find out
+   * whether that candidacy won.
    */
   candidacy: number;
 }
@@ -73,7 +74,7 @@
   return { boot: alive.incarnation, zone: alive.zone };
 }
 
-/** Parses the record of a live controller. Returns undefined if the controller is not known to be alive. */
+/** Parses the record of a live controller. Returns undefined if there is no record. */
 export function parseAlive(value: unknown): AliveRecord | undefined {
   if (!isFieldMap(value)) return undefined;
   return { incarnation: asText(value['boot']), zone: asText(value['zone']) };
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -7,7 +7,7 @@
  * | `lead` | the leader | `controller-records.ts` | `Election` |
  * | `alive/<label>` | a live controller | `controller-records.ts` | `Membership` |
  * | `formats/<label>` | the record format that a controller reads | `controller-records.ts` | `Membership` |
- * | `ladder/<pool>` | moved thresholds | `ladder-records.ts` | `ThresholdStore` |
+ * | `ladder/<pool>` | thresholds that the leader has changed | `ladder-records.ts` | `ThresholdStore` |
  * | `block/<n>` | the lease of a block | `block-records.ts` | `BlockWriter` |
  * | `machines/<n>/<page>` | machines of a block | `block-records.ts` | `BlockWriter` |
  * | `job/<id>` | an open job | `job-records.ts` | `Submissions`, `DispatchWriter` |
@@ -29,10 +29,14 @@
 /** A page of a block's machines. Pages are numbered from 0. */
 export const machinesKey = (block: number, page: number): string => `${machinesPrefix(block)}${page}`;
 /**
- * The record format that a controller reads and writes. It is kept permanently after the controller has run.
+ * The record format that a controller reads and writes. The record is bound to no lease, so it is kept after
+ * the controller has stopped.
  */
 export const formatKey = (label: string): string => `formats/${label}`;
-/** The moved thresholds of a pool. A pool consists of the machines of one type, spot or not. */
+/**
+ * The scale-out thresholds of a pool that the leader has moved from their initial values. A pool consists of
+ * the machines of one type, spot or not.
+ */
 export const ladderKey = (pool: string): string => `ladder/${pool}`;
 /**
  * The record of an open job. It is stored when the job is accepted and deleted when the job has an outcome.
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -1,7 +1,7 @@
 /**
- * Stored form of the moved thresholds of a pool, which consists of the machines of one type, spot or not.
- * Machine number m of a pool is rented when the demand in slots reaches threshold m. The leader moves
- * thresholds away from their initial values.
+ * Stored form of the scale-out thresholds of a pool that the leader has moved from their initial values. A
+ * pool consists of the machines of one type, spot or not. Machine number m of a pool is rented when the
+ * demand in slots reaches threshold m.
  *
  * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds of the
  * pool. The `ThresholdStore` of a new leader reads it at the start of the term.
@@ -27,7 +27,10 @@
   return { moved: moved.slice(-maxThresholds) };
 }
 
-/** Parses the moved thresholds of a pool. Returns an empty list if the pool has no record. */
+/**
+ * Parses the moved thresholds of a pool as pairs of machine number and threshold in slots. Returns an empty
+ * list if the pool has no record.
+ */
 export function parseLadder(value: unknown): [number, number][] {
   return asList(isFieldMap(value) ? value['moved'] : undefined).map((entry) => {
     const [machineNumber, slots] = asList(entry);
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -33,8 +33,8 @@
  * | 7 | `active`, later attempts | task, attempt, machine, and so on |
  * | 8 | `waiting` | task, last attempt, and so on |
  * | 9 | `done` | as in the plain form |
- * | 10 | `chunkTasks` | count of tasks |
- * | 11 | form of machine names | [prefix, count of digits]: a number in place of a machine is such a name |
+ * | 10 | `chunkTasks` | chunk size, a count of tasks |
+ * | 11 | form of machine names | [prefix, count of digits] of the machine names that are stored as a number |
  *
  * Tasks are numbered from 0 within their job, attempts from 1.
  */
@@ -62,9 +62,10 @@
   /** Completed tasks as ranges: first, last, first, last, … */
   done: number[];
   /**
-   * Number of tasks in a chunk. Undefined if the chunks have the size that earlier versions use. If entries
-   * with different chunk sizes cover a task, the entry with the smallest chunk size is the newest, and all
-   * other entries are ignored for this task.
+   * The chunk size, that is, the number of tasks in every chunk of the job except the last, which may have
+   * fewer. Undefined if the chunks have the size that earlier versions use. If entries with different chunk
+   * sizes cover a task, the entry with the smallest chunk size is the newest, and all other entries are
+   * ignored for this task.
    */
   chunkTasks?: number;
 }
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -58,7 +58,7 @@
   echoedIncarnation: string;
   /** The latest store revision that the sender's replica of the store contains. */
   storeRevision: number;
-  /** Machines whose termination the sender has recently proven. */
+  /** Machines whose termination the cloud has recently confirmed to the sender. */
   terminatedMachines: string[];
   /** Machines whose first heartbeat the sender has recently received. */
   bootedMachines: string[];
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,7 +1,7 @@
 /**
- * Encodes requests to the state service and parses its responses. `transactions.ts` handles the requests and
- * responses of commits. `StoreClient` and `ChangeWatch` handle all others. Keys in the code have no root. On
- * the wire, all keys start with one common root.
+ * Encodes requests to the state service and parses its responses. `Transactions` sends commits, `Leases`
+ * sends the requests about leases, `ChangeWatch` sends watches, and `StoreClient` sends reads and lists. Keys
+ * in the code have no root. On the wire, all keys start with one common root.
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
