--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -25,7 +25,10 @@
   kind: string;
   jobClass: string | undefined;
   share: number | undefined;
-  /** For objectives of kind `wait` or `finished`: maximum time in seconds. */
+  /**
+   * For objectives of kind `wait` or `finished`: maximum time in seconds until all tasks of a job have started
+   * or the job has ended. It is counted from the time at which the dependencies of the job are done.
+   */
   withinS: number | undefined;
   /** For deadline objectives: the multiple of a job's deadline within which the job has to end. */
   deadlineMultiple: number | undefined;
