--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -26,9 +26,9 @@
   jobClass: string | undefined;
   share: number | undefined;
   /**
-   * For objectives of kind `wait` or `finished`: maximum time in seconds until all tasks of a job have started
-   * or the job has ended. It is counted from the acceptance of the job, or from the end of its last dependency
-   * if that is later.
+   * For objectives of kind `wait` or `finished`: maximum time in seconds until all tasks of a job have
+   * started or the job has ended. It is counted from the acceptance of the job, or from the end of its last
+   * dependency if that is later.
    */
   withinS: number | undefined;
   /** For deadline objectives: the multiple of a job's deadline within which the job has to end. */
