--- a/src/base/user-handler.ts
+++ b/src/base/user-handler.ts
@@ -40,8 +40,8 @@
 const notFoundReply: Reply = { status: 404, body: { error: 'no such path' } };
 
 /**
- * Reads the body of a request by events, which cost less than an async iterator. Stops reading at
- * `maxBodyBytes`.
+ * Reads the body of a request with event listeners, which cost less than an async iterator. Stops reading as
+ * soon as the body is larger than `maxBodyBytes`.
  * @throws BodyTooLargeError if the body is larger than `maxBodyBytes`, RequestAbortedError if the connection
  * is closed before the end of the body.
  */
--- a/src/blocks/block-allocator.test.ts
+++ b/src/blocks/block-allocator.test.ts
@@ -22,8 +22,8 @@
 };
 
 /**
- * A block registry in which a test can change the records and the versions of all blocks while the allocator
- * runs.
+ * A block registry in which a test can change all block records and their versions while the allocator runs.
+ * The version of a block record is the store revision of its latest change.
  */
 class ChangingRegistry {
   private currentVersion = 1;
@@ -31,8 +31,8 @@
   onRead: () => void = () => undefined;
 
   /**
-   * Simulates that the owners of all blocks renew their leases: each block record gets a new incarnation, and
-   * each block gets a new version.
+   * Simulates that all controllers restart and then renew the leases of their blocks. Each block record then
+   * contains the incarnation of the restarted owner and has a new version.
    */
   simulateLeaseRenewals(): void {
     this.currentVersion++;
@@ -110,9 +110,10 @@
   return commits[0];
 }
 
-// Guards against a lost update. The leader built a block record from one version of the block, and the owner
-// then committed a renewal of its lease. The leader committed its record on condition of the version after
-// the renewal, so the commit was applied and overwrote the renewal.
+// Guards against a lost update. The leader built a block record from one version of the stored record, and
+// the owner then committed a renewal of its lease. The renewal gave the stored record a new version. The
+// leader committed its record on condition of the new version, so the commit was applied and overwrote the
+// renewal.
 test('the commit of a block record is conditioned on the version of the block from which the record was built', async () => {
   const registry = new ChangingRegistry();
   registry.onRead = () => {
--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -102,8 +102,10 @@
   assert.ok(nowS < 400, `all dispatched after ${nowS} s`);
 });
 
-// Guards against a separate commit for each dispatched task. With a limit of 25 writes per second, a third of
-// the writes dispatched tasks for which no slot was free.
+// Guards against a separate commit for each dispatched task. If the number of tasks dispatched beyond the
+// free slots did not grow with the backlog, each task that ended would allow the dispatch of only one further
+// task. While this fault existed, with a limit of 25 writes per second, a third of the writes dispatched
+// tasks for which no slot was free.
 test('if the backlog is larger, more tasks are dispatched beyond the free slots of a block, up to the size of the block', () => {
   const large = spec('req-1', 500);
   const dispatchedTasks = (backlog: number): number => {
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -50,8 +50,10 @@
 }
 
 /**
- * Whether the next waiting task of the team in a block would exceed the block's share. `shares`: the current
- * shares of the block.
+ * Whether the team's next waiting task in a block would exceed the block's share of the team's limit.
+ * @param demand the demand of the team in the block
+ * @param shares the current shares of the block
+ * @param team the team and its limits
  */
 export function isStarved(demand: TeamDemand, shares: QuotaShares, team: Team): boolean {
   const next = demand.waiting[0];
--- a/src/dependencies/dependency-graph.ts
+++ b/src/dependencies/dependency-graph.ts
@@ -12,7 +12,7 @@
  * - `ready`: all dependencies are done.
  * - `upstream-cancelled`: an upstream job (a direct or transitive dependency) is cancelled, so this job has
  *   to be cancelled too.
- * - `unresolved`: this controller knows neither the record nor the outcome of some upstream job.
+ * - `unresolved`: this controller has received neither the record nor the outcome of some upstream job.
  * - `waiting`: some dependency is not done yet, and none of the other states applies.
  */
 export type DependencyState = 'ready' | 'upstream-cancelled' | 'unresolved' | 'waiting';
@@ -125,7 +125,8 @@
   /**
    * Returns the dependency state of an open job.
    * @param id the job
-   * @param isOpen whether this controller knows the record of a job
+   * @param isOpen whether a job is open, that is, whether this controller has received the job's record and
+   *   has not received its deletion. The commit of a job's outcome deletes the record.
    */
   stateOf(id: string, isOpen: (id: string) => boolean): DependencyState {
     if (this.upstreamCancelledSince.has(id)) return 'upstream-cancelled';
@@ -141,7 +142,11 @@
     return this.upstreamCancelledSince;
   }
 
-  /** Returns the dependencies of open jobs for which this controller has neither a record nor an outcome. */
+  /**
+   * Returns the ids of the dependencies of open jobs for which this controller has neither a record nor an
+   * outcome.
+   * @param isOpen see `stateOf`
+   */
   unresolved(isOpen: (id: string) => boolean): Set<string> {
     const unresolved = new Set<string>();
     for (const id of this.dependents.keys()) {
@@ -165,8 +170,8 @@
   }
 
   /**
-   * Returns the wall-clock time in ms since the epoch from which the waiting time of a ready job counts. This
-   * is the time of the job's acceptance or the latest end of a dependency, whichever is later.
+   * Returns the wall-clock time in ms since the epoch from which the waiting time of a ready job is measured.
+   * This is the time of the job's acceptance or the latest end of a dependency, whichever is later.
    */
   readyAt(spec: JobSpec): number {
     const endTimes = (spec.dependencies ?? []).map(
--- a/src/intake/intake.ts
+++ b/src/intake/intake.ts
@@ -131,8 +131,11 @@
   }
 
   /**
-   * Returns the status of a job that was found open in the store. `active` is the number of the job's running
-   * tasks. By default it is read from the job index, which may be one or two commits behind the leader.
+   * Returns the status of a job that was found open in the store.
+   * @param id the job
+   * @param active number of the job's tasks that are or may be on machines, by default read from the job
+   *   index. The owner of each block commits these tasks to the block's ledger. The job index is updated from
+   *   this controller's replica of the store, so it may be one or two of these commits behind.
    */
   private statusOfOpenJob(id: string, active = this.ports.jobIndex.progress(id).active): JobStatus {
     const endedJob = this.statuses.knownOutcome(id);
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -14,8 +14,8 @@
 /** Values for the sort order of a job that are derived from its dependencies and its dependents. */
 export interface DependencyFacts {
   /**
-   * Wall-clock time in ms since the epoch from which the job's waiting time and objectives count. Its
-   * deadline counts from submission instead.
+   * Wall-clock time in ms since the epoch from which the job's waiting time and objectives are measured. The
+   * job's deadline is measured from `acceptedAt` instead.
    */
   readyAt: number;
   /** The highest urgency of the job and of all its dependents. */
@@ -27,7 +27,10 @@
   endBy: number | undefined;
 }
 
-/** Returns the facts of a job that has neither dependencies nor dependents. */
+/**
+ * Returns the values of `DependencyFacts` for a job that has neither dependencies nor dependents. The job is
+ * ready when it is accepted, keeps its own urgency, and has no latest end time.
+ */
 export function withoutDependencies(spec: JobSpec): DependencyFacts {
   return { readyAt: spec.acceptedAt, urgency: spec.urgency, endBy: undefined };
 }
@@ -84,8 +87,10 @@
   }
 
   /**
-   * Returns the items sorted by the order in which their jobs are to start. `now` is the wall-clock time in
-   * ms since the epoch; the timestamps of jobs have the same time base.
+   * Returns the items sorted by the order in which their jobs are to start.
+   * @param items the items to sort
+   * @param toJob returns the job of an item
+   * @param now wall-clock time in ms since the epoch; the timestamps of jobs have the same time base
    */
   sorted<T>(items: Iterable<T>, toJob: (item: T) => QueuedJob, now: number): T[] {
     const queued = [...items].map((item) => ({ item, job: toJob(item) }));
@@ -123,7 +128,7 @@
    */
   private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyFacts): number[] {
     const { estimatedRunS, deadlineS } = spec;
-    // A deadline counts from submission, so the time for which the job waited for its dependencies is
+    // A deadline is measured from `acceptedAt`, so the time for which the job waited for its dependencies is
     // subtracted.
     const waitedS = (readyAt - spec.acceptedAt) / 1000;
     const objectives = this.objectivesByClass.get(spec.jobClass) ?? [];
--- a/src/testing/document-names.ts
+++ b/src/testing/document-names.ts
@@ -7,7 +7,10 @@
 export interface KnownNames {
   /** Paths of all files below `src`, relative to the root of the repository. */
   files: readonly string[];
-  /** All words of the sources that may be identifiers. */
+  /**
+   * All words of the sources that have the form of an identifier, including keywords and words in string
+   * literals, but not words in comments.
+   */
   identifiers: ReadonlySet<string>;
   /** Settings of the operators' settings file, as `element/attribute`. */
   settings: ReadonlySet<string>;
@@ -46,7 +49,10 @@
   return [...document.matchAll(eventTableRow)].flatMap(([, cell = '']) => codeSpans(cell));
 }
 
-/** Returns the words of a source file, except those in comments. */
+/**
+ * Returns all words of a source file that have the form of an identifier, including keywords and words in
+ * string literals, but not words in comments.
+ */
 export function identifiersIn(source: string): string[] {
   const code = source.replace(/\/\*[\s\S]*?\*\/|\/\/.*/g, '');
   return code.match(/[A-Za-z]\w*/g) ?? [];
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -27,7 +27,8 @@
  * | `status` | `state` | `starting`: `booting`, `running`, `failed`; others count as `running` |
  * | `heldS` | `ageS` | s since the rental request |
  *
- * A rental (`POST /rentals`); the response lists the names of the rented machines in `hosts`:
+ * A request to rent machines (`POST /rentals`); the response lists the names of the rented machines in
+ * `hosts`:
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
@@ -37,7 +38,7 @@
  * | `loaners` | `spot` | boolean |
  * | `howMany` | `count` | count of machines, at most 50 |
  *
- * A release (`POST /rentals/release`):
+ * A request to release machines (`POST /rentals/release`):
  *
  * | wire | in the code | unit |
  * | --- | --- | --- |
@@ -120,7 +121,7 @@
   count: number;
 }
 
-/** The request body of a rental. */
+/** The request body for renting machines. */
 export function rentalBody(request: RentalRequest): unknown {
   return {
     charter: request.name,
@@ -131,12 +132,12 @@
   };
 }
 
-/** Parses the response to a rental: the names of the rented machines. */
+/** Parses the response to a request to rent machines. Returns the names of the rented machines. */
 export function parseMachineNames(body: unknown): string[] {
   return asList(isFieldMap(body) ? body['hosts'] : undefined).map((name) => asText(name));
 }
 
-/** The request body of a release of machines. */
+/** The request body for releasing machines. */
 export function releaseBody(machines: string[]): unknown {
   return { hosts: machines };
 }
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -1,6 +1,6 @@
 /**
- * Stored records about the controllers: the current leader, the live controllers, and the record format that
- * each controller reads.
+ * Stored records about the controllers: the current leader, the live controllers, and the latest record
+ * format that each controller can read.
  *
  * `lead` is written by the `Election` of a candidate and bound to the candidate's lease in the store. The
  * `Election` of every controller reads it. The revision of the commit that wrote `lead` is the leader's
@@ -81,9 +81,14 @@
 }
 
 /**
- * The record format of this version. From format 2 on, a controller reads dependencies of jobs, machines on
- * pages of their own and ledger entries of any size. A controller whose record format is not in the store
- * reads none of these.
+ * The record format of this version of the program. From format 2 on, a controller can read:
+ *
+ * - the dependencies of jobs,
+ * - machines that are listed on pages of their own instead of in the block record,
+ * - ledger entries that cover any number of tasks (`chunkTasks` in `ledger-records.ts`).
+ *
+ * Versions before format 2 can read none of these and store no record format. A controller therefore has no
+ * stored record format until it has run a version with format 2 or later.
  */
 export const currentFormat = 2;
 
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -2,8 +2,8 @@
  * Stored form of a job's specification, as the user submitted it: the field `spec` of the record under
  * `job/<id>`. `Submissions` writes it when the job is accepted. All later writes of the record keep `spec`
  * unchanged, including fields that only later versions define. `job-records.ts` lists the readers of the
- * record. A test compares the stored form with kept samples, because names in the code may change but stored
- * names may not.
+ * record. `stored-samples.test.ts` compares the stored form with golden files, because names in the code may
+ * change but stored names may not.
  *
  * | stored | in the code | unit |
  * | --- | --- | --- |
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -51,7 +51,7 @@
    */
   areConnectionsScarce: () => boolean;
   heartbeatIntervalMs: number;
-  /** Maximum time for which a response waits for the commits of the intents that it starts, in ms. */
+  /** Maximum time in ms for which a response waits until the intents of placed tasks are committed. */
   maxCommitWaitMs: number;
 }
 
@@ -149,7 +149,9 @@
 
   /**
    * Places waiting tasks on the machine, because a heartbeat often reports that resources have become free.
-   * The response starts these tasks after their intents are committed.
+   * If the machine then has tasks whose intents are not committed, the response waits until these intents are
+   * committed, but for at most `maxCommitWaitMs`. The response contains start commands only for tasks whose
+   * intents have been committed by the time at which the response is sent.
    */
   private placeAndRespond(
     { machine, scheduler }: OwnedMachine,
