--- a/src/blocks/block-allocator.ts
+++ b/src/blocks/block-allocator.ts
@@ -28,7 +28,8 @@
   readonly presumedTerminated: ReadonlySet<string>;
   /**
    * Number of slots that the block's waiting tasks need on machines of the same type and kind (spot or
-   * ordinary) as `machine`. A slot is a fixed share of a machine.
+   * ordinary) as `machine`. Here a slot is the unit of the ladder, a fixed share of a machine's dominant
+   * resource (see `ladder/slots.ts`), and not the space for one task.
    */
   waitingSlots(block: number, machine: LeasedMachine): number;
 }
--- a/src/blocks/block-assignment.ts
+++ b/src/blocks/block-assignment.ts
@@ -38,7 +38,8 @@
   drainingMachines: ReadonlySet<string>;
   /**
    * Number of slots that the block's waiting tasks need on machines of the same type and kind (spot or
-   * ordinary) as `machine`. A slot is a fixed share of a machine.
+   * ordinary) as `machine`. Here a slot is the unit of the ladder, a fixed share of a machine's dominant
+   * resource (see `ladder/slots.ts`), and not the space for one task.
    */
   waitingSlots: (block: number, machine: LeasedMachine) => number;
   /** The new quota shares of each block; a block without an entry keeps its current shares. */
--- a/src/blocks/block-writer.ts
+++ b/src/blocks/block-writer.ts
@@ -50,7 +50,10 @@
   guards: Condition[];
 }
 
-/** One commit of a write of a block whose machines are on pages. */
+/**
+ * One commit of a block write in the paged layout. A block write consists of several commits if more pages
+ * change than fit into one transaction.
+ */
 interface PageCommit {
   conditions: Condition[];
   changes: PageChange[];
@@ -59,8 +62,8 @@
 }
 
 /**
- * Maximum size of a block record that lists the machines, as a ratio of the size limit of a store value. If
- * the record would be larger, the machines are written to pages.
+ * Maximum size of a block record that lists the machines, as a fraction of the size limit of a store value.
+ * If the record would be larger, the machines are written to pages.
  */
 const maxInlineRecordRatio = 1 / 2;
 
@@ -86,7 +89,11 @@
   /**
    * Writes the block on condition that its version in the store is still the version in the replica. Settles
    * when the outcome of the final commit is known. A write in several commits ends at the first commit that
-   * is not applied. `guards`: additional conditions of every commit.
+   * is not applied.
+   *
+   * @param block number of the block
+   * @param next the record to write
+   * @param guards additional conditions of every commit
    */
   async write(block: number, next: BlockRecord, guards: Condition[] = []): Promise<BlockWriteResult> {
     const { registry, commits } = this.ports;
--- a/src/blocks/capacity-estimate.ts
+++ b/src/blocks/capacity-estimate.ts
@@ -7,7 +7,10 @@
 import type { BlockRecord, LeasedMachine } from '../wire/block-records.js';
 import type { BlockRegistry } from './block-registry.js';
 
-/** The slots of a block for tasks of one kind. A slot is space for one task. */
+/**
+ * The slots of a block for tasks of one kind. Here a slot is space for one task, and not the unit of the
+ * ladder (see `ladder/slots.ts`).
+ */
 export interface BlockSlots {
   block: number;
   /**
@@ -32,9 +35,9 @@
   /** Whether tasks can start on the machine. */
   isBooted: (machine: LeasedMachine) => boolean;
   /**
-   * Number of tasks that may be dispatched to a block beyond its free slots, as a ratio of the block's size.
-   * When a task of the block ends, the owner of the block can start one of these tasks without waiting for
-   * the leader.
+   * Number of tasks that may be dispatched to a block beyond its free slots, as a fraction of the block's
+   * size. When a task of the block ends, the owner of the block can start one of these tasks without waiting
+   * for the leader.
    */
   lookahead: number;
 }
@@ -54,7 +57,7 @@
 }
 
 /**
- * Maximum number of tasks that are dispatched to a block beyond its free slots, as a ratio of the block's
+ * Maximum number of tasks that are dispatched to a block beyond its free slots, as a fraction of the block's
  * size.
  */
 const maxLookaheadRatio = 1;
--- a/src/blocks/dispatch-writer.ts
+++ b/src/blocks/dispatch-writer.ts
@@ -20,7 +20,7 @@
 }
 
 /**
- * Maximum number of job records that are written in one round, as a ratio of the writes that the store
+ * Maximum number of job records that are written in one round, as a fraction of the writes that the store
  * accepts per second or the operations that it accepts per transaction, whichever is lower.
  */
 const maxWritesRatio = 0.35;
--- a/src/blocks/dispatcher.ts
+++ b/src/blocks/dispatcher.ts
@@ -27,7 +27,8 @@
   jobIndex: JobIndex;
   order: QueueOrder;
   /**
-   * Number of tasks that may be dispatched to a block beyond its free slots, as a ratio of the block's size.
+   * Number of tasks that may be dispatched to a block beyond its free slots, as a fraction of the block's
+   * size.
    */
   lookahead: number;
 }
@@ -38,7 +39,7 @@
  */
 const redispatchAfterHeartbeats = 0.5;
 /**
- * No tasks are dispatched while the number of queued commits exceeds this ratio of the maximum number of
+ * No tasks are dispatched while the number of queued commits exceeds this fraction of the maximum number of
  * operations in a transaction.
  */
 const maxQueuedCommitsRatio = 1 / 2;
--- a/src/blocks/job-dispatch.ts
+++ b/src/blocks/job-dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the blocks to which the tasks of one job are dispatched, by the free slots of the blocks. A slot is
- * space for one task of the job.
+ * Chooses the blocks to which the tasks of one job are dispatched, by the free slots of the blocks. Here a
+ * slot is space for one task of the job, and not the unit of the ladder (see `ladder/slots.ts`).
  */
 import { isZoneConstrained, type JobSpec } from '../model/types.js';
 import type { TaskRange } from '../wire/job-records.js';
--- a/src/blocks/lease-writer.ts
+++ b/src/blocks/lease-writer.ts
@@ -31,7 +31,7 @@
   term: LeaderTerm;
 }
 
-/** Pause after a commit whose outcome is unknown, as a ratio of the heartbeat interval. */
+/** Pause after a commit whose outcome is unknown, as a fraction of the heartbeat interval. */
 const unknownResultPauseRatio = 1 / 4;
 
 /**
@@ -85,8 +85,11 @@
   /**
    * Writes `next` as the record of the block. Settles after the commit, or after an additional pause if the
    * outcome of the commit is unknown. A commit that was not applied is not retried, because the next round
-   * computes the record again. `current`: the record on which `next` is based; undefined if the block has no
-   * record.
+   * computes the record again.
+   *
+   * @param block number of the block
+   * @param current the record on which `next` is based; undefined if the block has no record
+   * @param next the record to write
    */
   async write(block: number, current: BlockRecord | undefined, next: BlockRecord): Promise<void> {
     const { settings, log, clock, term } = this.ports;
--- a/src/blocks/quota-shares.ts
+++ b/src/blocks/quota-shares.ts
@@ -21,7 +21,7 @@
   waiting: { need: Resources; count: number }[];
 }
 
-/** The input of a division of the teams' limits. */
+/** Input for dividing the teams' limits into quota shares of the blocks. */
 export interface QuotaShareInput {
   teams: Iterable<Team>;
   /** The current shares of each block. There is an entry for every block that may get a share. */
--- a/src/blocks/rebalancer.ts
+++ b/src/blocks/rebalancer.ts
@@ -50,9 +50,9 @@
  */
 const recallAfterHeartbeats = 4;
 /**
- * Maximum number of task ranges of a job after a recall, as a ratio of the number of ranges that the job's
- * record can hold. The remaining number is reserved for the ranges that are added when the recalled tasks are
- * dispatched again.
+ * Maximum number of task ranges of a job after a recall, as a fraction of the number of ranges that the job's
+ * record can hold. The rest of the record is reserved for the ranges that are added when the recalled tasks
+ * are dispatched again.
  */
 const maxRangesAfterRecallRatio = 1 / 2;
 /**
--- a/src/controller/service-health.ts
+++ b/src/controller/service-health.ts
@@ -25,7 +25,7 @@
  */
 const maxContactAgeRatio = 1 / 3;
 
-/** The health of this controller, as reported to the load balancers of the users. */
+/** The health of this controller, as reported to the load balancer that routes user requests. */
 export class ServiceHealth {
   constructor(private readonly ports: ServiceHealthPorts) {}
 
--- a/src/fault-scenarios/dependency-chains.test.ts
+++ b/src/fault-scenarios/dependency-chains.test.ts
@@ -15,7 +15,7 @@
 import { scenario } from '../testing/scenario.js';
 
 /**
- * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ * Upcoming limits of the state service that the settings announce. They are lower than the current limits.
  */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 60 };
 /** Returns the id of the job with this number. */
--- a/src/fault-scenarios/late-and-lost-messages.test.ts
+++ b/src/fault-scenarios/late-and-lost-messages.test.ts
@@ -78,9 +78,10 @@
   );
 }
 
-// The transaction of a cancel gets no response, so no user receives a confirmation. The job ends, and users
-// receive the answer that it is done. If the cancel were applied after that, the outcome of the job would
-// change.
+// The transaction of a cancellation is delayed and gets no response, so no user receives a confirmation. The
+// job then completes, and users receive the answer that it is done. After that, the store receives the
+// delayed transaction and must reject it, because the transaction is conditioned on the job having no
+// outcome. If the store applied the transaction, the outcome of the job would change from done to cancelled.
 scenario(
   'a cancellation whose transaction got no response is applied after its job is done',
   { port: 24_320, taskMs },
@@ -189,7 +190,7 @@
     await submitAndAwaitRunning(cluster, jobIds, 2);
     const [cancelled = '', ...kept] = jobIds;
     cluster.shouldHoldTask = tasksOf(cancelled);
-    // At first, every second of the present machines is partitioned, and later all of them. Machines that are
+    // At first, every second of the current machines is partitioned, and later all of them. Machines that are
     // rented after this point are not partitioned.
     const workers = [...cluster.workers.values()];
     for (const [i, worker] of workers.entries()) worker.isPartitioned = i % 2 === 0;
--- a/src/fault-scenarios/mixed-builds.test.ts
+++ b/src/fault-scenarios/mixed-builds.test.ts
@@ -28,7 +28,7 @@
 const commitBeforeRenames = '2be30b5872d7705d589379509e881f4e8adf3f22';
 
 /**
- * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ * Upcoming limits of the state service that the settings announce. They are lower than the current limits.
  */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 /**
@@ -144,9 +144,10 @@
 
 /**
  * Submits jobs to a controller of `others` while a controller of `leaders` leads, and waits until the first
- * of these jobs has started. A delayed leader may lose its leadership during this wait. In this case, submits
- * further jobs, in at most `maxRounds` rounds. Returns the ids of all jobs. Fails the test if no term lasts
- * long enough.
+ * of these jobs has started. The test does not delay the leader during this wait. But if the process of the
+ * leader is delayed for so long that its lease in the store expires, the leader loses its leadership. In this
+ * case, submits further jobs, in at most `maxRounds` rounds. Returns the ids of all jobs. Fails the test if
+ * no term lasts long enough.
  */
 async function submitDuringTermOf(
   cluster: Cluster,
--- a/src/fault-scenarios/rolling-upgrade.test.ts
+++ b/src/fault-scenarios/rolling-upgrade.test.ts
@@ -22,7 +22,7 @@
 import { jsonSizeBytes } from '../wire/codec.js';
 
 /**
- * Upcoming limits of the state service that the settings announce. They are lower than the present limits.
+ * Upcoming limits of the state service that the settings announce. They are lower than the current limits.
  */
 const nextLimits = { value_kb: 2, txn_ops: 6, write_rps: 150 };
 const nextValueBytes = nextLimits.value_kb * 1024;
--- a/src/intake/cancellations.ts
+++ b/src/intake/cancellations.ts
@@ -9,13 +9,17 @@
 const maxListedCancellations = 500;
 
 /**
- * The cancellations that this incarnation of the controller knows of. The controller confirms a cancellation
- * to a user only if the cancellation is recorded here. Therefore a peer without access to the store may
- * continue every job that is not on a complete list.
+ * The cancellations that this incarnation of the controller has recorded. Each status that the controller
+ * sends to a peer contains a list of these cancellations and a revision of the store, `cancelledSince`. The
+ * list is complete for the revisions after `cancelledSince`: it contains every cancellation with a later
+ * revision that this controller may have confirmed to a user, because the controller confirms a cancellation
+ * only if the cancellation is recorded here. A peer without access to the store whose replica has reached
+ * `cancelledSince` therefore has every cancellation that this controller may have confirmed, either in the
+ * replica or on the list. As far as this controller is concerned, the peer may continue all other jobs.
  *
- * A list is complete only for cancellations after the revision at which this incarnation first read the
- * store. Cancellations that an earlier incarnation confirmed were committed before this revision, and may be
- * missing from the list.
+ * `cancelledSince` is never lower than the revision at which this incarnation first read the store.
+ * Cancellations that an earlier incarnation confirmed were committed before this revision, and may be missing
+ * from the list.
  */
 export class Cancellations {
   /** Store revision of each cancelled job's outcome, by job id, in the order of recording. */
--- a/src/intake/intake.test.ts
+++ b/src/intake/intake.test.ts
@@ -8,9 +8,9 @@
 const id = 'req-000001';
 
 describe('submissions if the store commits slowly', () => {
-  // Clients retry submissions that wait in the commit queue. If the retries were queued too, the queue would
-  // stay long. When this happened in a run of one day with the larger fleet, only 361 of 1431 jobs were
-  // accepted.
+  // Clients retry submissions while the first attempt waits in the commit queue. Before this fault was fixed,
+  // each retry queued a further commit for the same job, so the queue stayed long. In a run of one day with
+  // the larger fleet before the fix, only 361 of 1431 jobs were accepted.
   test('a client retry that arrives while the first attempt is in flight causes no second commit', async () => {
     const store = new InMemoryStore();
     const controller = await UserApiFixture.create(store, id);
--- a/src/ladder/demand.ts
+++ b/src/ladder/demand.ts
@@ -1,6 +1,7 @@
 /**
- * Demand counting: computes how many slots of running and waiting tasks count for each pool. A pool contains
- * the machines of one type and kind (spot or ordinary). A slot is a fixed share of a machine, see `slots.ts`.
+ * Computes the demand on each pool, in slots, from running and waiting tasks. A pool contains the machines of
+ * one type and kind (spot or ordinary). A slot is the unit of the ladder, a fixed share of a machine's
+ * dominant resource (see `slots.ts`), and not the space for one task as in `blocks/capacity-estimate.ts`.
  */
 import { type JobSpec, type Resources, taskRequirementsKey, withinLimit } from '../model/types.js';
 import type { IndexedJob, JobIndex } from '../placement/job-index.js';
--- a/src/ladder/ladder.ts
+++ b/src/ladder/ladder.ts
@@ -1,7 +1,8 @@
 /**
  * The ladder of a pool: the thresholds of demand at which its machines are rented. Demand is counted in
- * slots, see `slots.ts`. Machine number m is rented when the counted slots reach threshold m, and may be
- * removed when the counted slots fall below threshold m.
+ * slots. A slot is a fixed share of a machine's dominant resource (see `slots.ts`). Machine number m is
+ * rented when the counted slots reach threshold m, and may be removed when the counted slots fall below
+ * threshold m.
  */
 import { slotsPerMachine } from './slots.js';
 
@@ -80,7 +81,7 @@
 
   /**
    * Returns the number of machines whose thresholds the counted slots reach, but at least `machines`, the
-   * present number of machines.
+   * current number of machines.
    */
   scaleOutTarget(machines: number, countedSlots: number): number {
     let target = machines;
--- a/src/ladder/scaling-windows.ts
+++ b/src/ladder/scaling-windows.ts
@@ -34,9 +34,9 @@
 }
 
 /**
- * Computes how many machines to add to a pool. If the demand exceeds the capacity of the present machines,
+ * Computes how many machines to add to a pool. If the demand exceeds the capacity of the current machines,
  * the machines for the excess are added immediately. The reserve that the ladder requires in addition is
- * rented only after it has been missing for a while, because a short burst that fits on the present machines
+ * rented only after it has been missing for a while, because a short burst that fits on the current machines
  * ends before a new machine has booted.
  */
 export class ScaleOutWindow {
--- a/src/ladder/slots.ts
+++ b/src/ladder/slots.ts
@@ -1,6 +1,7 @@
 /**
  * Slots: the unit in which the demand and the capacity of a pool are counted. A slot is a fixed share of a
- * machine's dominant resource, so that tasks with different resource needs can be added up.
+ * machine's dominant resource, so that tasks with different resource needs can be added up. The dispatch of
+ * jobs uses the word for another quantity, the space for one task (see `blocks/capacity-estimate.ts`).
  */
 import type { MachineType, Resources } from '../model/types.js';
 
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -50,9 +50,12 @@
 }
 
 /**
- * Holds this controller's lease in the store and the alive key that is bound to the lease. If the controller
- * process restarts quickly, the lease of the previous incarnation has not yet expired when the next
- * incarnation starts. The blocks are then still leased to this controller.
+ * Holds this controller's lease in the store and the alive key that is bound to the lease.
+ *
+ * If the controller process restarts before the lease of the previous incarnation expires, the new
+ * incarnation overwrites the alive key and binds the key to a new lease. The alive key then exists without
+ * interruption, so the leader does not lease the blocks of this controller to other controllers. The new
+ * incarnation renews the leases of these blocks (see `LeaseRenewals`).
  */
 export class Membership {
   private currentLeaseId: number | undefined;
--- a/src/model/types.ts
+++ b/src/model/types.ts
@@ -174,8 +174,8 @@
   memoryGb: number;
 }
 
-// Amounts are floating-point decimals that are summed in any order, so sums that should be equal may differ
-// in their last bits.
+// Amounts are binary floating-point numbers, so sums that should be equal may differ in the last bits
+// depending on the order of addition.
 const roundingTolerance = 1e-6;
 
 /** Whether the needed resources fit into the free resources. Tolerates rounding errors. */
--- a/src/peers/peer-links.ts
+++ b/src/peers/peer-links.ts
@@ -49,15 +49,15 @@
   incarnation: string;
   /** Returns the revision that this controller's replica of the store has reached. */
   storeRevision: () => number;
-  /** Returns the present values of the status fields that do not depend on the links. */
+  /** Returns the current values of the status fields that do not depend on the links. */
   localStatus: () => Pick<
     PeerStatus,
     'storeContactAgeMs' | 'fencingToken' | 'terminatedMachines' | 'bootedMachines'
   >;
   /**
-   * Returns the cancellations that this controller may have confirmed and that may be missing from a peer's
-   * replica of the store, if this replica has reached `revision`. If the list does not contain all of them,
-   * its `cancelledSince` is higher than `revision`.
+   * Returns the cancellations that this controller may have confirmed and that a peer whose replica is at
+   * `revision` may be missing. If the list does not contain all of them, its `cancelledSince` is higher than
+   * `revision`.
    */
   cancellationsSince: (revision: number) => CancellationList;
   /** Called with each received status of a peer, except for statuses that arrive out of order. */
@@ -160,7 +160,7 @@
     this.lastStatuses.set(from, { createdNotBefore: notBefore, storeContactAgeMs, cancellationsKnownUntil });
   }
 
-  /** Creates the next status for a peer and records the present time as its send time. */
+  /** Creates the next status for a peer and records the current time as its send time. */
   composeStatus(receiver: string): PeerStatus {
     const { settings, incarnation, localStatus, storeRevision, cancellationsSince, clock } = this.ports;
     const received = this.lastReceived.get(receiver);
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -222,9 +222,13 @@
   }
 
   /**
-   * Updates the machine and its tasks from a heartbeat. Returns the classification of the heartbeat, the
-   * findings about tasks, which are applied already, and the commands to send to the worker. `mayStart`:
-   * whether start commands are allowed.
+   * Updates the machine and its tasks from a heartbeat.
+   *
+   * @param machine the machine whose worker sent the heartbeat
+   * @param heartbeat the received heartbeat
+   * @param mayStart whether start commands are allowed
+   * @returns the classification of the heartbeat, the findings about tasks, which are applied already, and
+   *   the commands to send to the worker
    */
   applyHeartbeat(machine: MachineState, heartbeat: Heartbeat, mayStart: boolean): Reconciliation {
     const now = this.options.clock();
@@ -256,7 +260,7 @@
   }
 
   /**
-   * Requeues a task. May be called only if no start command has been sent for its present attempt, or if
+   * Requeues a task. May be called only if no start command has been sent for its current attempt, or if
    * there is proof that the task is on no machine.
    */
   unassign(task: Task): void {
--- a/src/placement/job-completion.ts
+++ b/src/placement/job-completion.ts
@@ -11,8 +11,8 @@
 import type { JobState } from './job-state.js';
 
 /**
- * Maximum number of outcome commits in flight, expressed as the time in seconds in which a controller's equal
- * share of the store's write rate admits their writes.
+ * Limits the outcome commits in flight: together, they contain at most as many writes as a controller's equal
+ * share of the store's write rate admits within this time, in seconds. One commit is always admitted.
  */
 const maxOutcomesInFlightS = 2;
 /**
--- a/src/placement/ledger-layout.ts
+++ b/src/placement/ledger-layout.ts
@@ -43,8 +43,11 @@
 
 /**
  * Returns the number by which the maximum size of a value in the store is divided to get the size of a page.
- * Every controller reads every changed page, so small pages reduce the cost of reads if the write rate of the
- * store is high enough. If the write rate is low, one page has to hold all intents of a placement round.
+ * Every controller reads every changed page, so small pages reduce the cost of reads. But each page that a
+ * placement round changes needs a write of its own. The maximum size is therefore divided only as far as the
+ * permitted write rate of the store (`write_rps` in the settings) allows enough writes for each page. If the
+ * permitted write rate is low, a page is as large as a value may be, so that one write can record all intents
+ * of a placement round.
  */
 function pagesPerValue(
   { state, controllers }: LayoutSettings,
@@ -57,7 +60,7 @@
 }
 
 /**
- * Returns the layout of earlier versions. They compute it from the present limits of the state service and
+ * Returns the layout of earlier versions. They compute it from the current limits of the state service and
  * ignore upcoming limits.
  */
 function legacyLayout(settings: LayoutSettings): LedgerLayout {
--- a/src/placement/page-snapshot.ts
+++ b/src/placement/page-snapshot.ts
@@ -25,8 +25,13 @@
 /**
  * Returns the content of the page for the next commit. A commit can be conditioned on the records of only a
  * limited number of jobs, and a page has a maximum size. Tasks in phase `placing` that exceed one of these
- * limits are passed to `unassign`, so that they are placed again later. A task on a machine needs more space
- * than a done task. So the result can temporarily exceed `maxBytes` even without tasks in phase `placing`.
+ * limits are passed to `unassign`, so that they are placed again later.
+ *
+ * Tasks that are already on machines always stay in the result, so it can exceed `maxBytes` even without
+ * tasks in phase `placing`. For example, this can happen while the ledger is converted to a smaller chunk
+ * size: the tasks on machines are recorded again in compact entries, but the page reserves space for a
+ * compact entry as if none of its tasks were on a machine. A task on a machine needs more space than a done
+ * task, so the result shrinks again when these tasks are done.
  *
  * @param page the page to write
  * @param maxJobs maximum number of jobs whose tasks the commit may place
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -14,8 +14,8 @@
 
 /**
  * A fact about a task that is proven by a heartbeat; no finding is derived from a time-out. `completed`: some
- * attempt of the task has completed. `left`: the present attempt of the task has ended without completing, or
- * is not on the machine. `seen`: the present attempt is on the machine.
+ * attempt of the task has completed. `left`: the current attempt of the task has ended without completing, or
+ * is not on the machine. `seen`: the current attempt is on the machine.
  */
 export type Finding =
   | { kind: 'completed'; job: JobState; index: number }
@@ -24,9 +24,9 @@
 
 /**
  * Classification of a heartbeat. `stale`: a later heartbeat of the worker has already been processed.
- * `outranked`: the worker has received a fencing token that is higher than the machine's present token.
- * `unreconciled`: the worker has not received the present token yet. `reconciled`: the worker has received
- * the present token. The reported tasks are used only if the heartbeat is `reconciled`.
+ * `outranked`: the worker has received a fencing token that is higher than the machine's current token.
+ * `unreconciled`: the worker has not received the current token yet. `reconciled`: the worker has received
+ * the current token. The reported tasks are used only if the heartbeat is `reconciled`.
  */
 export type Verdict = 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
 
@@ -93,7 +93,7 @@
   machine.hasSentHeartbeat = true;
   machine.address = heartbeat.address;
   machine.preemptionNoticeS = heartbeat.preemptionNoticeS;
-  // Until the worker has received the machine's present token, it may still accept a command from an earlier
+  // Until the worker has received the machine's current token, it may still accept a command from an earlier
   // owner of the machine.
   machine.reconciled = heartbeat.fencingToken === machine.fencingToken;
   return machine.reconciled ? 'reconciled' : 'unreconciled';
@@ -141,7 +141,7 @@
 }
 
 /**
- * Handles a task whose present attempt is missing from the heartbeat. A start command is sent only in the
+ * Handles a task whose current attempt is missing from the heartbeat. A start command is sent only in the
  * response to a heartbeat, and the worker finishes processing this response before it sends the next
  * heartbeat. So a reconciled heartbeat without the attempt proves that the attempt is not on the machine.
  */
--- a/src/placement/team-quotas.ts
+++ b/src/placement/team-quotas.ts
@@ -4,7 +4,7 @@
 
 /** Reduces the limits of teams in the settings to the shares that the leader has assigned to the block. */
 export class TeamQuotas {
-  /** The block's shares of the team limits, as in the present version of the block's record. */
+  /** The block's shares of the team limits, as in the current version of the block's record. */
   shares: QuotaShares = {};
 
   constructor(private readonly teams: ReadonlyMap<string, Team>) {}
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -30,8 +30,9 @@
 });
 
 /**
- * Settings that operators may change in addition to the platform's settings file. Every value is either a
- * ratio to a value of the platform's file or a time in seconds.
+ * The settings from the operators' settings file. This second, optional file contains settings that the
+ * platform's settings file does not have. Every value is either a time in seconds, or a multiple or fraction
+ * of another quantity, for example of the heartbeat interval in the platform's file.
  */
 export interface OperatorSettings {
   /**
--- a/src/settings/platform-file.ts
+++ b/src/settings/platform-file.ts
@@ -50,7 +50,8 @@
 export type PlatformFile = v.InferOutput<typeof platformFileSchema>;
 
 /**
- * The settings of the deployment. They are the same for all controllers, except for `quota`, which applies to
- * one controller.
+ * The settings of the deployment. Every controller reads its own settings file. All fields of this section
+ * except `quota` have the same values in the files of all controllers. `quota` is the resource limit of the
+ * one controller that reads the file.
  */
 export type DeploymentSection = PlatformFile['settings'];
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -35,26 +35,26 @@
   deadlineMultiple: number | undefined;
 }
 
-/** Limits of the state service, derived from the present and the upcoming limits in the settings file. */
+/** Limits of the state service, derived from the current and the upcoming limits in the settings file. */
 export interface StateLimits {
-  /** The present limit of requests per second. */
+  /** The current limit of requests per second. */
   rps: number;
-  /** The present limit of write requests per second. */
+  /** The current limit of write requests per second. */
   writeRps: number;
   /**
-   * Maximum size of a value in bytes: the smaller of the present and the upcoming limit, because controllers
+   * Maximum size of a value in bytes: the smaller of the current and the upcoming limit, because controllers
    * observe the upcoming limit before it applies.
    */
   valueBytes: number;
-  /** Maximum number of changes in a transaction: the smaller of the present and the upcoming limit. */
+  /** Maximum number of changes in a transaction: the smaller of the current and the upcoming limit. */
   txnOps: number;
   /**
-   * The present maximum size of a value in bytes. Earlier versions derive the layout of their records from
+   * The current maximum size of a value in bytes. Earlier versions derive the layout of their records from
    * it.
    */
   presentValueBytes: number;
   /**
-   * The upcoming rate limit as a share of the present rate limit, at most 1. It is derived from the limit of
+   * The upcoming rate limit as a share of the current rate limit, at most 1. It is derived from the limit of
    * write requests.
    */
   nextRateShare: number;
--- a/src/store/adaptive-share.ts
+++ b/src/store/adaptive-share.ts
@@ -39,8 +39,9 @@
  * use their full shares at the same time, and no message reports the unused part. Therefore the share grows
  * while users wait and the service refuses no commit. Each refusal halves the share, down to the even share.
  *
- * If the settings announce lower limits, refusals reduce the share further, down to the ratio of the
- * announced limit to the present limit.
+ * The settings may announce limits that take effect later (`state.next` in the platform's file). If
+ * the announced write limit is lower than the current one, refusals reduce the share below the even share,
+ * down to the announced write limit as a fraction of the current write limit.
  */
 export class AdaptiveShare {
   private updatedAt: number;
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -373,7 +373,7 @@
   }
 
   /**
-   * Records the present time as the end of all faults, and waits until every controller reports each of the
+   * Records the current time as the end of all faults, and waits until every controller reports each of the
    * jobs as done.
    */
   async waitUntilAllDone(ids: string[], withinMs = 25_000): Promise<void> {
@@ -449,7 +449,10 @@
     this.cloud.close();
   }
 
-  /** Changes the content of a settings file to the settings of one controller of this cluster. */
+  /**
+   * Adapts the parsed content of a settings file in place: sets the addresses of the controller `label`, and
+   * the worker times and the limits of the state service and the cloud that this cluster uses.
+   */
   private applyClusterSettings(file: Record<string, unknown>, label: string): void {
     applyAddresses(file, labels.indexOf(label), this.addresses);
     const deploymentSettings = file['settings'] as Record<string, unknown>;
--- a/src/testing/document-names.ts
+++ b/src/testing/document-names.ts
@@ -1,6 +1,8 @@
 /**
- * Finds unknown names of files, settings and symbols in the code spans of a document, and collects log
- * events.
+ * Supports the checks of the documents: finds names of files, settings and symbols in the code spans of a
+ * document that do not exist in the sources. Collects the log events in the tables of a document and in the
+ * log calls of the sources. With these, a test checks that the runbook lists every event logged at level info
+ * or error, and no event that does not exist.
  */
 
 /** The names that exist in the source tree and that documents may use. */
--- a/src/testing/heartbeat-fixture.ts
+++ b/src/testing/heartbeat-fixture.ts
@@ -21,7 +21,7 @@
   handler: HeartbeatHandler;
   /** All replies so far, in the order in which they were sent. */
   replies: Reply[];
-  /** Sends the next heartbeat of the machine, by default with the present fencing token of the machine. */
+  /** Sends the next heartbeat of the machine, by default with the current fencing token of the machine. */
   heartbeat: (machine: string, tasks?: WorkerTask[], fencingToken?: number) => void;
 }
 
--- a/src/testing/worker-standin.ts
+++ b/src/testing/worker-standin.ts
@@ -14,7 +14,7 @@
   status: Status;
   cause: string;
   /**
-   * Wall-clock time in ms since the epoch at which the present status ends by itself. A pause of the worker
+   * Wall-clock time in ms since the epoch at which the current status ends by itself. A pause of the worker
    * postpones this time.
    */
   statusEndsAt: number;
--- a/src/wire/block-records.ts
+++ b/src/wire/block-records.ts
@@ -8,7 +8,7 @@
  *
  * `block/<n>`:
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `owner` | `owner` | label of a controller |
  * | `boot` | `incarnation` | opaque, a new one at each process start |
@@ -19,7 +19,7 @@
  * `machines/<n>/<page>` is a list of groups. A group is [type, zone, spot, machines]: two names, a boolean
  * and a list. Each machine in that list is a list of its own:
  *
- * | place | in the code | unit |
+ * | index | in the code | unit or meaning |
  * | --- | --- | --- |
  * | 0 | `id` | name |
  * | 1 | `fencingToken` | revision; 0: the version of the record or page that lists the machine |
@@ -60,7 +60,7 @@
   owner: string;
   /**
    * The incarnation of the owner that holds the lease of the block. After a process restart, the new
-   * incarnation renews the lease, which also renews the fencing tokens.
+   * incarnation renews the lease, and the machines get new, higher fencing tokens with the renewal.
    */
   incarnation: string;
   machines: LeasedMachine[];
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -4,7 +4,7 @@
  *
  * A machine type (`GET /machine_types`, list `hulls`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `name` | `name` | name |
  * | `cpus`, `accelerators` | the same | amount |
@@ -17,20 +17,23 @@
  *
  * A rented machine (`GET /rentals`, list `hosts`; `hasNext` is `hasMore`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `id` | `id` | name |
  * | `endpoint` | `address` | host:port |
  * | `hull` | `type` | name |
  * | `berth` | `zone` | name |
  * | `loaners` | `spot` | boolean |
- * | `status` | `state` | `starting`: `booting`, `running`, `failed`; others count as `running` |
+ * | `status` | `state` | see below |
  * | `heldS` | `ageS` | s since the rental request |
  *
+ * Of the values of `status`, `starting` becomes `booting`; `running` and `failed` stay; any other value
+ * counts as `running`.
+ *
  * A request to rent machines (`POST /rentals`); the response lists the names of the rented machines in
  * `hosts`:
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `charter` | `name` | name of the request, never reused for another request |
  * | `hull` | `type` | name |
@@ -40,7 +43,7 @@
  *
  * A request to release machines (`POST /rentals/release`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `hosts` | `machines` | list of names, at most 100 |
  */
--- a/src/wire/codec.test.ts
+++ b/src/wire/codec.test.ts
@@ -157,9 +157,10 @@
   }
 });
 
-// Both bounds of a range of completed tasks were counted as one task each. If tasks completed out of order,
-// the size of their entry was therefore overestimated. The write of the page was postponed although the page
-// had room, and no task of the page could start until other tasks had completed.
+// Guards against a past fault in the estimated size of an entry: each range of completed tasks was counted as
+// two tasks, one for each bound. If tasks completed out of order, many ranges consisted of a single task, so
+// the size of the entry was overestimated. The write of the page was then postponed although the page had
+// room, and no task of the page could start until other tasks had completed.
 test('a plain entry fits into the bytes reserved for it in any order of completion of its tasks', () => {
   const tasks = 68;
   const first = 99_000;
--- a/src/wire/controller-records.ts
+++ b/src/wire/controller-records.ts
@@ -7,7 +7,7 @@
  * fencing token. Each commit that only the leader may make is conditioned on `lead` still having this
  * revision as its version.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `label` | `label` | name of the controller in the settings |
  * | `boot` | `incarnation` | opaque, a new one at each process start |
@@ -17,7 +17,7 @@
  * the store. If the key is absent, the controller has failed or has no contact with the store. `Membership`
  * and the leader's `BlockRegistry` read it.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `boot` | `incarnation` | as above |
  * | `zone` | `zone` | name of the zone |
@@ -26,7 +26,7 @@
  * number never decreases. `Membership` and `BlockRegistry` read it, because the leader uses a new record
  * format only after every controller can read it.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `format` | the number itself | version of the record formats, see `currentFormat` |
  */
--- a/src/wire/job-records.ts
+++ b/src/wire/job-records.ts
@@ -6,7 +6,7 @@
  * `DispatchWriter`. The commit that writes the job's outcome deletes `job/<id>`. Every controller reads it
  * (`JobIndex`, `BlockState`), and `Intake` reads it to respond to users.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `spec` | `spec` | see `job-spec-record.ts` |
  * | `parts` | `taskRanges` | list of [block, first, count]: numbers of a block and a task, count of tasks |
@@ -15,7 +15,7 @@
  * (`outcomeTransaction`). If a submitted job depends on a cancelled job, `Submissions` writes `end/<id>`
  * instead of `job/<id>`. Every controller reads it.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `end` | `outcome` | `done` or `cancelled` |
  * | `tasks` | `tasks` | count of the job's tasks |
--- a/src/wire/job-spec-record.ts
+++ b/src/wire/job-spec-record.ts
@@ -5,7 +5,7 @@
  * record. `stored-samples.test.ts` compares the stored form with golden files, because names in the code may
  * change but stored names may not.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `id`, `jobClass`, `team`, `urgency` | the same | names |
  * | `tasks` | `tasks` | count |
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -3,7 +3,7 @@
  *
  * A submission:
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `id` | `id` | `req-` and digits |
  * | `jobclass` | `jobClass` | name |
@@ -28,7 +28,7 @@
  *
  * A response about a job; `done` and `running` only in responses to a query (`GET /v2/runs/{id}`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `id` | `id` | as above |
  * | `status` | `JobStatus` | name |
--- a/src/wire/ladder-records.ts
+++ b/src/wire/ladder-records.ts
@@ -6,7 +6,7 @@
  * `ladder/<pool>` is written by the leader's `ThresholdStore` after the leader has moved thresholds of the
  * pool. The `ThresholdStore` of a new leader reads it at the start of the term.
  *
- * | stored | in the code | unit |
+ * | stored | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `moved` | list of pairs | [machine number in the pool from 2, threshold in slots], latest move last |
  */
--- a/src/wire/ledger-records.ts
+++ b/src/wire/ledger-records.ts
@@ -7,9 +7,10 @@
  * before it sends the start command of the attempt. Every controller reads the pages (`LedgerIndex`). A new
  * owner of the block reads the pages when it takes over the block.
  *
- * A page is a list of entries, and each entry is a list. Both forms of an entry begin with:
+ * A page is a list of entries, and each entry is a list. An entry records one chunk of a job's tasks in the
+ * block. A chunk is a range of consecutive task numbers. Both forms of an entry begin with:
  *
- * | place | in the code | unit |
+ * | index | in the code | unit or meaning |
  * | --- | --- | --- |
  * | 0 | `id` | id of the job |
  * | 1 | `chunk` | number of the chunk from 0 |
@@ -19,7 +20,7 @@
  *
  * The plain form, which every version reads, continues with:
  *
- * | place | in the code | unit |
+ * | index | in the code | unit or meaning |
  * | --- | --- | --- |
  * | 6 | `active` | list of [task, attempt, machine] |
  * | 7 | `waiting` | list of [task, last attempt] |
@@ -27,7 +28,7 @@
  *
  * The compact form, used from format 2 on (see `currentFormat`), continues with:
  *
- * | place | in the code | unit |
+ * | index | in the code | unit or meaning |
  * | --- | --- | --- |
  * | 6 | `active`, first attempts | task, machine, task, machine |
  * | 7 | `active`, later attempts | task, attempt, machine, and so on |
--- a/src/wire/peer-status.ts
+++ b/src/wire/peer-status.ts
@@ -3,7 +3,7 @@
  * sends a status. The `PeerLinks` of the receiving controller passes it to `PeerStatusHandler`. Statuses are
  * not stored.
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `from` | `from` | label of the sender |
  * | `boot` | `incarnation` | opaque, a new one at each process start |
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -3,7 +3,7 @@
  * sends the requests about leases, `ChangeWatch` sends watches, and `StoreClient` sends reads and lists. Keys
  * in the code have no root. On the wire, all keys start with one common root.
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `path`, `set`, `drop` | `key` | key, prefixed with the root |
  * | `value` | `value` | a record |
@@ -13,7 +13,7 @@
  *
  * A commit (`POST /commit`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `when` | conditions | list of `path` and `stamp` |
  * | `writes` | writes | list of `set` with `value` and `tenure`, or `drop`; missing if there are no writes |
@@ -21,7 +21,7 @@
  *
  * A list (`GET /keys`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `prefix`, `since`, `most` | `prefix`, `after`, `limit` | keys, count of items |
  * | `items` | `items` | list of `path`, `value`, `stamp` |
@@ -29,7 +29,7 @@
  *
  * A watch (`GET /changes`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `since` | `since` | revision |
  * | `holdMs` | `waitMs` | ms |
@@ -37,7 +37,7 @@
  *
  * A lease (`POST /grants`, `POST /grants/{id}/touch`, `DELETE /grants/{id}`):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `lifeMs` | `ttlMs` | ms |
  * | `tenure`, in the response | lease id | number |
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -4,7 +4,7 @@
  *
  * A heartbeat:
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `host` | `machine` | name |
  * | `endpoint` | `address` | host:port |
@@ -19,7 +19,7 @@
  *
  * A task in a heartbeat:
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `piece` | `job`, `index` | `<job>/<number of the task from 0>` |
  * | `try` | `attempt` | count from 1 |
@@ -28,14 +28,14 @@
  *
  * The response of the controller that owns the machine (200):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `helm` | `fencingToken` | revision of the state service |
  * | `orders` | `commands` | list, see below; carried out in this order |
  *
  * A command in a response:
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `verb` | `kind` | `run`: `start`, `halt`: `stop`, `reap`: `forget` |
  * | `piece`, `try` | `job`, `index`, `attempt` | as above |
@@ -43,7 +43,7 @@
  *
  * The response of a controller that may not send commands to the machine (421; 503 if no owner is known):
  *
- * | wire | in the code | unit |
+ * | wire | in the code | unit or meaning |
  * | --- | --- | --- |
  * | `skipper` | `label` | name of the controller to report to; missing if no controller can be named |
  */
--- a/src/workers/health-monitor.ts
+++ b/src/workers/health-monitor.ts
@@ -26,8 +26,10 @@
 /** Number of checks of the machines per heartbeat interval. */
 const checksPerHeartbeatInterval = 3;
 /**
- * Minimum time for which the store must have been reachable before missing heartbeats are attributed to a
- * partition of this controller, in heartbeat intervals.
+ * If all heartbeats are missing, this controller is assumed to be partitioned from the workers only after the
+ * store has been reachable for this number of heartbeat intervals. Right after the store was unreachable, the
+ * replica of the store may be outdated: the block may already be leased to another controller, which then
+ * receives the heartbeats.
  */
 const minReachableHeartbeatIntervals = 2;
 
--- a/src/workers/straggler-detection.ts
+++ b/src/workers/straggler-detection.ts
@@ -8,8 +8,8 @@
 const minCompletedRuns = 3;
 /**
  * If a task exceeds its expected run time by more than this factor, its machine is assumed to be the cause.
- * The factor allows for normal differences: the speeds of healthy machines differ by a tenth, and the run
- * times of tasks of one job differ by more.
+ * The factor has to stay above two normal spreads: the speeds of healthy machines differ by a tenth, and the
+ * run times of tasks of one job differ by more.
  */
 const stragglerRunTimeRatio = 3;
 
