--- a/src/blocks/job-dispatch.test.ts
+++ b/src/blocks/job-dispatch.test.ts
@@ -78,7 +78,7 @@
   const queued = (job: (typeof jobs)[number]): QueuedJob => {
     return {
       spec: job.spec,
-      dependencyFacts: withoutDependencies(job.spec),
+      dependencyConstraints: withoutDependencies(job.spec),
       waitingCount: job.spec.tasks - dispatched(job),
       started: dispatched(job) > 0,
     };
--- a/src/blocks/owned-block.ts
+++ b/src/blocks/owned-block.ts
@@ -86,7 +86,7 @@
       clock,
       wallClock,
       queueOrder: order,
-      dependencyFactsOf: (spec) => jobIndex.dependencyFactsOf(spec),
+      dependencyConstraintsOf: (spec) => jobIndex.dependencyConstraintsOf(spec),
     });
     blockState.load(replica);
     const scheduler = new Scheduler({ ...ports, blockState, signal });
--- a/src/placement/block-state.ts
+++ b/src/placement/block-state.ts
@@ -18,7 +18,7 @@
 import { Ledger } from './ledger.js';
 import type { LedgerLayout } from './ledger-layout.js';
 import type { MachineState } from './machine-state.js';
-import { type DependencyFacts, QueueOrder } from './queue-order.js';
+import { type DependencyConstraints, QueueOrder } from './queue-order.js';
 import { reconcile, type Reconciliation } from './reconciliation.js';
 import {
   addStoredPages,
@@ -53,7 +53,7 @@
    * Returns how a job's dependencies and dependents affect the position of the job in the queue. Default:
    * jobs are sorted as if they had no dependencies or dependents.
    */
-  dependencyFactsOf?: (spec: JobSpec) => DependencyFacts;
+  dependencyConstraintsOf?: (spec: JobSpec) => DependencyConstraints;
   /** The teams from the settings, by name. The block may use only its share of each team's limits. */
   teams: ReadonlyMap<string, Team>;
 }
@@ -98,7 +98,7 @@
     this.queue = new WaitingQueue({
       jobs: this.jobs,
       order: options.queueOrder ?? new QueueOrder([]),
-      dependencyFactsOf: options.dependencyFactsOf,
+      dependencyConstraintsOf: options.dependencyConstraintsOf,
       clock,
       wallClock: options.wallClock ?? Date.now,
       maxAgeMs: heartbeatIntervalMs * resortIntervalHeartbeats,
--- a/src/placement/job-index.ts
+++ b/src/placement/job-index.ts
@@ -9,7 +9,7 @@
 import { jobOfOutcomeKey } from '../wire/keys.js';
 import type { Change } from '../wire/state.js';
 import { type ActiveTask, type IndexedEntry, type JobProgress, LedgerIndex } from './ledger-index.js';
-import type { DependencyFacts, QueuedJob, QueueOrder } from './queue-order.js';
+import type { DependencyConstraints, QueuedJob, QueueOrder } from './queue-order.js';
 
 /** An open job, i.e. a job without an outcome. */
 export interface IndexedJob extends JobRecord {
@@ -96,7 +96,7 @@
   }
 
   /** Returns how the job's dependencies and dependents affect the position of the job in the queue. */
-  dependencyFactsOf(spec: JobSpec): DependencyFacts {
+  dependencyConstraintsOf(spec: JobSpec): DependencyConstraints {
     return { readyAt: this.dependencies.readyAt(spec), ...this.dependencies.downstreamDemand(spec) };
   }
 
@@ -143,7 +143,7 @@
     const { done, active } = this.progress(id);
     return {
       spec,
-      dependencyFacts: this.dependencyFactsOf(spec),
+      dependencyConstraints: this.dependencyConstraintsOf(spec),
       waitingCount: spec.tasks - done - active,
       started: done + active > 0,
     };
--- a/src/placement/lateness.ts
+++ b/src/placement/lateness.ts
@@ -51,13 +51,13 @@
 
 function missesObjective(
   { kind, withinS, deadlineMultiple }: Objective,
-  { spec, dependencyFacts, waitingCount }: QueuedJob,
+  { spec, dependencyConstraints, waitingCount }: QueuedJob,
   now: number,
 ): boolean {
   const submittedS = (now - spec.acceptedAt) / 1000;
   if (kind === 'deadline')
     return spec.deadlineS !== null && submittedS > spec.deadlineS * (deadlineMultiple ?? 1);
-  const ageS = (now - dependencyFacts.readyAt) / 1000;
+  const ageS = (now - dependencyConstraints.readyAt) / 1000;
   if (withinS === undefined) return false;
   return (kind === 'finished' || (kind === 'wait' && waitingCount > 0)) && ageS > withinS;
 }
--- a/src/placement/machine-state.test.ts
+++ b/src/placement/machine-state.test.ts
@@ -4,7 +4,7 @@
 import { taskKey } from '../model/types.js';
 import { emptyHeartbeat, jobSpec, machineToken } from '../testing/block-fixture.js';
 import { addPlacedJob, createBlockWithMachine } from '../testing/job-states.js';
-import type { Verdict } from './reconciliation.js';
+import type { ReconciliationStatus } from './reconciliation.js';
 
 // If a machine's heartbeats arrive but the responses do not reach the machine, the machine never counts as
 // silent. Without a separate check for this one-way partition, tasks would be placed on the machine
@@ -16,7 +16,7 @@
     sequence: number,
     fencingToken: number,
     taskStates: Record<string, 'running'> = {},
-  ): Verdict => {
+  ): ReconciliationStatus => {
     const tasks = Object.entries(taskStates).map(([index, state]) => ({
       job: 'req-1',
       index: Number(index),
@@ -25,7 +25,7 @@
       cause: '',
     }));
     const heartbeat = { ...emptyHeartbeat('m1', sequence), fencingToken, tasks };
-    return blockState.applyHeartbeat(machine, heartbeat, true).verdict;
+    return blockState.applyHeartbeat(machine, heartbeat, true).status;
   };
   // The machine's heartbeat contains an older fencing token than that of this owner.
   assert.equal(sendHeartbeat(1, machineToken - 4), 'unreconciled');
--- a/src/placement/queue-order.test.ts
+++ b/src/placement/queue-order.test.ts
@@ -26,7 +26,7 @@
     acceptedAt: acceptedS * 1000,
     ...overrides,
   } as JobSpec;
-  return { spec, dependencyFacts: withoutDependencies(spec), waitingCount: waiting, started: false };
+  return { spec, dependencyConstraints: withoutDependencies(spec), waitingCount: waiting, started: false };
 }
 
 function ids(jobs: QueuedJob[], nowS: number): string[] {
--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -12,7 +12,7 @@
 const starvedStartedFactor = 2;
 
 /** Values for the sort order of a job that are derived from its dependencies and its dependents. */
-export interface DependencyFacts {
+export interface DependencyConstraints {
   /**
    * Wall-clock time in ms since the epoch from which the job's waiting time and objectives are measured. The
    * job's deadline is measured from `acceptedAt` instead.
@@ -28,17 +28,17 @@
 }
 
 /**
- * Returns the values of `DependencyFacts` for a job that has neither dependencies nor dependents. The job is
+ * Returns the values of `DependencyConstraints` for a job that has neither dependencies nor dependents. The job is
  * ready when it is accepted, keeps its own urgency, and has no latest end time.
  */
-export function withoutDependencies(spec: JobSpec): DependencyFacts {
+export function withoutDependencies(spec: JobSpec): DependencyConstraints {
   return { readyAt: spec.acceptedAt, urgency: spec.urgency, endBy: undefined };
 }
 
 /** The properties of a job that determine its place in the queue. */
 export interface QueuedJob {
   spec: JobSpec;
-  dependencyFacts: DependencyFacts;
+  dependencyConstraints: DependencyConstraints;
   /** Number of the job's tasks that wait to start. */
   waitingCount: number;
   /** Whether any task of the job has started. */
@@ -97,7 +97,7 @@
     const meanWaiting = meanWaitingByUrgency(queued);
     return queued
       .map(({ item, job }) => {
-        const mean = meanWaiting.get(job.dependencyFacts.urgency) ?? 1;
+        const mean = meanWaiting.get(job.dependencyConstraints.urgency) ?? 1;
         return { item, sortKey: this.sortKey(job, mean, now) };
       })
       .sort((a, b) => compareSortKeys(a.sortKey, b.sortKey))
@@ -105,14 +105,14 @@
   }
 
   private sortKey(job: QueuedJob, meanWaiting: number, now: number): SortKey {
-    const { spec, dependencyFacts, waitingCount, started } = job;
-    const { readyAt, urgency } = dependencyFacts;
+    const { spec, dependencyConstraints, waitingCount, started } = job;
+    const { readyAt, urgency } = dependencyConstraints;
     const { id } = spec;
     const urgencyRank = urgencyRanks[urgency];
     const ageS = (now - readyAt) / 1000;
     if (ageS > starvedAfterS * (started ? starvedStartedFactor : 1))
       return { urgencyRank, tier: tiers.starved, dueAt: readyAt, id };
-    const windows = this.startWindowsS(spec, dependencyFacts);
+    const windows = this.startWindowsS(spec, dependencyConstraints);
     const nextWindow = windows.find((windowS) => windowS >= ageS);
     const tier = nextWindow === undefined ? tiers.hasMissedObjectives : tiers.canMeetObjective;
     // The larger the job is compared with the mean of its urgency, the later it is due within its start
@@ -126,7 +126,7 @@
    * Returns the start windows of the job in seconds, shortest first. A start window is the time after
    * `readyAt` within which the job's tasks have to start to meet one objective.
    */
-  private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyFacts): number[] {
+  private startWindowsS(spec: JobSpec, { readyAt, endBy }: DependencyConstraints): number[] {
     const { estimatedRunS, deadlineS } = spec;
     // A deadline is measured from `acceptedAt`, so the time for which the job waited for its dependencies is
     // subtracted.
@@ -146,11 +146,11 @@
 function meanWaitingByUrgency(queued: Iterable<{ job: QueuedJob }>): Map<Urgency, number> {
   const totalsByUrgency = new Map<Urgency, { jobs: number; tasks: number }>();
   for (const { job } of queued) {
-    const { dependencyFacts, waitingCount } = job;
-    const totals = totalsByUrgency.get(dependencyFacts.urgency) ?? { jobs: 0, tasks: 0 };
+    const { dependencyConstraints, waitingCount } = job;
+    const totals = totalsByUrgency.get(dependencyConstraints.urgency) ?? { jobs: 0, tasks: 0 };
     totals.jobs++;
     totals.tasks += waitingCount;
-    totalsByUrgency.set(dependencyFacts.urgency, totals);
+    totalsByUrgency.set(dependencyConstraints.urgency, totals);
   }
   return new Map([...totalsByUrgency].map(([urgency, totals]) => [urgency, totals.tasks / totals.jobs]));
 }
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -28,11 +28,11 @@
  * `unreconciled`: the worker has not received the current token yet. `reconciled`: the worker has received
  * the current token. The reported tasks are used only if the heartbeat is `reconciled`.
  */
-export type Verdict = 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
+export type ReconciliationStatus = 'stale' | 'outranked' | 'unreconciled' | 'reconciled';
 
 /** The result of processing a heartbeat. */
 export interface Reconciliation {
-  verdict: Verdict;
+  status: ReconciliationStatus;
   findings: Finding[];
   commands: WorkerCommand[];
 }
@@ -62,11 +62,11 @@
   inputs: ReconciliationInputs,
 ): Reconciliation {
   const result: Reconciliation = {
-    verdict: acceptHeartbeat(machine, heartbeat, inputs.now),
+    status: acceptHeartbeat(machine, heartbeat, inputs.now),
     findings: [],
     commands: [],
   };
-  if (result.verdict !== 'reconciled') return result;
+  if (result.status !== 'reconciled') return result;
   const reportedByTask = groupByTask(heartbeat.tasks);
   for (const [key, task] of machine.tasks) {
     if (task.phase !== 'placing') reconcileIntent(task, reportedByTask.get(key) ?? [], inputs, result);
@@ -77,11 +77,11 @@
 }
 
 /**
- * Updates the attributes of the machine from the heartbeat and returns the verdict. Changes nothing if the
+ * Updates the attributes of the machine from the heartbeat and returns the reconciliation status. Changes nothing if the
  * heartbeat is stale, or if the worker has received a higher fencing token because another controller owns
  * the machine.
  */
-function acceptHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): Verdict {
+function acceptHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): ReconciliationStatus {
   if (heartbeat.fencingToken > machine.fencingToken) return 'outranked';
   // A later heartbeat has been processed before this one, for example because a network partition delayed
   // this heartbeat. So its list of tasks is out of date.
--- a/src/placement/waiting-queue.test.ts
+++ b/src/placement/waiting-queue.test.ts
@@ -12,7 +12,7 @@
   const queue = new WaitingQueue({
     jobs,
     order: new QueueOrder([]),
-    dependencyFactsOf: undefined,
+    dependencyConstraintsOf: undefined,
     clock: () => now,
     wallClock: () => now,
     maxAgeMs: 250,
--- a/src/placement/waiting-queue.ts
+++ b/src/placement/waiting-queue.ts
@@ -2,7 +2,12 @@
 import type { Clock } from '../base/clock.js';
 import type { JobSpec } from '../model/types.js';
 import type { JobState } from './job-state.js';
-import { type DependencyFacts, type QueuedJob, type QueueOrder, withoutDependencies } from './queue-order.js';
+import {
+  type DependencyConstraints,
+  type QueuedJob,
+  type QueueOrder,
+  withoutDependencies,
+} from './queue-order.js';
 
 /** The dependencies and settings of a waiting queue. */
 export interface WaitingQueueOptions {
@@ -13,7 +18,7 @@
    * Returns how a job's dependencies and dependents affect the position of the job in the queue. By default,
    * jobs are sorted as if they had no dependencies or dependents.
    */
-  dependencyFactsOf: ((spec: JobSpec) => DependencyFacts) | undefined;
+  dependencyConstraintsOf: ((spec: JobSpec) => DependencyConstraints) | undefined;
   clock: Clock;
   /** Returns the wall-clock time in ms since the epoch; the timestamps of jobs have the same time base. */
   wallClock: () => number;
@@ -48,13 +53,13 @@
   }
 
   private sort(): JobState[] {
-    const { jobs, order, wallClock, dependencyFactsOf = withoutDependencies } = this.options;
+    const { jobs, order, wallClock, dependencyConstraintsOf = withoutDependencies } = this.options;
     const openJobs = [...jobs.values()].flatMap((job) =>
       job.waitingCount > 0 && job.spec ? [{ job, spec: job.spec }] : [],
     );
     const toQueuedJob = ({ job, spec }: { job: JobState; spec: JobSpec }): QueuedJob => ({
       spec,
-      dependencyFacts: dependencyFactsOf(spec),
+      dependencyConstraints: dependencyConstraintsOf(spec),
       waitingCount: job.waitingCount,
       started: job.activeCount + job.doneCount > 0,
     });
--- a/src/testing/known-red.ts
+++ b/src/testing/known-red.ts
@@ -6,7 +6,7 @@
 const maxKnownFailures = 3;
 
 /** The result of a comparison: `passes` is true if the test run passes, and `lines` are to be printed. */
-export interface Verdict {
+export interface ComparisonResult {
   passes: boolean;
   lines: string[];
 }
@@ -20,7 +20,11 @@
  * @param outcomes one line for each test, `pass` or `fail` and the name of the test
  * @param runnerFailed true if the test runner ended with a status other than 0
  */
-export function compareWithKnownFailures(list: string, outcomes: string, runnerFailed: boolean): Verdict {
+export function compareWithKnownFailures(
+  list: string,
+  outcomes: string,
+  runnerFailed: boolean,
+): ComparisonResult {
   const knownFailures = list.split('\n').filter((line) => line.trim() !== '');
   const lines: string[] = [];
   const addError = (line: string): void => void lines.push(`error: ${line}`);
--- a/src/testing/traces.ts
+++ b/src/testing/traces.ts
@@ -133,9 +133,9 @@
   const machine = blockState.machines.get(machineId);
   if (!machine) return ['not ours'];
   const heartbeat = parseHeartbeatEvent(machineId, words);
-  const { verdict, findings, commands } = blockState.applyHeartbeat(machine, heartbeat, true);
+  const { status, findings, commands } = blockState.applyHeartbeat(machine, heartbeat, true);
   return [
-    verdict,
+    status,
     ...findings.map(describeFinding),
     ...commands.map(({ kind, job, index, attempt }) => `${kind} ${job}/${index}.${attempt}`),
   ];
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -126,9 +126,9 @@
 
   private handleOwned(heartbeat: Heartbeat, owned: OwnedMachine, respond: Respond): void {
     const { machine, blockState } = owned;
-    const { verdict, commands } = blockState.applyHeartbeat(machine, heartbeat, this.ports.mayStartTasks());
+    const { status, commands } = blockState.applyHeartbeat(machine, heartbeat, this.ports.mayStartTasks());
     const now = this.ports.clock();
-    switch (verdict) {
+    switch (status) {
       case 'outranked':
         // Another controller has leased the machine, but the watch of the store has not yet reported this
         // change.
