--- a/src/placement/queue-order.ts
+++ b/src/placement/queue-order.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * Returns the values of `DependencyConstraints` for a job that has neither dependencies nor dependents. The job is
- * ready when it is accepted, keeps its own urgency, and has no latest end time.
+ * Returns the values of `DependencyConstraints` for a job that has neither dependencies nor dependents. The
+ * job is ready when it is accepted, keeps its own urgency, and has no latest end time.
  */
 export function withoutDependencies(spec: JobSpec): DependencyConstraints {
   return { readyAt: spec.acceptedAt, urgency: spec.urgency, endBy: undefined };
--- a/src/placement/reconciliation.ts
+++ b/src/placement/reconciliation.ts
@@ -77,9 +77,9 @@
 }
 
 /**
- * Updates the attributes of the machine from the heartbeat and returns the reconciliation status. Changes nothing if the
- * heartbeat is stale, or if the worker has received a higher fencing token because another controller owns
- * the machine.
+ * Updates the attributes of the machine from the heartbeat and returns the reconciliation status. Changes
+ * nothing if the heartbeat is stale, or if the worker has received a higher fencing token because another
+ * controller owns the machine.
  */
 function acceptHeartbeat(machine: MachineState, heartbeat: Heartbeat, now: number): ReconciliationStatus {
   if (heartbeat.fencingToken > machine.fencingToken) return 'outranked';
