--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -114,8 +114,8 @@
  * @throws SettingsError that names the wrong element, or the line at which the XML is not well-formed.
  */
 export async function parseOperatorSettings(xml: string): Promise<OperatorSettings> {
-  // Loaded only if there is an operators' file, because even without the XML parser, the start of the process
-  // uses up the controller's share of a core.
+  // Loaded only if there is an operators' file, because loading the parser costs processor time at the start
+  // of the process, and that time counts against the share of a processor core granted to the controller.
   // eslint-disable-next-line @typescript-eslint/no-deprecated -- its successor is another package, whose messages may differ
   const { XMLParser, XMLValidator } = await import('fast-xml-parser');
   const valid = XMLValidator.validate(xml);
